--- a/control/api.go
+++ b/control/api.go
@@ -11,41 +11,41 @@
 	Position, Fronts int // this front's number, and how many share the fleet
 	Zone             int // the zone this front lives in
 
-	Subscribe bool          // the server list must be subscribed to
-	AskWithin time.Duration // without a subscription, the list must be read this often
-
-	Classes []Class
-	Tenants []Tenant
-	Over    float64 // worth of a request past its tenant's share, as a part of its class's worth
-
-	Ladder    []float64 // kB/s of each rung, rising
-	RungWorth []float64 // worth of each rung
-	JoinAdds  float64   // what a further viewer adds to a shared live stream; 0 or 1: nothing is shared
-
-	Cells, Racks int
-	KindStreams  []int   // streams a server of each kind runs at most
-	LinksTotal   float64 // kB/s of all server links together
-	RackUplink   float64 // kB/s, mean uplink of a rack
-	WeightLink   float64 // kB/s of link for each unit of a server's weight
-	Weights      Weights
-	FullFrom     float64 // servers turn set-ups away from this link fullness on; 0: never
-
-	NoteDelay     time.Duration // how late notes on playing sessions are
-	LinkNoteEvery time.Duration // time between link notes; 0: none come
-	SwitchCost    time.Duration // a change of rung costs so much playing time's worth
-
-	Reports Reports
-
-	Probes, Peers, Cancel, RetryAfter bool
-	MaxAttempts                       int // for one request; 0: not limited
-	MaxRetryAfter                     time.Duration
-	MovePrice, ZonePrice, ProbePrice  float64 // share of a session's worth
-
-	DrainGrace time.Duration
-	Ramp       time.Duration // a started server is warm after this long
-	StartShare float64       // part of its capacity it starts with
-	FallFactor float64       // so many times its pace, held for FallSpan, push it over
-	FallSpan   time.Duration
+	MustSubscribe    bool          // the server list must be subscribed to
+	ListReadInterval time.Duration // without a subscription, the list must be read this often
+
+	Classes         []Class
+	Tenants         []Tenant
+	OverQuotaFactor float64 // worth of a request past its tenant's share, as a part of its class's worth
+
+	Ladder         []float64 // kB/s of each rung, rising
+	RungWorth      []float64 // worth of each rung
+	JoinRateFactor float64   // what a further viewer adds to a shared live stream; 0 or 1: nothing is shared
+
+	Cells, Racks      int
+	StreamSlotsByKind []int   // streams a server of each kind runs at most
+	TotalLinkRate     float64 // kB/s of all server links together
+	RackUplinkRate    float64 // kB/s, mean uplink of a rack
+	LinkRatePerWeight float64 // kB/s of link for each unit of a server's weight
+	WeightMode        WeightMode
+	RejectUtilization float64 // servers turn set-ups away from this link fullness on; 0: never
+
+	NoteDelay        time.Duration // how late notes on playing sessions are
+	LinkNoteInterval time.Duration // time between link notes; 0: none come
+	SwitchCost       time.Duration // a change of rung costs so much playing time's worth
+
+	ReportMode ReportMode
+
+	AllowProbes, AllowPeerMessages, AllowCancel, AllowRetryAfter bool
+	MaxAttempts                                                  int // for one request; 0: not limited
+	MaxRetryAfter                                                time.Duration
+	MovePrice, ZonePrice, ProbePrice                             float64 // share of a session's worth
+
+	DrainGrace  time.Duration
+	Ramp        time.Duration // a started server is warm after this long
+	StartShare  float64       // part of its capacity it starts with
+	BurstFactor float64       // so many times its pace, held for FallSpan, push it over
+	BurstSpan   time.Duration
 
 	BudgetSpan  time.Duration // further attempts are counted over this span; 0: no budget
 	BudgetFree  float64
@@ -54,18 +54,18 @@
 
 // Class describes one class of sessions.
 type Class struct {
-	Name           string
-	Effect         Effect
-	Scope          Scope
-	Window         time.Duration // how long a deduplicated set-up is remembered
-	Aim, Deadline  time.Duration
-	Worth          float64
-	RateFactor     float64 // its rates over those of the ladder; 0 counts as 1
-	Floor, Top     int     // lowest and highest rung; settings without tops use the ladder's
-	Seats          int     // sessions of one title a front may hold; 0: no cap
-	Live           bool
-	LateWorth      float64
-	StretchPerWork float64
+	Name             string
+	Effect           Effect
+	Scope            Scope
+	DedupWindow      time.Duration // how long a deduplicated set-up is remembered
+	Aim, Deadline    time.Duration
+	Worth            float64
+	RateFactor       float64 // its rates over those of the ladder; 0 counts as 1
+	MinRung, MaxRung int     // lowest and highest rung; settings without tops use the ladder's
+	Seats            int     // sessions of one title a front may hold; 0: no cap
+	Live             bool
+	LateWorth        float64
+	StretchPerWork   float64
 }
 
 // Tenant has a share of the fleet; requests past Quota a second are worth little.
@@ -96,39 +96,39 @@
 )
 
 // Weights says what the list's weight of a server means.
-type Weights int
+type WeightMode int
 
 // Meanings of a weight.
 const (
-	WeightNone Weights = iota
+	WeightNone WeightMode = iota
 	WeightSize
-	WeightLive // shifts with load, so it tells no size
+	WeightDynamic // shifts with load, so it tells no size
 )
 
 // Reports says how load reports come.
-type Reports int
+type ReportMode int
 
 // Ways for reports to come.
 const (
-	ReportsNone Reports = iota
+	ReportsNone ReportMode = iota
 	ReportsInAnswers
 	ReportsByProbe
 )
 
 // Load is one load report; nil fields were not reported.
-type Load struct {
-	Streams *float64 // streams run or set up
-	Link    *float64 // asked of the link over what it gives
-	Busy    *float64 // the same, 1 at most
-	Uplink  *float64 // asked of the rack's uplink over what it gives
+type LoadReport struct {
+	Streams    *float64 // streams run or set up
+	Link       *float64 // asked of the link over what it gives
+	CappedLink *float64 // the same, 1 at most
+	Uplink     *float64 // asked of the rack's uplink over what it gives
 }
 
 // State of a server on the list.
-type State int
+type ServerState int
 
 // States of a listed server.
 const (
-	Gone State = iota
+	Gone ServerState = iota
 	Ready
 	Draining
 )
@@ -139,7 +139,7 @@
 	Zone    int
 	Kind    int
 	Cell    int
-	State   State
+	State   ServerState
 	Weight  float64
 	Started time.Duration // 0: long ago
 }
@@ -156,7 +156,7 @@
 	ConnectFailed // never ran
 	Reset
 	Cancelled
-	Moot // never sent
+	NotSent // never sent
 )
 
 // Event is something the front saw.
@@ -170,35 +170,35 @@
 
 // Request asks for a session; Playing marks one handed over while it plays.
 type Request struct {
-	ID               string
-	Class, Tenant    int
-	Viewer, Title    uint64
-	Home, Span       int           // the title's cells
-	Holders          []string      // servers that have the title, in order; nil: those of its cells
-	Best             int           // highest rung the viewer can use
-	Due              time.Duration // when the viewer gives up
-	Length           time.Duration // rough length, 0: not told
-	Repeat, Returned bool
-	Moved            bool
-	Playing          bool
-	Server           string // with Playing
+	ID                 string
+	Class, Tenant      int
+	Viewer, Title      uint64
+	HomeCell, CellSpan int           // the title's cells
+	Holders            []string      // servers that have the title, in order; nil: those of its cells
+	BestRung           int           // highest rung the viewer can use
+	GiveUpAt           time.Duration // when the viewer gives up
+	ExpectedLength     time.Duration // rough length, 0: not told
+	Repeat, Returned   bool
+	Moved              bool
+	Playing            bool
+	Server             string // with Playing
 }
 
 // Started says that the session plays.
-type Started struct {
+type SessionStarted struct {
 	ID, Server string
 	Attempt    int
 	Took       time.Duration
 }
 
 // Ended says how an attempt finished; Final when the request is over with it.
-type Ended struct {
+type AttemptEnded struct {
 	ID, Server string
 	Attempt    int
 	Outcome    Outcome
 	Took       time.Duration
 	Final      bool
-	Load       *Load
+	Load       *LoadReport
 }
 
 // NoteKind is what a note on a playing session tells.
@@ -220,13 +220,13 @@
 }
 
 // Left says that the viewer of a request went away.
-type Left struct{ ID string }
+type ViewerLeft struct{ ID string }
 
 // Probed is what a probe found.
-type Probed struct {
+type ProbeResult struct {
 	Server string
 	OK     bool
-	Load   *Load
+	Load   *LoadReport
 }
 
 // PeerMessage came from another front.
@@ -236,7 +236,7 @@
 }
 
 // Holds tells the room that is kept for announced sessions; it replaces all that was told before.
-type Holds struct{ Parts []Hold }
+type HoldsUpdate struct{ Holds []Hold }
 
 // Hold is room on one server for sessions of one class and title, of all fronts together, as it was
 // still unused when told.
@@ -251,16 +251,16 @@
 // TimerFired is a timer set earlier.
 type TimerFired struct{ Label string }
 
-func (ListUpdate) event()  {}
-func (Request) event()     {}
-func (Started) event()     {}
-func (Ended) event()       {}
-func (Note) event()        {}
-func (Left) event()        {}
-func (Probed) event()      {}
-func (PeerMessage) event() {}
-func (Holds) event()       {}
-func (TimerFired) event()  {}
+func (ListUpdate) event()     {}
+func (Request) event()        {}
+func (SessionStarted) event() {}
+func (AttemptEnded) event()   {}
+func (Note) event()           {}
+func (ViewerLeft) event()     {}
+func (ProbeResult) event()    {}
+func (PeerMessage) event()    {}
+func (HoldsUpdate) event()    {}
+func (TimerFired) event()     {}
 
 // Action is something the front is to do, in order.
 type Action interface{ action() }
@@ -279,8 +279,8 @@
 
 // Refuse turns the request away; it never ran. After advises when to return.
 type Refuse struct {
-	ID    string
-	After time.Duration
+	ID         string
+	RetryAfter time.Duration
 }
 
 // Fail ends the request with no promise whether it ran.
@@ -300,7 +300,7 @@
 
 // SetTimer asks for a TimerFired.
 type SetTimer struct {
-	In    time.Duration
+	Delay time.Duration
 	Label string
 }
 
@@ -311,19 +311,19 @@
 type ReadList struct{}
 
 // Tell sends a short message to one other front.
-type Tell struct {
-	To   int
-	Data string
+type SendToPeer struct {
+	Front int
+	Data  string
 }
 
-func (Send) action()      {}
-func (SetRung) action()   {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Cancel) action()    {}
-func (Move) action()      {}
-func (Probe) action()     {}
-func (SetTimer) action()  {}
-func (Subscribe) action() {}
-func (ReadList) action()  {}
-func (Tell) action()      {}
+func (Send) action()       {}
+func (SetRung) action()    {}
+func (Refuse) action()     {}
+func (Fail) action()       {}
+func (Cancel) action()     {}
+func (Move) action()       {}
+func (Probe) action()      {}
+func (SetTimer) action()   {}
+func (Subscribe) action()  {}
+func (ReadList) action()   {}
+func (SendToPeer) action() {}
--- a/control/cost_test.go
+++ b/control/cost_test.go
@@ -7,10 +7,10 @@
 )
 
 // wideFleet is a controller that knows many servers in racks, all of which hold every title, and has heard of their load.
-func wideFleet(t testing.TB, servers int) *Controller {
-	set := settings()
-	set.Cells, set.Racks, set.Fronts, set.KindStreams = 8, 8, 300, []int{50}
-	set.LinksTotal, set.RackUplink, set.MaxAttempts = float64(servers)*1e4, float64(servers)*1e3, 1
+func newWideFleet(t testing.TB, servers int) *Controller {
+	set := testSettings()
+	set.Cells, set.Racks, set.Fronts, set.StreamSlotsByKind = 8, 8, 300, []int{50}
+	set.TotalLinkRate, set.RackUplinkRate, set.MaxAttempts = float64(servers)*1e4, float64(servers)*1e3, 1
 	c, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -24,9 +24,9 @@
 }
 
 // place has n requests placed, one a step.
-func (c *Controller) placeMany(n int) (sent int) {
+func (c *Controller) placeRequests(n int) (sent int) {
 	for i := range n {
-		r := Request{ID: fmt.Sprint("r", i), Class: 0, Tenant: -1, Span: 8, Best: 1, Due: time.Hour, Title: uint64(i)}
+		r := Request{ID: fmt.Sprint("r", i), Class: 0, Tenant: -1, CellSpan: 8, BestRung: 1, GiveUpAt: time.Hour, Title: uint64(i)}
 		for _, a := range c.Step(2*time.Second+time.Duration(i)*time.Millisecond, []Event{r}) {
 			if _, ok := a.(Send); ok {
 				sent++
@@ -40,15 +40,15 @@
 // grows with the number of servers and not with its square.
 func TestPlacementSumsUplinksOnce(t *testing.T) {
 	for _, servers := range []int{64, 640} {
-		c := wideFleet(t, servers)
-		if sent := c.placeMany(1); sent != 1 {
+		c := newWideFleet(t, servers)
+		if sent := c.placeRequests(1); sent != 1 {
 			t.Fatalf("%d sent", sent)
 		}
-		c.summed = 0
-		r := Request{ID: "x", Tenant: -1, Span: 8, Best: 0, Due: time.Hour}
+		c.uplinkSums = 0
+		r := Request{ID: "x", Tenant: -1, CellSpan: 8, BestRung: 0, GiveUpAt: time.Hour}
 		c.Step(3*time.Second, []Event{r})
-		if most := 4 * len(c.racks); c.summed > most {
-			t.Errorf("%d servers in %d racks: %d sums for one placement, %d at the most", servers, len(c.racks), c.summed, most)
+		if most := 4 * len(c.racks); c.uplinkSums > most {
+			t.Errorf("%d servers in %d racks: %d sums for one placement, %d at the most", servers, len(c.racks), c.uplinkSums, most)
 		}
 	}
 }
@@ -56,9 +56,9 @@
 func BenchmarkPlace(b *testing.B) {
 	for _, servers := range []int{50, 200, 800, 3200} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			c := wideFleet(b, servers)
+			c := newWideFleet(b, servers)
 			b.ResetTimer()
-			c.placeMany(b.N)
+			c.placeRequests(b.N)
 		})
 	}
 }
@@ -67,8 +67,8 @@
 func BenchmarkListChange(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			c := wideFleet(b, servers)
-			states := []State{Draining, Ready}
+			c := newWideFleet(b, servers)
+			states := []ServerState{Draining, Ready}
 			b.ResetTimer()
 			for i := range b.N {
 				id := fmt.Sprintf("s-%04d", i%servers)
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -11,8 +11,8 @@
 func Example() {
 	c, err := control.New(control.Settings{
 		Ladder: []float64{300, 700}, RungWorth: []float64{0.5, 1},
-		KindStreams: []int{40}, LinksTotal: 20000, Reports: control.ReportsInAnswers,
-		Classes: []control.Class{{Name: "clip", Worth: 1, Top: 1, Deadline: 4 * time.Second}},
+		StreamSlotsByKind: []int{40}, TotalLinkRate: 20000, ReportMode: control.ReportsInAnswers,
+		Classes: []control.Class{{Name: "clip", Worth: 1, MaxRung: 1, Deadline: 4 * time.Second}},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -22,7 +22,7 @@
 	c.Step(now, []control.Event{control.ListUpdate{Whole: true, Servers: []control.Server{
 		{ID: "box-1", State: control.Ready}, {ID: "box-2", State: control.Draining},
 	}}})
-	for _, action := range c.Step(now, []control.Event{control.Request{ID: "v1", Best: 1, Due: now + 4*time.Second}}) {
+	for _, action := range c.Step(now, []control.Event{control.Request{ID: "v1", BestRung: 1, GiveUpAt: now + 4*time.Second}}) {
 		fmt.Printf("%T %+v\n", action, action)
 	}
 	// Output:
--- a/control/invariants_test.go
+++ b/control/invariants_test.go
@@ -11,14 +11,14 @@
 // TestInvariants feeds random events and checks the rules on the actions.
 func TestInvariants(t *testing.T) {
 	for seed := range uint64(60) {
-		invariants(t, seed)
+		checkInvariants(t, seed)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 	}
 }
 
-type open struct {
+type openRequest struct {
 	class         int
 	due           time.Duration
 	server        string
@@ -27,16 +27,16 @@
 	best          int
 }
 
-func invariants(t *testing.T, seed uint64) {
+func checkInvariants(t *testing.T, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 2))
-	set := settings()
+	set := testSettings()
 	set.BudgetSpan, set.BudgetFree, set.BudgetShare = 5*time.Second, 3, 0.3
-	f := start(t, set)
-	state := map[string]State{}
+	f := startFront(t, set)
+	state := map[string]ServerState{}
 	for i := range 6 {
 		state[fmt.Sprint("s", i)] = Ready
 	}
-	reqs, ids := map[string]*open{}, []string{}
+	reqs, ids := map[string]*openRequest{}, []string{}
 	apply := func(out []Action) {
 		for _, a := range out {
 			switch a := a.(type) {
@@ -74,7 +74,7 @@
 					q.answered = true
 				}
 			case SetRung:
-				if q := reqs[a.ID]; a.Rung < set.Classes[q.class].Floor || a.Rung > max(q.best, set.Classes[q.class].Floor) {
+				if q := reqs[a.ID]; a.Rung < set.Classes[q.class].MinRung || a.Rung > max(q.best, set.Classes[q.class].MinRung) {
 					t.Errorf("%s: rung %d", a.ID, a.Rung)
 				}
 			}
@@ -85,9 +85,9 @@
 		switch k := r.IntN(10); {
 		case k < 3 || len(ids) == 0:
 			id := fmt.Sprint("r", i)
-			q := &open{class: r.IntN(4), due: f.now + 4*time.Second, best: r.IntN(2) + 1}
+			q := &openRequest{class: r.IntN(4), due: f.now + 4*time.Second, best: r.IntN(2) + 1}
 			reqs[id], ids = q, append(ids, id)
-			apply(f.step(Request{ID: id, Class: q.class, Title: 1, Home: r.IntN(6), Span: 3 + r.IntN(3), Best: q.best, Due: q.due}))
+			apply(f.step(Request{ID: id, Class: q.class, Title: 1, HomeCell: r.IntN(6), CellSpan: 3 + r.IntN(3), BestRung: q.best, GiveUpAt: q.due}))
 			if !q.out && !q.answered {
 				t.Errorf("%s: neither sent nor answered", id)
 			}
@@ -99,21 +99,21 @@
 			}
 			if !q.playing && r.IntN(2) == 0 {
 				q.playing, q.answered = true, true
-				apply(f.step(Started{ID: id, Server: q.server}))
+				apply(f.step(SessionStarted{ID: id, Server: q.server}))
 				continue
 			}
 			o := Outcome(r.IntN(8))
 			q.out = false
-			q.ran = q.ran || o != Full && o != ConnectFailed && o != Moot
+			q.ran = q.ran || o != Full && o != ConnectFailed && o != NotSent
 			final := q.playing || o == Served
 			q.answered = q.answered || final
-			apply(f.step(Ended{ID: id, Server: q.server, Outcome: o, Final: final}))
+			apply(f.step(AttemptEnded{ID: id, Server: q.server, Outcome: o, Final: final}))
 			if !q.out && !q.answered {
 				t.Errorf("%s: ended with %v and left without an answer", id, o)
 			}
 		case k < 8:
 			s := fmt.Sprint("s", r.IntN(6))
-			state[s] = State(r.IntN(3))
+			state[s] = ServerState(r.IntN(3))
 			if r.IntN(2) == 0 {
 				state[s] = Ready
 			}
@@ -132,12 +132,12 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() (all []Action) {
-		f := start(t, settings())
+		f := startFront(t, testSettings())
 		for i := range 200 {
 			f.now += 50 * ms
-			out := f.ask(fmt.Sprint(i), i%4)
-			if s := f.sent(out); s != "" && i%3 > 0 {
-				out = append(out, f.step(Started{ID: fmt.Sprint(i), Server: s})...)
+			out := f.request(fmt.Sprint(i), i%4)
+			if s := f.sentTo(out); s != "" && i%3 > 0 {
+				out = append(out, f.step(SessionStarted{ID: fmt.Sprint(i), Server: s})...)
 			}
 			all = append(all, out...)
 			all = append(all, f.step(TimerFired{"beat"})...)
--- a/control/keepers.go
+++ b/control/keepers.go
@@ -7,37 +7,37 @@
 // keeper is the front that collects what fronts tell of the servers of a cell. Cells in a row share
 // one, so that a question or two cover a title's holders.
 func (c *Controller) keeper(cell int) int {
-	return ((cell/keepCells)%c.set.Fronts + c.set.Fronts) % c.set.Fronts
+	return ((cell/keepCells)%c.cfg.Fronts + c.cfg.Fronts) % c.cfg.Fronts
 }
 
 // ask puts a question to the keepers of a title's holders; the choice waits for them a moment. Where
 // questions go unanswered, or the viewer is about to give up, it does not wait: answers serve later requests.
 func (c *Controller) ask(x *session) bool {
-	if !c.set.Peers || c.seesFleet {
+	if !c.cfg.AllowPeerMessages || c.seesMostServers {
 		return false
 	}
-	for _, s := range c.order {
+	for _, s := range c.sortedServers {
 		k := c.keeper(s.Cell)
-		known := len(s.held) > 0 && c.now-s.othersAt < c.set.LinkNoteEvery+c.set.NoteDelay
-		if !known && k != c.set.Position && s.State == Ready && c.has(x, s) &&
-			len(x.asking) < mostKeepers && !slices.Contains(x.asking, k) {
-			x.asking = append(x.asking, k)
-			home, span := x.Home, x.Span
+		known := len(s.sessions) > 0 && c.now-s.othersUpdatedAt < c.cfg.LinkNoteInterval+c.cfg.NoteDelay
+		if !known && k != c.cfg.Position && s.State == Ready && c.hasTitle(x, s) &&
+			len(x.pendingCollectors) < mostKeepers && !slices.Contains(x.pendingCollectors, k) {
+			x.pendingCollectors = append(x.pendingCollectors, k)
+			home, span := x.HomeCell, x.CellSpan
 			if x.Holders != nil { // not in a row: all in this keeper's row is asked
 				home, span = s.Cell/keepCells*keepCells, keepCells
 			}
-			c.say(k, message{kind: messageQuestion, home: home, span: span})
+			c.sendMessage(k, message{kind: messageQuery, homeCell: home, cellSpan: span})
 		}
 	}
-	if len(x.asking) == 0 {
+	if len(x.pendingCollectors) == 0 {
 		return false
 	}
-	if c.unanswered >= giveUpAsking || x.Due > 0 && x.Due-c.now < 2*answerWait {
-		x.asking = nil
+	if c.unansweredQueries >= giveUpAsking || x.GiveUpAt > 0 && x.GiveUpAt-c.now < 2*answerWait {
+		x.pendingCollectors = nil
 		return false
 	}
-	c.waiting = append(c.waiting, x)
-	c.act(SetTimer{answerWait, "look " + x.ID})
+	c.awaitingReplies = append(c.awaitingReplies, x)
+	c.emit(SetTimer{answerWait, "look " + x.ID})
 	return true
 }
 
@@ -45,16 +45,16 @@
 // price of probes stays in step with the traffic.
 func (c *Controller) probe(x *session) {
 	var oldest *server
-	for _, s := range c.order {
-		if s.State != Ready || s.probing || !c.has(x, s) {
+	for _, s := range c.sortedServers {
+		if s.State != Ready || s.probeInFlight || !c.hasTitle(x, s) {
 			continue
 		}
-		if oldest == nil || s.othersAt < oldest.othersAt {
+		if oldest == nil || s.othersUpdatedAt < oldest.othersUpdatedAt {
 			oldest = s
 		}
 	}
 	if oldest != nil {
-		oldest.probing = true
-		c.act(Probe{oldest.ID})
+		oldest.probeInFlight = true
+		c.emit(Probe{oldest.ID})
 	}
 }
--- a/control/load_test.go
+++ b/control/load_test.go
@@ -7,53 +7,53 @@
 )
 
 func TestShortShareStepsDown(t *testing.T) {
-	f := start(t, settings(), Server{ID: "s0", State: Ready, Weight: 1})
+	f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
 	for i := range 6 {
 		id := fmt.Sprint(i)
-		f.step(Request{ID: id, Playing: true, Server: "s0", Best: 2, Length: time.Minute})
+		f.step(Request{ID: id, Playing: true, Server: "s0", BestRung: 2, ExpectedLength: time.Minute})
 		f.step(Note{ID: id, Server: "s0", Kind: NoteRung, Value: 2})
 	}
 	f.now += 5 * time.Second
 	f.step(Note{Server: "s0", Kind: NoteLink, Value: 1.5})
-	if r, ok := find[SetRung](f.step(TimerFired{"beat"})); !ok || r.Rung > 1 {
+	if r, ok := findAction[SetRung](f.step(TimerFired{"beat"})); !ok || r.Rung > 1 {
 		t.Errorf("no step down on an over-asked link: %v", r)
 	}
 }
 
 func TestRoomThatLastsStepsUp(t *testing.T) {
-	f := start(t, settings(), Server{ID: "s0", State: Ready, Weight: 1})
-	f.step(Request{ID: "a", Playing: true, Server: "s0", Best: 2, Length: time.Minute})
+	f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
+	f.step(Request{ID: "a", Playing: true, Server: "s0", BestRung: 2, ExpectedLength: time.Minute})
 	f.step(Note{ID: "a", Server: "s0", Kind: NoteRung, Value: 0})
 	f.now += 5 * time.Second
 	f.step(Note{ID: "a", Server: "s0", Kind: NoteLink, Value: 0.06})
-	if r, ok := find[SetRung](f.step(TimerFired{"beat"})); !ok || r.Rung < 1 {
+	if r, ok := findAction[SetRung](f.step(TimerFired{"beat"})); !ok || r.Rung < 1 {
 		t.Error("no step up on an empty link")
 	}
 }
 
 func TestSilenceOfOneServerOnly(t *testing.T) {
-	f := start(t, settings())
-	a := f.play("a", 0)
+	f := startFront(t, testSettings())
+	a := f.startSession("a", 0)
 	note := func(s string) { f.step(Note{Server: s, Kind: NoteLink, Value: .1}) }
 	other := "s0"
 	if a == other {
 		other = "s1"
 	}
 	f.now += 14 * time.Second
-	if f.c.silent(f.c.known[a]) {
+	if f.c.silent(f.c.serversByID[a]) {
 		t.Error("suspected while no server is heard: the notes are at fault")
 	}
 	note(other)
-	if !f.c.silent(f.c.known[a]) {
+	if !f.c.silent(f.c.serversByID[a]) {
 		t.Error("a server that others outlive is not suspected")
 	}
 }
 
 func TestLateShareBlamesLinkThatWasFull(t *testing.T) {
-	f := oneRack(t, 5000)
+	f := startOneRackFront(t, 5000)
 	before := f.c.racks[0].capacity
-	f.link(1.3)
-	f.link(.6)
+	f.reportLinks(1.3)
+	f.reportLinks(.6)
 	f.now += time.Second
 	f.step(Note{Server: "s0", Kind: NoteShare, Value: .8})
 	if f.c.racks[0].capacity != before {
@@ -67,9 +67,9 @@
 }
 
 func TestUplinkWithoutComplaintGrows(t *testing.T) {
-	f := oneRack(t, 2000)
+	f := startOneRackFront(t, 2000)
 	before := f.c.racks[0].capacity
-	f.link(.9)
+	f.reportLinks(.9)
 	f.step(Note{Server: "s1", Kind: NoteLink, Value: .9})
 	f.step(TimerFired{"beat"})
 	if f.c.racks[0].capacity <= before {
@@ -78,12 +78,12 @@
 }
 
 func TestProbesWhereReportsNeedThem(t *testing.T) {
-	set := settings()
-	set.Reports, set.Probes, set.LinkNoteEvery = ReportsByProbe, true, 0
-	f := start(t, set)
+	set := testSettings()
+	set.ReportMode, set.AllowProbes, set.LinkNoteInterval = ReportsByProbe, true, 0
+	f := startFront(t, set)
 	seen := map[string]bool{}
 	for i := range 6 {
-		p, ok := find[Probe](f.ask(fmt.Sprint(i), 0))
+		p, ok := findAction[Probe](f.request(fmt.Sprint(i), 0))
 		if !ok || seen[p.Server] {
 			t.Fatalf("request %d: probe of %q, seen before: %v", i, p.Server, seen[p.Server])
 		}
@@ -93,29 +93,29 @@
 			full = 0.1
 		}
 		f.now += 300 * ms
-		f.step(Probed{Server: p.Server, OK: true, Load: &Load{Link: &full}})
+		f.step(ProbeResult{Server: p.Server, OK: true, Load: &LoadReport{Link: &full}})
 	}
-	if got := f.sent(f.ask("z", 0)); got != "s3" {
+	if got := f.sentTo(f.request("z", 0)); got != "s3" {
 		t.Errorf("sent to %q, the probes found s3 the least loaded", got)
 	}
-	set.Reports = ReportsInAnswers
-	if _, ok := find[Probe](start(t, set).ask("a", 0)); ok {
+	set.ReportMode = ReportsInAnswers
+	if _, ok := findAction[Probe](startFront(t, set).request("a", 0)); ok {
 		t.Error("probes where answers report")
 	}
 }
 
 // A note on a session that outlived a failure shows that the server did not restart.
 func TestNotesTellThatAServerLives(t *testing.T) {
-	f := start(t, settings(), Server{ID: "s0", State: Ready, Weight: 1})
-	f.play("a", 0)
+	f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
+	f.startSession("a", 0)
 	f.now += 5 * time.Second
-	f.ask("b", 0)
-	f.step(Ended{ID: "b", Server: "s0", Outcome: ConnectFailed, Final: true})
+	f.request("b", 0)
+	f.step(AttemptEnded{ID: "b", Server: "s0", Outcome: ConnectFailed, Final: true})
 	f.now += 5 * time.Second
 	f.step(Note{ID: "a", Server: "s0", Kind: NoteLink, Value: .2})
-	f.ask("c", 0)
-	f.step(Started{ID: "c", Server: "s0"})
-	if f.sent(f.ask("d", 0)) == "" {
+	f.request("c", 0)
+	f.step(SessionStarted{ID: "c", Server: "s0"})
+	if f.sentTo(f.request("d", 0)) == "" {
 		t.Error("a server whose old session plays on is paced as if restarted")
 	}
 }
@@ -123,12 +123,12 @@
 // Fronts that cannot tell each other what they took step up by less at one report.
 func TestStepsUpAlone(t *testing.T) {
 	taken := func(peers bool) (n int) {
-		set := settings()
-		set.Peers, set.Racks = peers, 0
-		f := start(t, set, Server{ID: "s0", State: Ready, Weight: 5})
+		set := testSettings()
+		set.AllowPeerMessages, set.Racks = peers, 0
+		f := startFront(t, set, Server{ID: "s0", State: Ready, Weight: 5})
 		for i := range 12 {
 			id := fmt.Sprint("x", i)
-			f.step(Request{ID: id, Server: "s0", Span: 6, Best: 2, Playing: true, Length: time.Minute})
+			f.step(Request{ID: id, Server: "s0", CellSpan: 6, BestRung: 2, Playing: true, ExpectedLength: time.Minute})
 			f.step(Note{ID: id, Server: "s0", Kind: NoteRung})
 		}
 		f.now += 5 * time.Second
--- a/control/message.go
+++ b/control/message.go
@@ -15,83 +15,83 @@
 type messageKind byte
 
 const (
-	messageNews     messageKind = 'n' // a change of the sender's own sessions at a server
-	messageQuestion messageKind = 'q' // what is known of a title's holders
-	messageAnswer   messageKind = 'a' // what the keeper knows of them
+	messageUpdate messageKind = 'n' // a change of the sender's own sessions at a server
+	messageQuery  messageKind = 'q' // what is known of a title's holders
+	messageReply  messageKind = 'a' // what the keeper knows of them
 )
 
 // message is one of the three kinds.
 type message struct {
-	kind       messageKind
-	stamp      int
-	home, span int     // question: the title's cells
-	about      []about // news: one entry
+	kind               messageKind
+	stamp              int
+	homeCell, cellSpan int            // question: the title's cells
+	reports            []serverReport // news: one entry
 }
 
 // about is what a message says of one server.
-type about struct {
-	mark    int
-	full    float64 // fullness of the link, under 0 if not known
-	streams int     // streams that it runs, under 0 if not known
-	late    bool    // news: full is from a note, as late as notes are
-	rate    int     // news: change of the rate asked, in units
-	places  int     // news: change of the streams held
+type serverReport struct {
+	shortID      int
+	utilization  float64 // fullness of the link, under 0 if not known
+	streams      int     // streams that it runs, under 0 if not known
+	delayed      bool    // news: full is from a note, as late as notes are
+	rateChange   int     // news: change of the rate asked, in units
+	streamChange int     // news: change of the streams held
 }
 
 const (
-	digits    = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_"
-	stampSpan = 1 << 18 // stamps and marks take three digits
-	fullUnit  = 1.0 / 32
+	base64Digits    = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_"
+	stampModulus    = 1 << 18 // stamps and marks take three digits
+	utilizationUnit = 1.0 / 32
 )
 
 // markOf is a short name of a server, the same at every front.
-func markOf(id string) int {
+func shortIDOf(id string) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	v := h.Sum32()
-	return int((v ^ v>>18) % stampSpan)
+	return int((v ^ v>>18) % stampModulus)
 }
 
 // put appends a number in n digits, clipped to what they hold.
-func put(b []byte, v, n int) []byte {
+func appendBase64(b []byte, v, n int) []byte {
 	v = min(max(v, 0), 1<<(6*n)-1)
 	for i := n - 1; i >= 0; i-- {
-		b = append(b, digits[v>>(6*i)&63])
+		b = append(b, base64Digits[v>>(6*i)&63])
 	}
 	return b
 }
 
 // encode writes a message.
-func encode(m message) string {
-	b := put([]byte{byte(m.kind)}, m.stamp, 3)
-	if m.kind == messageQuestion {
-		return string(put(put(b, m.home, 2), m.span, 1))
+func encodeMessage(m message) string {
+	b := appendBase64([]byte{byte(m.kind)}, m.stamp, 3)
+	if m.kind == messageQuery {
+		return string(appendBase64(appendBase64(b, m.homeCell, 2), m.cellSpan, 1))
 	}
-	for _, a := range m.about {
-		b = put(b, a.mark, 3)
+	for _, a := range m.reports {
+		b = appendBase64(b, a.shortID, 3)
 		full, late := 63, 0
-		if a.full >= 0 {
-			full = min(int(a.full/fullUnit+0.5), 62)
+		if a.utilization >= 0 {
+			full = min(int(a.utilization/utilizationUnit+0.5), 62)
 		}
-		if a.late {
+		if a.delayed {
 			late = 1
 		}
-		b = put(put(b, full, 1), a.streams+1, 1)
-		if m.kind == messageNews {
-			b = put(put(b, a.rate*2+late+2048, 2), a.places+32, 1)
+		b = appendBase64(appendBase64(b, full, 1), a.streams+1, 1)
+		if m.kind == messageUpdate {
+			b = appendBase64(appendBase64(b, a.rateChange*2+late+2048, 2), a.streamChange+32, 1)
 		}
 	}
 	return string(b)
 }
 
 // decode reads a message; false if it is none of this version's.
-func decode(text string) (m message, ok bool) {
+func decodeMessage(text string) (m message, ok bool) {
 	if len(text) < 4 || len(text) > 256 {
 		return m, false
 	}
 	var v [256]int
 	for i := 1; i < len(text); i++ {
-		v[i] = strings.IndexByte(digits, text[i])
+		v[i] = strings.IndexByte(base64Digits, text[i])
 		if v[i] < 0 {
 			return m, false
 		}
@@ -99,14 +99,14 @@
 	m.kind, m.stamp = messageKind(text[0]), v[1]<<12|v[2]<<6|v[3]
 	rest, each := len(text)-4, 5
 	switch m.kind {
-	case messageQuestion:
-		m.home, m.span = v[4]<<6|v[5], v[6]
+	case messageQuery:
+		m.homeCell, m.cellSpan = v[4]<<6|v[5], v[6]
 		return m, rest == 3
-	case messageNews:
+	case messageUpdate:
 		if each = 8; rest != each {
 			return m, false
 		}
-	case messageAnswer:
+	case messageReply:
 		if rest%each != 0 {
 			return m, false
 		}
@@ -114,27 +114,27 @@
 		return m, false
 	}
 	for i := 4; i < len(text); i += each {
-		a := about{mark: v[i]<<12 | v[i+1]<<6 | v[i+2], full: float64(v[i+3]) * fullUnit, streams: v[i+4] - 1}
+		a := serverReport{shortID: v[i]<<12 | v[i+1]<<6 | v[i+2], utilization: float64(v[i+3]) * utilizationUnit, streams: v[i+4] - 1}
 		if v[i+3] == 63 {
-			a.full = -1
+			a.utilization = -1
 		}
-		if m.kind == messageNews {
+		if m.kind == messageUpdate {
 			change := v[i+5]<<6 | v[i+6]
-			a.late, a.rate, a.places = change&1 == 1, change>>1-1024, v[i+7]-32
+			a.delayed, a.rateChange, a.streamChange = change&1 == 1, change>>1-1024, v[i+7]-32
 		}
-		m.about = append(m.about, a)
+		m.reports = append(m.reports, a)
 	}
 	return m, true
 }
 
 // answered places the requests that wait for no keeper any more.
-func (c *Controller) answered() {
+func (c *Controller) placeAnswered() {
 	var ready []*session
-	c.waiting = slices.DeleteFunc(c.waiting, func(x *session) bool {
-		if len(x.asking) == 0 && !x.done {
+	c.awaitingReplies = slices.DeleteFunc(c.awaitingReplies, func(x *session) bool {
+		if len(x.pendingCollectors) == 0 && !x.done {
 			ready = append(ready, x)
 		}
-		return len(x.asking) == 0 || x.done
+		return len(x.pendingCollectors) == 0 || x.done
 	})
 	for _, x := range ready {
 		c.place(x)
@@ -143,48 +143,48 @@
 
 // peer takes a message of another front. What is malformed, of another version, old, repeated or from
 // nobody known changes nothing.
-func (c *Controller) peer(e PeerMessage) {
-	m, ok := decode(e.Data)
-	if !ok || !c.set.Peers || e.From < 0 || e.From >= c.set.Fronts || e.From == c.set.Position ||
-		!c.newer(e.From, m.stamp) {
+func (c *Controller) handlePeerMessage(e PeerMessage) {
+	m, ok := decodeMessage(e.Data)
+	if !ok || !c.cfg.AllowPeerMessages || e.From < 0 || e.From >= c.cfg.Fronts || e.From == c.cfg.Position ||
+		!c.acceptStamp(e.From, m.stamp) {
 		return
 	}
 	switch m.kind {
-	case messageQuestion:
-		c.say(e.From, message{kind: messageAnswer, about: c.knowledge(m)})
-	case messageAnswer:
-		c.unanswered = 0
-		for _, a := range m.about {
-			if s := c.marks[a.mark]; s != nil && s.capacity > 0 {
-				c.hear(s, max(a.full-s.asked/s.capacity, 0), keeperWeight)
-				c.runs(s, a.streams)
+	case messageQuery:
+		c.sendMessage(e.From, message{kind: messageReply, reports: c.collectedReports(m)})
+	case messageReply:
+		c.unansweredQueries = 0
+		for _, a := range m.reports {
+			if s := c.serversByShortID[a.shortID]; s != nil && s.capacity > 0 {
+				c.updateOthers(s, max(a.utilization-s.ownRate/s.capacity, 0), keeperWeight)
+				c.updateStreams(s, a.streams)
 			}
 		}
-		for _, x := range c.waiting {
-			if i := slices.Index(x.asking, e.From); i >= 0 {
-				x.asking = slices.Delete(x.asking, i, i+1)
+		for _, x := range c.awaitingReplies {
+			if i := slices.Index(x.pendingCollectors, e.From); i >= 0 {
+				x.pendingCollectors = slices.Delete(x.pendingCollectors, i, i+1)
 			}
 		}
-		c.answered()
-	case messageNews:
-		for _, a := range m.about {
-			if s := c.marks[a.mark]; s != nil && s.capacity > 0 {
-				c.news(s, a)
+		c.placeAnswered()
+	case messageUpdate:
+		for _, a := range m.reports {
+			if s := c.serversByShortID[a.shortID]; s != nil && s.capacity > 0 {
+				c.applyPeerUpdate(s, a)
 			}
 		}
 	}
 }
 
 // knowledge is what a keeper answers: the holders that it heard of lately.
-func (c *Controller) knowledge(m message) (known []about) {
-	for _, s := range c.order {
-		if s.State != Ready || c.keeper(s.Cell) != c.set.Position || !s.holds(m.home, m.span, c.set.Cells) ||
-			!s.heard || c.now-s.othersAt > oldReport || len(known) >= 2*keepCells {
+func (c *Controller) collectedReports(m message) (known []serverReport) {
+	for _, s := range c.sortedServers {
+		if s.State != Ready || c.keeper(s.Cell) != c.cfg.Position || !s.inCellRange(m.homeCell, m.cellSpan, c.cfg.Cells) ||
+			!s.hasReport || c.now-s.othersUpdatedAt > oldReport || len(known) >= 2*keepCells {
 			continue
 		}
-		a := about{mark: markOf(s.ID), full: c.fullness(s), streams: -1}
-		if c.now-s.streamsAt < streamsKept && s.streamsAt > 0 {
-			a.streams = s.otherStreams + len(s.held)
+		a := serverReport{shortID: shortIDOf(s.ID), utilization: c.utilization(s), streams: -1}
+		if c.now-s.streamsUpdatedAt < streamsKept && s.streamsUpdatedAt > 0 {
+			a.streams = s.otherStreams + len(s.sessions)
 		}
 		known = append(known, a)
 	}
@@ -192,67 +192,67 @@
 }
 
 // news takes at the keeper what another front did at a server, and what it heard of its load.
-func (c *Controller) news(s *server, a about) {
-	kb := float64(a.rate) * c.rateUnit()
-	s.peerRate, s.newsAt = s.peerRate+kb, c.now
-	s.peerHistory = record(s.peerHistory, c.now, s.peerRate, keepHistory)
-	s.others = max(s.others+kb/s.capacity, 0)
-	c.meanKnown = false
-	if c.now-s.streamsAt < streamsKept {
-		s.otherStreams, s.streamsAt = max(s.otherStreams+a.places, 0), c.now
+func (c *Controller) applyPeerUpdate(s *server, a serverReport) {
+	kb := float64(a.rateChange) * c.rateUnit()
+	s.peerRateChange, s.lastPeerUpdateAt = s.peerRateChange+kb, c.now
+	s.peerRateHistory = appendSample(s.peerRateHistory, c.now, s.peerRateChange, keepHistory)
+	s.othersUtilization = max(s.othersUtilization+kb/s.capacity, 0)
+	c.meanValid = false
+	if c.now-s.streamsUpdatedAt < streamsKept {
+		s.otherStreams, s.streamsUpdatedAt = max(s.otherStreams+a.streamChange, 0), c.now
 	}
-	c.runs(s, a.streams)
-	if a.full >= 0 {
+	c.updateStreams(s, a.streams)
+	if a.utilization >= 0 {
 		when := c.now
-		if a.late {
-			when -= c.set.NoteDelay
+		if a.delayed {
+			when -= c.cfg.NoteDelay
 		}
-		c.believe(s, a.full, when, reportWeight)
+		c.applyLinkReport(s, a.utilization, when, reportWeight)
 	}
 }
 
 // runs takes a count of all the streams at a server; under 0 none was told.
-func (c *Controller) runs(s *server, streams int) {
+func (c *Controller) updateStreams(s *server, streams int) {
 	if streams >= 0 {
-		s.streamsAt, s.otherStreams = c.now, max(streams-len(s.held), 0)
+		s.streamsUpdatedAt, s.otherStreams = c.now, max(streams-len(s.sessions), 0)
 	}
 }
 
-func (c *Controller) rateUnit() float64 { return c.set.Ladder[0] / 8 }
+func (c *Controller) rateUnit() float64 { return c.cfg.Ladder[0] / 8 }
 
 // tell sends the keepers what changed in this step.
-func (c *Controller) tell() {
-	for _, s := range c.touched {
-		s.touched = false
+func (c *Controller) sendUpdates() {
+	for _, s := range c.changedServers {
+		s.changed = false
 		k := c.keeper(s.Cell)
-		if !c.set.Peers || c.seesFleet || k == c.set.Position || s.State != Ready {
-			s.newFull = nil
+		if !c.cfg.AllowPeerMessages || c.seesMostServers || k == c.cfg.Position || s.State != Ready {
+			s.pendingReport = nil
 			continue
 		}
-		a := about{full: -1, streams: -1}
-		if s.newFull != nil {
-			a, s.newFull = *s.newFull, nil
+		a := serverReport{utilization: -1, streams: -1}
+		if s.pendingReport != nil {
+			a, s.pendingReport = *s.pendingReport, nil
 		}
-		a.mark = markOf(s.ID)
-		a.rate = int(math.Round((s.asked - s.toldRate) / c.rateUnit()))
-		a.places = len(s.held) - s.toldStreams
-		if a.rate == 0 && a.places == 0 && a.full < 0 {
+		a.shortID = shortIDOf(s.ID)
+		a.rateChange = int(math.Round((s.ownRate - s.publishedRate) / c.rateUnit()))
+		a.streamChange = len(s.sessions) - s.publishedStreams
+		if a.rateChange == 0 && a.streamChange == 0 && a.utilization < 0 {
 			continue
 		}
-		s.toldRate, s.toldStreams = s.toldRate+float64(a.rate)*c.rateUnit(), len(s.held)
-		c.say(k, message{kind: messageNews, about: []about{a}})
+		s.publishedRate, s.publishedStreams = s.publishedRate+float64(a.rateChange)*c.rateUnit(), len(s.sessions)
+		c.sendMessage(k, message{kind: messageUpdate, reports: []serverReport{a}})
 	}
-	c.touched = c.touched[:0]
+	c.changedServers = c.changedServers[:0]
 }
 
 // shareReport has the keeper told of a link report at the end of the step.
-func (c *Controller) shareReport(s *server, full float64, streams int, late bool) {
-	s.newFull = &about{full: full, streams: streams, late: late}
-	c.touch(s)
+func (c *Controller) queueReport(s *server, full float64, streams int, late bool) {
+	s.pendingReport = &serverReport{utilization: full, streams: streams, delayed: late}
+	c.markChanged(s)
 }
 
 // say sends a message with the next stamp.
-func (c *Controller) say(to int, m message) {
+func (c *Controller) sendMessage(to int, m message) {
 	m.stamp = c.nextStamp()
-	c.act(Tell{to, encode(m)})
+	c.emit(SendToPeer{to, encodeMessage(m)})
 }
--- a/control/placement.go
+++ b/control/placement.go
@@ -12,13 +12,13 @@
 // exceptions, each only where the one before found nobody: a holder where own sessions step
 // down to make room, then the best of the suspects whose trial is due.
 func (c *Controller) place(x *session) {
-	unseated := x.class.Seats > 0 && c.seated(x) >= x.class.Seats
-	if c.now >= x.Due && x.Due > 0 || x.attempts > 0 && !c.mayResend(x) || unseated {
+	unseated := x.class.Seats > 0 && c.countSeats(x) >= x.class.Seats
+	if c.now >= x.GiveUpAt && x.GiveUpAt > 0 || x.attempts > 0 && !c.mayResend(x) || unseated {
 		c.end(x)
 		return
 	}
 	var best *server
-	c.compare(func() { best = c.choose(x) })
+	c.compareServers(func() { best = c.choose(x) })
 	if best == nil {
 		c.end(x)
 		return
@@ -28,18 +28,18 @@
 
 // choose is the server that a request goes to; nil where none will do.
 func (c *Controller) choose(x *session) *server {
-	lowest := c.rate(x, x.class.Floor)
+	lowest := c.sessionRate(x, x.class.MinRung)
 	var roomy, crowded, suspect []*server
-	for _, s := range c.order {
+	for _, s := range c.sortedServers {
 		if !c.allowed(x, s) {
 			continue
 		}
 		switch room := c.room(s, admitLimit, x); {
 		case c.suspect(x, s):
 			suspect = append(suspect, s)
-		case room >= lowest*c.added(x, x.class.Floor, s.held):
+		case room >= lowest*c.addedRateFactor(x, x.class.MinRung, s.sessions):
 			roomy = append(roomy, s)
-		case room+c.spare(s) >= lowest:
+		case room+c.reclaimableRate(s) >= lowest:
 			crowded = append(crowded, s)
 		}
 	}
@@ -54,19 +54,19 @@
 // allowed keeps the rules that no load can bend: listed and ready, holder of the title, a free
 // stream, the pace of a cold server, and the group that a deduplicated set-up is bound to.
 func (c *Controller) allowed(x *session, s *server) bool {
-	if s.State != Ready || !c.has(x, s) || !c.paceAllows(s) {
+	if s.State != Ready || !c.hasTitle(x, s) || !c.paceAllows(s) {
 		return false
 	}
 	others := s.otherStreams
-	if c.now-s.streamsAt > streamsFor {
+	if c.now-s.streamsUpdatedAt > streamsFor {
 		others = 0
 	}
 	_, held := c.heldBack(x, s)
-	if n := c.streams(s); n > 0 && others+len(s.held)+int(held) >= n || c.now < s.fullTill {
+	if n := c.slots(s); n > 0 && others+len(s.sessions)+int(held) >= n || c.now < s.fullUntil {
 		return false
 	}
-	if m := x.mayRan; m != nil && x.class.Effect == Deduplicated {
-		if c.now-x.mayRanAt >= x.class.Window || x.class.Scope == ScopeZone && s.Zone != m.Zone ||
+	if m := x.mayHaveRunOn; m != nil && x.class.Effect == Deduplicated {
+		if c.now-x.mayHaveRunAt >= x.class.DedupWindow || x.class.Scope == ScopeZone && s.Zone != m.Zone ||
 			x.class.Scope == ScopeCell && s.Cell != m.Cell {
 			return false
 		}
@@ -78,39 +78,39 @@
 // that broke, or silence while others are heard. Paid set-ups stay off such a server until it has
 // served again, since a doubtful end can be neither resent nor refused.
 func (c *Controller) suspect(x *session, s *server) bool {
-	if slices.Contains(x.tried, s) || c.silent(s) {
+	if slices.Contains(x.triedServers, s) || c.silent(s) {
 		return true
 	}
-	return s.fails > 0 && (x.class.Effect != Idempotent || c.now < s.avoidTill || s.settingUp() > 0)
+	return s.failures > 0 && (x.class.Effect != Idempotent || c.now < s.avoidUntil || s.pendingSetUps() > 0)
 }
 
 // silent tells a server whose notes stopped while other servers' went on. When all stop, the notes
 // are at fault and nobody is suspected; notes at set-up don't count as going on.
 func (c *Controller) silent(s *server) bool {
-	if c.set.LinkNoteEvery <= 0 || len(s.held) == 0 {
+	if c.cfg.LinkNoteInterval <= 0 || len(s.sessions) == 0 {
 		return false
 	}
-	since := s.noteAt
-	for _, x := range s.held {
-		if x.playing && x.startAt > since {
-			since = x.startAt
+	since := s.lastNoteAt
+	for _, x := range s.sessions {
+		if x.playing && x.startedAt > since {
+			since = x.startedAt
 		}
 	}
-	if since == 0 || s.settingUp() == len(s.held) {
+	if since == 0 || s.pendingSetUps() == len(s.sessions) {
 		return false
 	}
-	limit := time.Duration(silentNotes*float64(c.set.LinkNoteEvery)) + c.set.NoteDelay
-	return c.now-since > limit && c.now-c.noted < c.set.LinkNoteEvery
+	limit := time.Duration(silentNotes*float64(c.cfg.LinkNoteInterval)) + c.cfg.NoteDelay
+	return c.now-since > limit && c.now-c.lastLinkNoteAt < c.cfg.LinkNoteInterval
 }
 
 // trials are the suspects worth a try when nobody else is left; those that x has not met come first.
 // A paid set-up only tries those of which one answer is missing, which may be all that is wrong.
 func (c *Controller) trials(x *session, suspects []*server) []*server {
 	if x.class.Effect == AtMostOnce {
-		worse := func(s *server) bool { return s.broke || c.silent(s) || s.settingUp() > 0 }
+		worse := func(s *server) bool { return s.mayHaveRestarted || c.silent(s) || s.pendingSetUps() > 0 }
 		return slices.DeleteFunc(suspects, worse)
 	}
-	met := func(s *server) bool { return slices.Contains(x.tried, s) }
+	met := func(s *server) bool { return slices.Contains(x.triedServers, s) }
 	if untried := slices.DeleteFunc(slices.Clone(suspects), met); len(untried) > 0 {
 		return untried
 	}
@@ -121,7 +121,7 @@
 func (c *Controller) shared(x *session, group []*server) []*server {
 	var with []*server
 	for _, s := range group {
-		if c.stream(x, s) != nil {
+		if c.findSharedStream(x, s) != nil {
 			with = append(with, s)
 		}
 	}
@@ -137,7 +137,7 @@
 	least, width := math.Inf(1), tieWidth
 	for _, s := range group {
 		least = min(least, c.seems(x, s))
-		if c.racks[s.rack].told {
+		if c.racks[s.rackIndex].utilizationReported {
 			width = toldTie
 		}
 	}
@@ -148,11 +148,11 @@
 			continue
 		}
 		cost := c.rng.Float64() * width / 2
-		if r := c.racks[s.rack]; r.capacity > 0 {
-			cost += c.uplink(r) / r.capacity
+		if r := c.racks[s.rackIndex]; r.capacity > 0 {
+			cost += c.uplinkRate(r) / r.capacity
 		}
-		if s.Zone != c.set.Zone && c.set.ZonePrice > 0 {
-			cost += zoneWeight * c.set.ZonePrice
+		if s.Zone != c.cfg.Zone && c.cfg.ZonePrice > 0 {
+			cost += zoneWeight * c.cfg.ZonePrice
 		}
 		if cost < bestCost {
 			best, bestCost = s, cost
@@ -165,41 +165,41 @@
 // what the fleet affords, a newcomer may fill the link more: else it starts low and pays for switches.
 // Harm: where a crowd comes, links run short until the next note.
 func (c *Controller) send(x *session, s *server) {
-	if x.attempts > 0 && c.set.BudgetSpan > 0 {
-		c.further = append(c.further, c.now) // mayResend dropped the old ones
+	if x.attempts > 0 && c.cfg.BudgetSpan > 0 {
+		c.retryTimes = append(c.retryTimes, c.now) // mayResend dropped the old ones
 	}
-	x.rung = x.class.Floor
-	s.add(x)
-	c.changed(s)
+	x.rung = x.class.MinRung
+	s.addSession(x)
+	c.updateOwnRate(s)
 	if need := -c.room(s, admitLimit, x); need > 0 {
-		c.stepDown(s.held, need, x)
+		c.stepDown(s.sessions, need, x)
 	}
-	top := min(x.Best, x.class.Top)
-	if y := c.stream(x, s); y != nil && y.rung <= top {
+	top := min(x.BestRung, x.class.MaxRung)
+	if y := c.findSharedStream(x, s); y != nil && y.rung <= top {
 		x.rung, top = y.rung, y.rung
-		c.changed(s)
+		c.updateOwnRate(s)
 	}
 	for x.rung < top {
-		step := c.rate(x, x.rung+1) - c.rate(x, x.rung)
+		step := c.sessionRate(x, x.rung+1) - c.sessionRate(x, x.rung)
 		upTo, part := riseTarget, startShare
-		if c.set.Ladder[x.rung+1] <= fairPart*c.fair {
+		if c.cfg.Ladder[x.rung+1] <= fairPart*c.meanOwnRate {
 			upTo, part = fairTarget, fairShare
 		}
 		link, _ := c.rooms(s, upTo, x)
 		_, uplink := c.rooms(s, riseTarget, x) // shared by many servers: more newcomers at once
-		room := min(link*part, uplink*max(part/4, 1/float64(c.set.Fronts)))
-		if kept := c.planned(x, s) - c.rate(x, x.rung); kept > 0 && c.rng.Float64()*step < kept {
+		room := min(link*part, uplink*max(part/4, 1/float64(c.cfg.Fronts)))
+		if kept := c.planned(x, s) - c.sessionRate(x, x.rung); kept > 0 && c.rng.Float64()*step < kept {
 			room = min(link, uplink) // the room was kept for it: others do not take it meanwhile
 		}
 		if step > room && !c.swap(x, s, step-max(room, 0)) {
 			break
 		}
 		x.rung++
-		c.changed(s)
+		c.updateOwnRate(s)
 	}
 	x.attempts++
-	x.tried = append(x.tried, s)
-	x.sentAt, s.lastSend, s.gapPart = c.now, c.now, 1
-	c.act(SetRung{x.ID, x.rung})
-	c.act(Send{x.ID, s.ID, c.patience(x)})
+	x.triedServers = append(x.triedServers, s)
+	x.sentAt, s.lastSetUpAt, s.waitFactor = c.now, c.now, 1
+	c.emit(SetRung{x.ID, x.rung})
+	c.emit(Send{x.ID, s.ID, c.patience(x)})
 }
--- a/control/placement_test.go
+++ b/control/placement_test.go
@@ -28,16 +28,16 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			f := start(t, settings())
-			f.link(tt.full...)
-			out := f.step(Request{ID: "a", Class: tt.class, Span: tt.span, Best: tt.best, Due: f.now + 4*time.Second})
-			if got := f.sent(out); got != tt.want {
+			f := startFront(t, testSettings())
+			f.reportLinks(tt.full...)
+			out := f.step(Request{ID: "a", Class: tt.class, CellSpan: tt.span, BestRung: tt.best, GiveUpAt: f.now + 4*time.Second})
+			if got := f.sentTo(out); got != tt.want {
 				t.Fatalf("sent to %q, want %q", got, tt.want)
 			}
-			if r, ok := find[SetRung](out); ok && r.Rung != tt.rung {
+			if r, ok := findAction[SetRung](out); ok && r.Rung != tt.rung {
 				t.Errorf("rung %d, want %d", r.Rung, tt.rung)
 			}
-			if r, ok := find[Refuse](out); ok != (tt.want == "") || ok && r.After != 500*ms {
+			if r, ok := findAction[Refuse](out); ok != (tt.want == "") || ok && r.RetryAfter != 500*ms {
 				t.Errorf("refusal %v %v", r, ok)
 			}
 		})
@@ -45,60 +45,60 @@
 }
 
 func TestHoldersWrapRound(t *testing.T) {
-	f := start(t, settings())
-	f.link(.3, .1, .1, .1, .1, .6)
-	if got := f.sent(f.step(Request{ID: "a", Home: 5, Span: 2, Due: f.now + time.Second})); got != "s0" {
+	f := startFront(t, testSettings())
+	f.reportLinks(.3, .1, .1, .1, .1, .6)
+	if got := f.sentTo(f.step(Request{ID: "a", HomeCell: 5, CellSpan: 2, GiveUpAt: f.now + time.Second})); got != "s0" {
 		t.Errorf("sent to %q, want s0 by wrapping round", got)
 	}
 }
 
 func TestTieGoesToLessLoadedRack(t *testing.T) {
-	set := settings()
-	set.RackUplink = 5000
-	f := start(t, set)
-	f.link(.34, .3, .5, .9, .5, .9) // as good as equal: s0 in the light rack, s1 in the heavy one
-	if got := f.sent(f.ask("a", 0)); got != "s0" {
+	set := testSettings()
+	set.RackUplinkRate = 5000
+	f := startFront(t, set)
+	f.reportLinks(.34, .3, .5, .9, .5, .9) // as good as equal: s0 in the light rack, s1 in the heavy one
+	if got := f.sentTo(f.request("a", 0)); got != "s0" {
 		t.Errorf("sent to %q, want s0 in the light rack", got)
 	}
 }
 
 func TestSeats(t *testing.T) {
-	f := start(t, settings())
-	one := f.play("a", 3)
-	f.play("b", 3)
-	if f.sent(f.ask("c", 3)) != "" {
+	f := startFront(t, testSettings())
+	one := f.startSession("a", 3)
+	f.startSession("b", 3)
+	if f.sentTo(f.request("c", 3)) != "" {
 		t.Fatal("more sessions than seats")
 	}
-	f.end("a", one, Served)
-	if f.sent(f.ask("d", 3)) == "" {
+	f.endAttempt("a", one, Served)
+	if f.sentTo(f.request("d", 3)) == "" {
 		t.Error("a freed seat is not used")
 	}
 }
 
 func TestSharedLiveStreams(t *testing.T) {
-	set := settings()
-	set.JoinAdds = 0.2
+	set := testSettings()
+	set.JoinRateFactor = 0.2
 	set.Classes[0].Live = true
-	f := start(t, set)
-	first := f.play("a", 0)
+	f := startFront(t, set)
+	first := f.startSession("a", 0)
 	for i := range 4 {
-		if s := f.play(fmt.Sprint(i), 0); s != first {
+		if s := f.startSession(fmt.Sprint(i), 0); s != first {
 			t.Errorf("viewer %d of the title on %s, the stream is on %s", i, s, first)
 		}
 	}
 }
 
 func TestStaleStreamCountDoesNotRefuse(t *testing.T) {
-	f := start(t, settings(), Server{ID: "s0", State: Ready, Weight: 1})
-	f.link(.1)
-	s := f.play("a", 0)
+	f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
+	f.reportLinks(.1)
+	s := f.startSession("a", 0)
 	all := 21.0 // this session and twenty more
-	f.step(Ended{ID: "a", Server: s, Outcome: Served, Final: true, Load: &Load{Streams: &all}})
-	if f.sent(f.ask("b", 0)) != "" {
+	f.step(AttemptEnded{ID: "a", Server: s, Outcome: Served, Final: true, Load: &LoadReport{Streams: &all}})
+	if f.sentTo(f.request("b", 0)) != "" {
 		t.Error("sent although every stream was just reported taken")
 	}
 	f.now += 2 * time.Second
-	if f.sent(f.ask("c", 0)) == "" {
+	if f.sentTo(f.request("c", 0)) == "" {
 		t.Error("refused on an old count of streams")
 	}
 }
@@ -106,23 +106,23 @@
 // A beat and a request look at each server a bounded number of times, however many servers there are.
 func TestWorkGrowsWithTheFleetOnly(t *testing.T) {
 	work := func(n int) (perEvent float64) {
-		set := settings()
-		set.Cells, set.Racks, set.LinksTotal, set.RackUplink, set.Fronts = n, n/5, float64(2000*n), 8000, n
+		set := testSettings()
+		set.Cells, set.Racks, set.TotalLinkRate, set.RackUplinkRate, set.Fronts = n, n/5, float64(2000*n), 8000, n
 		var servers []Server
 		for i := range n {
 			servers = append(servers, Server{ID: fmt.Sprintf("s%03d", i), Cell: i, State: Ready, Weight: 1})
 		}
-		f := start(t, set, servers...)
+		f := startFront(t, set, servers...)
 		for i := range 10 {
-			s := f.sent(f.step(Request{ID: fmt.Sprint("a", i), Home: i, Span: 5, Best: 2, Due: f.now + 4*time.Second}))
-			f.step(Started{ID: fmt.Sprint("a", i), Server: s}, Note{ID: fmt.Sprint("a", i), Server: s, Kind: NoteLink, Value: .5})
+			s := f.sentTo(f.step(Request{ID: fmt.Sprint("a", i), HomeCell: i, CellSpan: 5, BestRung: 2, GiveUpAt: f.now + 4*time.Second}))
+			f.step(SessionStarted{ID: fmt.Sprint("a", i), Server: s}, Note{ID: fmt.Sprint("a", i), Server: s, Kind: NoteLink, Value: .5})
 		}
-		before := f.c.evaluations
+		before := f.c.meanServerVisits
 		for range 20 {
 			f.now += beat
 			f.step(TimerFired{"beat"})
 		}
-		return float64(f.c.evaluations-before) / 20
+		return float64(f.c.meanServerVisits-before) / 20
 	}
 	small, large := work(50), work(400)
 	if large > 8*small+400 || large > 4*400 {
@@ -133,13 +133,13 @@
 // Up to the mean rung that the own sessions hold, a newcomer may fill a link beyond the mark for steps up.
 func TestNewcomersStartAtTheMeanRung(t *testing.T) {
 	for _, tt := range []struct{ held, want int }{{2, 1}, {0, 0}} {
-		f := start(t, settings())
-		f.step(Request{ID: "old", Best: 2, Playing: true, Server: "s5", Home: 5, Span: 1}, Note{ID: "old", Server: "s5", Kind: NoteRung,
+		f := startFront(t, testSettings())
+		f.step(Request{ID: "old", BestRung: 2, Playing: true, Server: "s5", HomeCell: 5, CellSpan: 1}, Note{ID: "old", Server: "s5", Kind: NoteRung,
 			Value: float64(tt.held)})
 		f.step(TimerFired{"beat"})
-		f.link(.7, .7, .7, .7, .7, .7)
-		out := f.step(Request{ID: "new", Best: 2, Home: 0, Span: 1, Due: f.now + 4*time.Second})
-		if r, _ := find[SetRung](out); r.Rung != tt.want {
+		f.reportLinks(.7, .7, .7, .7, .7, .7)
+		out := f.step(Request{ID: "new", BestRung: 2, HomeCell: 0, CellSpan: 1, GiveUpAt: f.now + 4*time.Second})
+		if r, _ := findAction[SetRung](out); r.Rung != tt.want {
 			t.Errorf("own session at rung %d: a newcomer at 0.7 full starts at %d, want %d", tt.held, r.Rung, tt.want)
 		}
 	}
@@ -163,11 +163,11 @@
 		{"little held", other, []Hold{{Server: "s0", Title: announced, Rate: 1, Streams: 1}}, true},
 		{"senseless", other, []Hold{{Server: "s0", Title: announced, Rate: -1e9}, {Server: "none", Rate: 1e9}}, true},
 	} {
-		set := settings()
-		f := start(t, set, Server{ID: "s0", State: Ready, Weight: 1})
-		f.link(.1)
-		f.step(Holds{Parts: c.parts})
-		out := f.step(Request{ID: "x", Title: c.title, Best: 0, Due: f.now + 4*time.Second})
+		set := testSettings()
+		f := startFront(t, set, Server{ID: "s0", State: Ready, Weight: 1})
+		f.reportLinks(.1)
+		f.step(HoldsUpdate{Holds: c.parts})
+		out := f.step(Request{ID: "x", Title: c.title, BestRung: 0, GiveUpAt: f.now + 4*time.Second})
 		sent := false
 		for _, a := range out {
 			if _, ok := a.(Send); ok {
@@ -177,8 +177,8 @@
 		if sent != c.sent {
 			t.Errorf("%s: %+v", c.name, out)
 		}
-		f.step(Holds{})
-		out = f.step(Request{ID: "y", Title: other, Best: 0, Due: f.now + 4*time.Second})
+		f.step(HoldsUpdate{})
+		out = f.step(Request{ID: "y", Title: other, BestRung: 0, GiveUpAt: f.now + 4*time.Second})
 		if !slices.ContainsFunc(out, func(a Action) bool { _, ok := a.(Send); return ok }) {
 			t.Errorf("%s: nothing told any more, yet %+v", c.name, out)
 		}
@@ -188,8 +188,8 @@
 // Holders told by name stand in for the title's cells, on every path that looks for holders: choice, probes
 // and questions to keepers. An empty list says that nobody has it.
 func TestHoldersByName(t *testing.T) {
-	set := settings()
-	set.Cells, set.Fronts, set.Peers = 16, 2, true
+	set := testSettings()
+	set.Cells, set.Fronts, set.AllowPeerMessages = 16, 2, true
 	for _, c := range []struct {
 		holders []string
 		want    string
@@ -206,14 +206,14 @@
 				list.Servers = append(list.Servers, Server{ID: fmt.Sprintf("b%02d", i), Cell: i, State: Ready, Weight: 1})
 			}
 			ctl.Step(0, []Event{list})
-			out := ctl.Step(time.Second, []Event{Request{ID: "x", Home: 0, Span: 2, Best: len(set.Ladder) - 1, Holders: c.holders, Due: 5 * time.Second}})
+			out := ctl.Step(time.Second, []Event{Request{ID: "x", HomeCell: 0, CellSpan: 2, BestRung: len(set.Ladder) - 1, Holders: c.holders, GiveUpAt: 5 * time.Second}})
 			out = append(out, ctl.Step(2*time.Second, []Event{TimerFired{Label: "look x"}})...)
 			sent, asked := false, false
 			for _, a := range out {
 				switch a := a.(type) {
 				case Send:
 					used[a.Server], sent = true, true
-				case Tell:
+				case SendToPeer:
 					asked = true
 				}
 			}
@@ -230,15 +230,15 @@
 // Where uplinks are reported, a link a little fuller behind a much emptier uplink is chosen; where not, the link alone decides.
 func TestReportedUplinksWidenTies(t *testing.T) {
 	for _, told := range []bool{true, false} {
-		set := settings()
-		set.RackUplink = 6000
-		f := start(t, set)
-		f.link(0.50, 0.65, 0.50, 0.65, 0.50, 0.65) // even cells stand in rack 0
+		set := testSettings()
+		set.RackUplinkRate = 6000
+		f := startFront(t, set)
+		f.reportLinks(0.50, 0.65, 0.50, 0.65, 0.50, 0.65) // even cells stand in rack 0
 		if told {
 			f.step(Note{Server: "s0", Kind: NoteUplink, Value: 1})
 			f.step(Note{Server: "s1", Kind: NoteUplink, Value: 0.5})
 		}
-		s := f.sent(f.ask("x", 0))
+		s := f.sentTo(f.request("x", 0))
 		if rack := (s[1] - '0') % 2; (rack == 1) != told {
 			t.Errorf("uplinks told %v: sent to %s", told, s)
 		}
--- a/control/request.go
+++ b/control/request.go
@@ -6,34 +6,34 @@
 
 // request takes a viewer's request and settles it at once: a set-up or a refusal.
 func (c *Controller) request(e Request) {
-	if e.Class < 0 || e.Class >= len(c.set.Classes) || c.sessions[e.ID] != nil {
+	if e.Class < 0 || e.Class >= len(c.cfg.Classes) || c.sessions[e.ID] != nil {
 		return
 	}
-	k := &c.set.Classes[e.Class]
-	x := &session{Request: e, class: k, worth: k.Worth, rung: k.Floor}
+	k := &c.cfg.Classes[e.Class]
+	x := &session{Request: e, class: k, worth: k.Worth, rung: k.MinRung}
 	c.sessions[e.ID] = x
 	if e.Playing {
-		x.attempts, x.playing, x.done, x.startAt = 1, true, true, c.now
-		if s := c.known[e.Server]; s != nil {
-			s.add(x)
-			c.changed(s)
-			s.toldRate, s.toldStreams = s.asked, len(s.held)
+		x.attempts, x.playing, x.done, x.startedAt = 1, true, true, c.now
+		if s := c.serversByID[e.Server]; s != nil {
+			s.addSession(x)
+			c.updateOwnRate(s)
+			s.publishedRate, s.publishedStreams = s.ownRate, len(s.sessions)
 		}
 		return
 	}
-	if c.set.BudgetSpan > 0 {
-		c.taken = append(within(c.taken, c.now, c.set.BudgetSpan), c.now)
+	if c.cfg.BudgetSpan > 0 {
+		c.requestTimes = append(recent(c.requestTimes, c.now, c.cfg.BudgetSpan), c.now)
 	}
-	if e.Tenant >= 0 && e.Tenant < len(c.set.Tenants) && c.set.Tenants[e.Tenant].Quota > 0 {
-		c.tenants[e.Tenant] = append(within(c.tenants[e.Tenant], c.now, time.Second), c.now)
-		if float64(len(c.tenants[e.Tenant])*c.set.Fronts) > max(c.set.Tenants[e.Tenant].Quota, 1) {
-			x.worth *= c.set.Over
+	if e.Tenant >= 0 && e.Tenant < len(c.cfg.Tenants) && c.cfg.Tenants[e.Tenant].Quota > 0 {
+		c.tenantRequests[e.Tenant] = append(recent(c.tenantRequests[e.Tenant], c.now, time.Second), c.now)
+		if float64(len(c.tenantRequests[e.Tenant])*c.cfg.Fronts) > max(c.cfg.Tenants[e.Tenant].Quota, 1) {
+			x.worth *= c.cfg.OverQuotaFactor
 		}
 	}
 	if !c.ask(x) {
 		c.place(x)
 	}
-	if c.set.Reports == ReportsByProbe && c.set.Probes {
+	if c.cfg.ReportMode == ReportsByProbe && c.cfg.AllowProbes {
 		c.probe(x)
 	}
 }
@@ -41,13 +41,13 @@
 // patience is how long an attempt may go unanswered. One that may be sent again is given up early
 // enough to be served elsewhere within its aim; others wait as long as the viewer does.
 func (c *Controller) patience(x *session) time.Duration {
-	left := x.Due - c.now
-	last := c.set.MaxAttempts > 0 && x.attempts >= c.set.MaxAttempts
+	left := x.GiveUpAt - c.now
+	last := c.cfg.MaxAttempts > 0 && x.attempts >= c.cfg.MaxAttempts
 	if x.class.Effect == AtMostOnce || x.class.Aim <= 0 || last {
 		return max(left, 0)
 	}
 	p := time.Duration(patiencePart * float64(x.class.Aim) * float64(max(x.attempts, 1)))
-	if x.Due > 0 {
+	if x.GiveUpAt > 0 {
 		p = min(p, left)
 	}
 	return max(p, 0)
@@ -55,18 +55,18 @@
 
 // mayResend keeps the rules on further attempts: cap, budget, and effects.
 func (c *Controller) mayResend(x *session) bool {
-	if c.set.MaxAttempts > 0 && x.attempts >= c.set.MaxAttempts {
+	if c.cfg.MaxAttempts > 0 && x.attempts >= c.cfg.MaxAttempts {
 		return false
 	}
-	if x.class.Effect == AtMostOnce && x.mayRan != nil {
+	if x.class.Effect == AtMostOnce && x.mayHaveRunOn != nil {
 		return false
 	}
-	if c.set.BudgetSpan <= 0 {
+	if c.cfg.BudgetSpan <= 0 {
 		return true
 	}
-	c.further = within(c.further, c.now, c.set.BudgetSpan)
-	c.taken = within(c.taken, c.now, c.set.BudgetSpan)
-	return float64(len(c.further)+1) <= c.set.BudgetFree+c.set.BudgetShare*float64(len(c.taken))
+	c.retryTimes = recent(c.retryTimes, c.now, c.cfg.BudgetSpan)
+	c.requestTimes = recent(c.requestTimes, c.now, c.cfg.BudgetSpan)
+	return float64(len(c.retryTimes)+1) <= c.cfg.BudgetFree+c.cfg.BudgetShare*float64(len(c.requestTimes))
 }
 
 // end answers a request that gets no further attempt: a refusal where nothing can have run or a
@@ -78,71 +78,71 @@
 	x.done = true
 	delete(c.sessions, x.ID)
 	k := x.class
-	if x.mayRan != nil && (k.Effect == AtMostOnce || k.Effect == Deduplicated && k.Scope != ScopeAll) {
-		c.act(Fail{x.ID})
+	if x.mayHaveRunOn != nil && (k.Effect == AtMostOnce || k.Effect == Deduplicated && k.Scope != ScopeAll) {
+		c.emit(Fail{x.ID})
 		return
 	}
 	after := time.Duration(0)
-	if c.set.RetryAfter {
-		after = min(returnAdvice, c.set.MaxRetryAfter)
+	if c.cfg.AllowRetryAfter {
+		after = min(returnAdvice, c.cfg.MaxRetryAfter)
 	}
-	c.act(Refuse{x.ID, after})
+	c.emit(Refuse{x.ID, after})
 }
 
-func (c *Controller) started(e Started) {
-	s := c.known[e.Server]
+func (c *Controller) started(e SessionStarted) {
+	s := c.serversByID[e.Server]
 	if s != nil {
 		c.answers(s)
 	}
-	if x := c.sessions[e.ID]; x != nil && x.on == s {
-		x.playing, x.done, x.startAt = true, true, c.now
+	if x := c.sessions[e.ID]; x != nil && x.assignedTo == s {
+		x.playing, x.done, x.startedAt = true, true, c.now
 	}
 }
 
 // answers clears a server that served; one that had broken counts as freshly started.
 func (c *Controller) answers(s *server) {
-	if s.broke {
+	if s.mayHaveRestarted {
 		s.coldFrom = c.now
 		c.pace(s)
 	}
-	s.fails, s.errors, s.avoidTill, s.broke = 0, 0, 0, false
+	s.failures, s.failedSetUps, s.avoidUntil, s.mayHaveRestarted = 0, 0, 0, false
 }
 
 // failed marks a server and leaves it alone for a while, longer each time. A lost connection, or several
 // set-ups unanswered in a row, look like a restart; one unanswered set-up may be a lost answer.
 func (c *Controller) failed(s *server, o Outcome) {
-	s.fails++
-	s.failedAt = c.now
-	if lost := o == Reset || o == ConnectFailed || s.fails >= brokenAfter; lost && !s.broke {
-		s.broke = true
+	s.failures++
+	s.lastFailureAt = c.now
+	if lost := o == Reset || o == ConnectFailed || s.failures >= brokenAfter; lost && !s.mayHaveRestarted {
+		s.mayHaveRestarted = true
 		c.pace(s)
 	}
-	wait := min(avoidFirst<<min(s.fails-1, 10), avoidMost)
-	s.avoidTill = c.now + wait/2 + time.Duration(c.rng.Int64N(int64(wait)))
+	wait := min(avoidFirst<<min(s.failures-1, 10), avoidMost)
+	s.avoidUntil = c.now + wait/2 + time.Duration(c.rng.Int64N(int64(wait)))
 }
 
 // ended closes an attempt, and places the request anew if it is still owed an answer.
-func (c *Controller) ended(e Ended) {
-	s, x := c.known[e.Server], c.sessions[e.ID]
+func (c *Controller) ended(e AttemptEnded) {
+	s, x := c.serversByID[e.Server], c.sessions[e.ID]
 	if s != nil {
-		c.load(s, e.Load, c.now)
+		c.applyLoadReport(s, e.Load, c.now)
 	}
-	if x == nil || s == nil || x.on != s {
+	if x == nil || s == nil || x.assignedTo != s {
 		return
 	}
-	s.drop(x)
-	c.changed(s)
+	s.removeSession(x)
+	c.updateOwnRate(s)
 	switch e.Outcome {
 	case Served:
 		c.answers(s)
 	case Full:
-		if c.set.FullFrom > 0 {
-			c.believe(s, max(c.set.FullFrom, c.fullness(s)), c.now, reportWeight)
+		if c.cfg.RejectUtilization > 0 {
+			c.applyLinkReport(s, max(c.cfg.RejectUtilization, c.utilization(s)), c.now, reportWeight)
 		}
-		s.fullTill = c.now + fullWait
+		s.fullUntil = c.now + fullWait
 	case TimedOut, ConnectFailed, Reset, Failed:
 		// An error is an answer, and may be the request's own fault: several in a row are the server's.
-		if s.errors++; e.Outcome == Failed && s.errors < brokenAfter {
+		if s.failedSetUps++; e.Outcome == Failed && s.failedSetUps < brokenAfter {
 			break
 		}
 		if !x.playing || e.Outcome == Reset {
@@ -154,10 +154,10 @@
 		delete(c.sessions, x.ID)
 		return
 	}
-	if e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != Moot && x.mayRan == nil {
-		x.mayRan, x.mayRanAt = s, x.sentAt
+	if e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != NotSent && x.mayHaveRunOn == nil {
+		x.mayHaveRunOn, x.mayHaveRunAt = s, x.sentAt
 	}
-	if e.Outcome == Moot && s.State == Ready { // else its server takes no more, and another may
+	if e.Outcome == NotSent && s.State == Ready { // else its server takes no more, and another may
 		c.end(x)
 		return
 	}
@@ -165,15 +165,15 @@
 }
 
 // left forgets a request whose viewer went away; an attempt still out keeps its place until it ends.
-func (c *Controller) left(e Left) {
+func (c *Controller) left(e ViewerLeft) {
 	x := c.sessions[e.ID]
 	if x == nil {
 		return
 	}
-	if x.on == nil {
+	if x.assignedTo == nil {
 		delete(c.sessions, e.ID)
-	} else if !x.playing && !x.done && c.set.Cancel {
-		c.act(Cancel{e.ID, x.attempts - 1})
+	} else if !x.playing && !x.done && c.cfg.AllowCancel {
+		c.emit(Cancel{e.ID, x.attempts - 1})
 	}
 	x.done = true
 }
--- a/control/serverlist.go
+++ b/control/serverlist.go
@@ -8,42 +8,42 @@
 )
 
 // byID orders servers by their ids.
-func byID(a, b *server) int { return strings.Compare(a.ID, b.ID) }
+func compareByID(a, b *server) int { return strings.Compare(a.ID, b.ID) }
 
 // merge applies a list update and returns the servers that it tells something of, in order of their ids. Its cost grows with
 // what is told: one server that changes does not have thousands of others put in order again.
-func (c *Controller) merge(u ListUpdate) (told []*server) {
+func (c *Controller) mergeList(u ListUpdate) (told []*server) {
 	if u.Whole {
-		for _, s := range c.order {
+		for _, s := range c.sortedServers {
 			s.State = Gone
 		}
 	}
 	var added []*server
 	for _, line := range u.Servers {
-		s := c.known[line.ID]
+		s := c.serversByID[line.ID]
 		if s == nil {
 			s = &server{}
-			c.known[line.ID] = s
+			c.serversByID[line.ID] = s
 			added = append(added, s)
 		}
 		s.Server = line
 		told = append(told, s)
 	}
-	slices.SortFunc(told, byID)
-	slices.SortFunc(added, byID)
-	c.order = mergeOrdered(c.order, added)
+	slices.SortFunc(told, compareByID)
+	slices.SortFunc(added, compareByID)
+	c.sortedServers = mergeSorted(c.sortedServers, added)
 	return slices.Compact(told) // one that is told twice is as told last
 }
 
 // mergeOrdered puts servers into others, both in order of their ids.
-func mergeOrdered(order, added []*server) []*server {
+func mergeSorted(order, added []*server) []*server {
 	if len(added) == 0 {
 		return order
 	}
 	merged := make([]*server, 0, len(order)+len(added))
 	for len(order) > 0 && len(added) > 0 {
 		next := &order
-		if byID(added[0], order[0]) < 0 {
+		if compareByID(added[0], order[0]) < 0 {
 			next = &added
 		}
 		merged, *next = append(merged, (*next)[0]), (*next)[1:]
@@ -52,34 +52,34 @@
 }
 
 // mark gives a server its short name; of two with the same one the later in order of ids has it.
-func (c *Controller) mark(s *server) {
-	name := markOf(s.ID)
-	if holder := c.marks[name]; holder == nil || byID(holder, s) <= 0 {
-		c.marks[name] = s
+func (c *Controller) registerShortID(s *server) {
+	name := shortIDOf(s.ID)
+	if holder := c.serversByShortID[name]; holder == nil || compareByID(holder, s) <= 0 {
+		c.serversByShortID[name] = s
 	}
 }
 
 // forgetGone drops servers that are gone for long and run nothing any more: where servers are replaced by new
 // ones all day, they would grow without end.
-func (c *Controller) forgetGone() {
+func (c *Controller) removeGoneServers() {
 	forgotten := false
-	for _, s := range c.order {
+	for _, s := range c.sortedServers {
 		switch {
 		case s.State != Gone:
-			s.goneSeen = 0
-		case s.goneSeen == 0:
-			s.goneSeen = c.now
-		case c.now-s.goneSeen > keepGone && len(s.held) == 0:
-			delete(c.known, s.ID)
+			s.goneSince = 0
+		case s.goneSince == 0:
+			s.goneSince = c.now
+		case c.now-s.goneSince > keepGone && len(s.sessions) == 0:
+			delete(c.serversByID, s.ID)
 			forgotten = true
 		}
 	}
 	if !forgotten {
 		return
 	}
-	c.order = slices.DeleteFunc(c.order, func(s *server) bool { return c.known[s.ID] != s })
-	clear(c.marks)
-	for _, s := range c.order {
-		c.mark(s)
+	c.sortedServers = slices.DeleteFunc(c.sortedServers, func(s *server) bool { return c.serversByID[s.ID] != s })
+	clear(c.serversByShortID)
+	for _, s := range c.sortedServers {
+		c.registerShortID(s)
 	}
 }
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -11,27 +11,27 @@
 // It acts too on a server that broke and may be back, cold, before the list says so; without an answer
 // that ends a ramp after the last failure. Harm: a server that merely hung gets work back slowly.
 func (c *Controller) paceAllows(s *server) bool {
-	broke := s.broke && c.now-s.failedAt < c.set.Ramp
-	if c.set.Ramp <= 0 || !broke && (s.coldFrom == 0 || c.now-s.coldFrom >= c.set.Ramp) {
+	broke := s.mayHaveRestarted && c.now-s.lastFailureAt < c.cfg.Ramp
+	if c.cfg.Ramp <= 0 || !broke && (s.coldFrom == 0 || c.now-s.coldFrom >= c.cfg.Ramp) {
 		return true
 	}
 	share := func(at time.Duration) float64 {
 		if broke {
-			return c.set.StartShare
+			return c.cfg.StartShare
 		}
-		return c.set.StartShare + (1-c.set.StartShare)*max(0, float64(at-s.coldFrom))/float64(c.set.Ramp)
+		return c.cfg.StartShare + (1-c.cfg.StartShare)*max(0, float64(at-s.coldFrom))/float64(c.cfg.Ramp)
 	}
-	from := max(s.pacedFrom, s.lastSend)
-	perSecond := float64(max(c.streams(s), 1)) / c.set.Ramp.Seconds() * coldMargin * max(c.set.FallFactor, 1)
+	from := max(s.rateLimitedSince, s.lastSetUpAt)
+	perSecond := float64(max(c.slots(s), 1)) / c.cfg.Ramp.Seconds() * coldMargin * max(c.cfg.BurstFactor, 1)
 	fleets := perSecond * (share(from) + share(c.now)) / 2 * (c.now - from).Seconds()
-	return fleets >= s.gapPart*float64(c.set.Fronts)
+	return fleets >= s.waitFactor*float64(c.cfg.Fronts)
 }
 
 // pace starts the pacing of a server. What was sent there within a ramp counts: a front that saw it fail and
 // took a new part at once would have come sooner than its turn.
 func (c *Controller) pace(s *server) {
-	s.pacedFrom, s.gapPart = c.now, 1
-	if s.lastSend == 0 || c.now-s.lastSend > c.set.Ramp {
-		s.gapPart = c.rng.Float64()
+	s.rateLimitedSince, s.waitFactor = c.now, 1
+	if s.lastSetUpAt == 0 || c.now-s.lastSetUpAt > c.cfg.Ramp {
+		s.waitFactor = c.rng.Float64()
 	}
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -8,10 +8,10 @@
 
 func TestColdPace(t *testing.T) {
 	cold := Server{ID: "s0", State: Ready, Weight: 1, Started: 99 * time.Second}
-	f := start(t, settings(), cold)
+	f := startFront(t, testSettings(), cold)
 	n := 0
 	for i := range 15 { // 1.5 s of asking ten times a second
-		if f.sent(f.ask(fmt.Sprint(i), 0)) != "" {
+		if f.sentTo(f.request(fmt.Sprint(i), 0)) != "" {
 			n++
 		}
 		f.now += 100 * ms
@@ -21,20 +21,20 @@
 		t.Errorf("%d set-ups in 1.5 s, a front's share is one", n)
 	}
 	f.now += 10 * time.Second
-	f.link(.1)
+	f.reportLinks(.1)
 	for i := range 5 {
-		if f.sent(f.ask(fmt.Sprint("w", i), 0)) == "" {
+		if f.sentTo(f.request(fmt.Sprint("w", i), 0)) == "" {
 			t.Error("a warm server is still held back")
 		}
 	}
 }
 
 func TestFailedServerComesBackCold(t *testing.T) {
-	f := start(t, settings(), Server{ID: "s0", State: Ready, Weight: 1})
-	f.end("a", f.sent(f.ask("a", 0)), ConnectFailed)
+	f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
+	f.endAttempt("a", f.sentTo(f.request("a", 0)), ConnectFailed)
 	f.now += 20 * time.Second
-	f.play("b", 0)
-	if f.sent(f.ask("c", 0)) != "" {
+	f.startSession("b", 0)
+	if f.sentTo(f.request("c", 0)) != "" {
 		t.Error("two set-ups at once on a server that may be cold")
 	}
 }
@@ -47,16 +47,16 @@
 		paced bool
 	}{{"one unanswered", []Outcome{TimedOut}, false}, {"reset", []Outcome{Reset}, true},
 		{"three unanswered", []Outcome{TimedOut, TimedOut, TimedOut}, true}} {
-		f := start(t, settings(), Server{ID: "s0", State: Ready, Weight: 1})
+		f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
 		for i, o := range tt.lost {
-			f.ask(fmt.Sprint("a", i), 0)
-			f.step(Ended{ID: fmt.Sprint("a", i), Server: "s0", Outcome: o, Final: true})
+			f.request(fmt.Sprint("a", i), 0)
+			f.step(AttemptEnded{ID: fmt.Sprint("a", i), Server: "s0", Outcome: o, Final: true})
 			f.now += 9 * time.Second
 		}
 		f.now += 9 * time.Second
-		s := f.sent(f.ask("b", 0))
-		f.step(Started{ID: "b", Server: s})
-		if paced := f.sent(f.ask("c", 0)) == ""; s == "s0" && paced != tt.paced {
+		s := f.sentTo(f.request("b", 0))
+		f.step(SessionStarted{ID: "b", Server: s})
+		if paced := f.sentTo(f.request("c", 0)) == ""; s == "s0" && paced != tt.paced {
 			t.Errorf("%s: paced %v after an answer", tt.name, paced)
 		}
 	}
@@ -66,13 +66,13 @@
 func TestFrontsSpreadTheFirstSetUps(t *testing.T) {
 	sent := 0
 	for seed := range 100 {
-		set := settings()
+		set := testSettings()
 		set.Fronts = 100
 		c, _ := New(set, uint64(seed))
 		now := 100 * time.Second
 		c.Step(now, []Event{ListUpdate{Whole: true, Servers: []Server{{ID: "s0", State: Ready, Weight: 1, Started: now - time.Second}}}})
 		now += time.Second
-		if _, ok := find[Send](c.Step(now, []Event{Request{ID: "a", Span: 6, Best: 2, Due: now + time.Second}})); ok {
+		if _, ok := findAction[Send](c.Step(now, []Event{Request{ID: "a", CellSpan: 6, BestRung: 2, GiveUpAt: now + time.Second}})); ok {
 			sent++
 		}
 	}
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -47,16 +47,16 @@
 			p.open[e.ID] = &asked{Request: e}
 			p.taken++
 			out = append(out, p.send(p.open[e.ID])...)
-		case control.Started, control.Note:
-		case control.Left:
+		case control.SessionStarted, control.Note:
+		case control.ViewerLeft:
 			delete(p.open, e.ID)
-		case control.Ended:
+		case control.AttemptEnded:
 			q := p.open[e.ID]
 			if q == nil || e.Final {
 				delete(p.open, e.ID)
 				continue
 			}
-			q.ran = q.ran || e.Outcome != control.Full && e.Outcome != control.ConnectFailed && e.Outcome != control.Moot
+			q.ran = q.ran || e.Outcome != control.Full && e.Outcome != control.ConnectFailed && e.Outcome != control.NotSent
 			out = append(out, p.send(q)...)
 		}
 	}
@@ -68,7 +68,7 @@
 	var holders []string
 	for id, s := range p.servers {
 		n := p.set.Cells
-		has := ((s.Cell-q.Home)%n+n)%n < q.Span
+		has := ((s.Cell-q.HomeCell)%n+n)%n < q.CellSpan
 		if q.Holders != nil {
 			has = slices.Contains(q.Holders, id)
 		}
@@ -89,6 +89,6 @@
 		p.further++
 	}
 	q.attempts++
-	return []control.Action{control.SetRung{ID: q.ID, Rung: class.Floor},
+	return []control.Action{control.SetRung{ID: q.ID, Rung: class.MinRung},
 		control.Send{ID: q.ID, Server: holders[p.rnd.IntN(len(holders))], Timeout: class.Aim}}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -57,8 +57,8 @@
 	if _, err := control.New(set, 1); err != nil {
 		t.Error(err)
 	}
-	if set.Zone != 1 || set.Fronts != 3 || set.Classes[2].Effect != control.AtMostOnce || set.Classes[1].Top != 3 || set.Classes[0].Top != 4 ||
-		set.Ramp != 12*time.Second || set.WeightLink != 4800 || set.LinksTotal != 4800*28 {
+	if set.Zone != 1 || set.Fronts != 3 || set.Classes[2].Effect != control.AtMostOnce || set.Classes[1].MaxRung != 3 || set.Classes[0].MaxRung != 4 ||
+		set.Ramp != 12*time.Second || set.LinkRatePerWeight != 4800 || set.TotalLinkRate != 4800*28 {
 		t.Errorf("%+v", set)
 	}
 	b, err := json.Marshal(s)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,15 +8,15 @@
 func (s *Site) Settings(position int) control.Settings {
 	out := control.Settings{
 		Position: position, Fronts: max(len(s.Edges), 1), Cells: s.Cells, Racks: s.Racks,
-		WeightLink: float64(s.Links.PerWeight), RackUplink: float64(s.Links.Uplink), FullFrom: s.Links.FullFrom,
-		Weights: control.WeightSize, NoteDelay: s.Notes.Delay.D(), LinkNoteEvery: s.Notes.LinkEvery.D(),
-		SwitchCost: s.Notes.SwitchCost.D(), Probes: s.Attempts.Probes, Peers: s.Peers && len(s.Edges) > 1,
-		Cancel: s.Attempts.Cancel, RetryAfter: s.RetryAfter > 0, MaxAttempts: s.Attempts.Most,
+		LinkRatePerWeight: float64(s.Links.PerWeight), RackUplinkRate: float64(s.Links.Uplink), RejectUtilization: s.Links.FullFrom,
+		WeightMode: control.WeightSize, NoteDelay: s.Notes.Delay.D(), LinkNoteInterval: s.Notes.LinkEvery.D(),
+		SwitchCost: s.Notes.SwitchCost.D(), AllowProbes: s.Attempts.Probes, AllowPeerMessages: s.Peers && len(s.Edges) > 1,
+		AllowCancel: s.Attempts.Cancel, AllowRetryAfter: s.RetryAfter > 0, MaxAttempts: s.Attempts.Most,
 		MaxRetryAfter: s.RetryAfter.D(), MovePrice: s.Prices.Move, ZonePrice: s.Prices.Zone, ProbePrice: s.Prices.Probe,
 		DrainGrace: s.Rules.DrainGrace.D(), Ramp: s.Rules.Ramp.D(), StartShare: s.Rules.StartShare,
-		FallFactor: s.Rules.FallFactor, FallSpan: s.Rules.FallSpan.D(),
+		BurstFactor: s.Rules.FallFactor, BurstSpan: s.Rules.FallSpan.D(),
 		BudgetSpan: s.Rules.BudgetSpan.D(), BudgetFree: s.Rules.BudgetFree, BudgetShare: s.Rules.BudgetShare,
-		JoinAdds: 1,
+		JoinRateFactor: 1,
 	}
 	if position < len(s.Edges) {
 		out.Zone = index(s.Zones, s.Edges[position].Zone)
@@ -25,16 +25,16 @@
 		out.Ladder, out.RungWorth = append(out.Ladder, float64(r.Rate)), append(out.RungWorth, r.Worth)
 	}
 	for _, k := range s.Kinds {
-		out.KindStreams = append(out.KindStreams, k.Streams)
+		out.StreamSlotsByKind = append(out.StreamSlotsByKind, k.Streams)
 	}
 	for _, b := range s.Boxes {
-		out.LinksTotal += b.Weight * float64(s.Links.PerWeight)
+		out.TotalLinkRate += b.Weight * float64(s.Links.PerWeight)
 	}
 	switch s.Notes.Reports {
 	case "answers":
-		out.Reports = control.ReportsInAnswers
+		out.ReportMode = control.ReportsInAnswers
 	case "probes":
-		out.Reports = control.ReportsByProbe
+		out.ReportMode = control.ReportsByProbe
 	}
 	for _, k := range s.Classes {
 		out.Classes = append(out.Classes, k.class(len(s.Ladder)-1))
@@ -43,10 +43,10 @@
 }
 
 func (k Class) class(top int) control.Class {
-	c := control.Class{Name: k.Name, Window: k.Window.D(), Aim: k.Aim.D(), Deadline: k.Deadline.D(),
-		Worth: k.Worth, RateFactor: k.RateFactor, Floor: k.Floor, Top: top, Seats: k.Seats, Live: k.Live}
+	c := control.Class{Name: k.Name, DedupWindow: k.Window.D(), Aim: k.Aim.D(), Deadline: k.Deadline.D(),
+		Worth: k.Worth, RateFactor: k.RateFactor, MinRung: k.Floor, MaxRung: top, Seats: k.Seats, Live: k.Live}
 	if k.Top != nil {
-		c.Top = *k.Top
+		c.MaxRung = *k.Top
 	}
 	if c.RateFactor <= 0 {
 		c.RateFactor = 1
--- a/internal/core/act.go
+++ b/internal/core/act.go
@@ -18,7 +18,7 @@
 			o.setRung(a)
 		case control.Refuse:
 			if r := o.awaiting(a.ID, "refuse"); r != nil {
-				o.answer(r, Answer{Kind: Refused, After: a.After}, byModule)
+				o.answer(r, Answer{Kind: Refused, After: a.RetryAfter}, byModule)
 			}
 		case control.Fail:
 			if r := o.awaiting(a.ID, "fail"); r != nil {
@@ -33,13 +33,13 @@
 		case control.Probe:
 			o.Carrier.Probe(a.Server)
 		case control.SetTimer:
-			o.timers.push(timer{at: o.Now() + a.In, label: a.Label})
+			o.timers.push(timer{at: o.Now() + a.Delay, label: a.Label})
 		case control.Subscribe:
 			o.Carrier.Subscribe()
 		case control.ReadList:
 			o.Carrier.ReadList()
-		case control.Tell:
-			o.Carrier.Tell(a.To, a.Data)
+		case control.SendToPeer:
+			o.Carrier.Tell(a.Front, a.Data)
 		}
 	}
 }
@@ -77,11 +77,11 @@
 			n = r.attempts
 		}
 		o.Log.Info("attempt not sent", "session", a.ID, "server", a.Server, "attempts", n, "over", r == nil || r.answered || r.gone)
-		o.tell(control.Ended{ID: a.ID, Server: a.Server, Attempt: n, Outcome: control.Moot, Final: r == nil || r.answered || r.gone})
+		o.tell(control.AttemptEnded{ID: a.ID, Server: a.Server, Attempt: n, Outcome: control.NotSent, Final: r == nil || r.answered || r.gone})
 		return
 	}
 	now := o.Now()
-	patience := r.Due - now
+	patience := r.GiveUpAt - now
 	if a.Timeout > 0 {
 		patience = min(patience, a.Timeout)
 	}
@@ -145,6 +145,6 @@
 	o.Log.Info("session moved", "session", r.ID, "server", r.server)
 	r.listener.Ended(control.Cancelled, true)
 	o.forget(r)
-	o.tell(control.Ended{ID: r.ID, Server: r.server, Attempt: r.attempts - 1, Outcome: control.Cancelled,
+	o.tell(control.AttemptEnded{ID: r.ID, Server: r.server, Attempt: r.attempts - 1, Outcome: control.Cancelled,
 		Took: o.Now() - r.sent, Final: true})
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -72,7 +72,7 @@
 // Result is how a set-up ended.
 type Result struct {
 	Outcome control.Outcome // Served: it plays
-	Load    *control.Load
+	Load    *control.LoadReport
 	Setup   any
 	Done    func() // if set, called once the owner has been told: what need not be ahead of the answer
 }
@@ -235,7 +235,7 @@
 
 // ServerEnded says that a server ended a session that it runs. It may be called as soon as the set-up's answer
 // is there: what comes ahead of it in the queue is kept until the session plays.
-func (o *Owner) ServerEnded(id, server string, how control.Outcome, l *control.Load) {
+func (o *Owner) ServerEnded(id, server string, how control.Outcome, l *control.LoadReport) {
 	o.put(input{what: serverEnded, id: id, server: server, result: Result{Outcome: how, Load: l}})
 }
 
--- a/internal/core/order_test.go
+++ b/internal/core/order_test.go
@@ -30,7 +30,7 @@
 		o.Event(control.ListUpdate{Whole: true})
 		o.Event(control.ListUpdate{})
 		e := newEar(t)
-		o.Request(control.Request{ID: strconv.Itoa(i), Due: time.Hour}, e)
+		o.Request(control.Request{ID: strconv.Itoa(i), GiveUpAt: time.Hour}, e)
 		ctx, stop := context.WithCancel(context.Background())
 		over := make(chan struct{})
 		go func() { o.Run(ctx); close(over) }()
@@ -54,13 +54,13 @@
 		over := make(chan struct{})
 		go func() { o.Run(ctx); close(over) }()
 		e, taken := newEar(t), make(chan bool)
-		go func() { taken <- o.Request(control.Request{ID: "x", Due: time.Hour}, e) }()
+		go func() { taken <- o.Request(control.Request{ID: "x", GiveUpAt: time.Hour}, e) }()
 		stop()
 		if <-taken {
 			e.answer()
 		}
 		<-over
-		if o.Request(control.Request{ID: "y", Due: time.Hour}, e) {
+		if o.Request(control.Request{ID: "y", GiveUpAt: time.Hour}, e) {
 			t.Fatal("taken by an owner that has ended")
 		}
 	}
@@ -76,14 +76,14 @@
 			switch e := e.(type) {
 			case control.Request:
 				told <- "request " + e.ID
-			case control.Left:
+			case control.ViewerLeft:
 				told <- "left " + e.ID
 			}
 			return nil
 		})})
 	e := newEar(t)
-	o.Request(control.Request{ID: "x", Due: time.Hour}, e) // fills it: nobody owns the module yet
-	o.Leave("x", e)                                        // would wait for ever
+	o.Request(control.Request{ID: "x", GiveUpAt: time.Hour}, e) // fills it: nobody owns the module yet
+	o.Leave("x", e)                                             // would wait for ever
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() { o.Run(ctx); close(over) }()
@@ -133,7 +133,7 @@
 		o := New(Options{Queue: 4, Log: slog.New(slog.DiscardHandler), Carrier: &carrier{t: t, out: map[string]int{}},
 			Now: func() time.Duration { return 0 },
 			Decider: scripted(func(_ time.Duration, e control.Event) []control.Action {
-				if _, ok := e.(control.Probed); ok {
+				if _, ok := e.(control.ProbeResult); ok {
 					close(held)
 					<-letGo
 				}
@@ -144,7 +144,7 @@
 		go func() { o.Run(ctx); close(over) }()
 		e := newEar(t)
 		o.Adopt(control.Request{ID: "x", Server: "s"}, 0, e)
-		o.Event(control.Probed{})
+		o.Event(control.ProbeResult{})
 		<-held
 		o.ServerEnded("x", "s", control.Served, nil)
 		stop()
@@ -166,14 +166,14 @@
 	go func() { o.Run(ctx); close(over) }()
 	plays, waits := newEar(t), newEar(t)
 	o.Adopt(control.Request{ID: "x", Server: "s"}, 0, plays)
-	if !o.Request(control.Request{ID: "y", Due: time.Hour}, waits) {
+	if !o.Request(control.Request{ID: "y", GiveUpAt: time.Hour}, waits) {
 		t.Fatal("not taken")
 	}
 	o.FinishRequests()
 	if a := waits.answer(); a.Kind != Failed {
 		t.Errorf("answered %v", a.Kind)
 	}
-	if o.Request(control.Request{ID: "z", Due: time.Hour}, newEar(t)) {
+	if o.Request(control.Request{ID: "z", GiveUpAt: time.Hour}, newEar(t)) {
 		t.Error("a request is taken that nobody will answer")
 	}
 	o.ServerEnded("x", "s", control.Served, nil)
@@ -204,7 +204,7 @@
 	go func() { o.Run(ctx); close(over) }()
 	defer func() { stop(); <-over }()
 	e, taken := newEar(t), make(chan struct{})
-	o.Request(control.Request{ID: "x", Due: time.Hour}, e)
+	o.Request(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
 	<-sent
 	for i := range 10 * maxEarlyNotes {
 		o.Event(control.Note{ID: "x", Server: "s", Kind: control.NoteLink, Value: float64(i)})
@@ -253,13 +253,13 @@
 	go func() { o.Run(ctx); close(over) }()
 	defer func() { stop(); <-over }()
 	e := &countingEar{ear: newEar(t), count: &decided}
-	o.Request(control.Request{ID: "x", Due: time.Hour}, e)
+	o.Request(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
 	<-sent
 	held, letGo := make(chan struct{}), make(chan struct{})
 	o.Inspect(func() { close(held); <-letGo })
 	<-held
 	for i := range rush {
-		o.Request(control.Request{ID: strconv.Itoa(i), Due: time.Hour}, newEar(t))
+		o.Request(control.Request{ID: strconv.Itoa(i), GiveUpAt: time.Hour}, newEar(t))
 	}
 	close(letGo)
 	<-deciding
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -96,7 +96,7 @@
 	r.taken = o.Now()
 	o.open[r.ID] = r
 	o.Stats.Open.Add(1)
-	o.timers.push(timer{at: r.Due + o.Slack/2, backstop: r})
+	o.timers.push(timer{at: r.GiveUpAt + o.Slack/2, backstop: r})
 	o.tell(r.Request)
 }
 
@@ -110,11 +110,11 @@
 	r.cancel(nil)
 	earlyNotes, earlyEnd := r.earlyNotes, r.earlyEnd
 	r.earlyNotes, r.earlyEnd = nil, nil
-	e := control.Ended{ID: r.ID, Server: in.server, Attempt: in.attempt, Outcome: in.result.Outcome, Took: in.took,
+	e := control.AttemptEnded{ID: r.ID, Server: in.server, Attempt: in.attempt, Outcome: in.result.Outcome, Took: in.took,
 		Load: in.result.Load, Final: r.answered || r.gone}
 	if e.Outcome == control.Served && !e.Final {
 		r.playing = true
-		o.tell(control.Started{ID: r.ID, Server: in.server, Attempt: in.attempt, Took: in.took})
+		o.tell(control.SessionStarted{ID: r.ID, Server: in.server, Attempt: in.attempt, Took: in.took})
 		o.noteSetUp(r, in)
 		o.answer(r, Answer{Kind: Plays, Server: in.server, Rung: r.rung, Attempt: in.attempt, Setup: in.result.Setup}, byServer)
 		for _, note := range earlyNotes {
@@ -151,7 +151,7 @@
 
 // mayStillRun tells outcomes after which the server may still run the set-up.
 func mayStillRun(x control.Outcome) bool {
-	return x != control.Full && x != control.ConnectFailed && x != control.Moot
+	return x != control.Full && x != control.ConnectFailed && x != control.NotSent
 }
 
 func (o *Owner) left(id string, l Listener) {
@@ -166,7 +166,7 @@
 		if !r.out {
 			o.forget(r)
 		}
-		o.tell(control.Left{ID: id})
+		o.tell(control.ViewerLeft{ID: id})
 	}
 }
 
@@ -183,13 +183,13 @@
 }
 
 // endSession tells viewer and module that a session no longer plays.
-func (o *Owner) endSession(r *request, how control.Outcome, l *control.Load) {
+func (o *Owner) endSession(r *request, how control.Outcome, l *control.LoadReport) {
 	if o.logsSessions() {
 		o.Log.Info("session ended", "session", r.ID, "server", r.server, "outcome", Name(how))
 	}
 	r.listener.Ended(how, false)
 	o.forget(r)
-	o.tell(control.Ended{ID: r.ID, Server: r.server, Attempt: r.attempts - 1, Outcome: how, Took: o.Now() - r.sent, Final: true,
+	o.tell(control.AttemptEnded{ID: r.ID, Server: r.server, Attempt: r.attempts - 1, Outcome: how, Took: o.Now() - r.sent, Final: true,
 		Load: l})
 }
 
@@ -228,7 +228,7 @@
 	if o.logsSessions() {
 		now := o.Now()
 		o.Log.Info("answer", "session", r.ID, "answer", a.Kind.String(), "by", by, "server", a.Server, "rung", a.Rung,
-			"attempts", r.attempts, "out", r.out, "took", now-r.taken, "left", r.Due-now)
+			"attempts", r.attempts, "out", r.out, "took", now-r.taken, "left", r.GiveUpAt-now)
 	}
 	if a.Kind != Plays && !r.out {
 		o.forget(r)
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -49,7 +49,7 @@
 		}
 		return Result{Outcome: control.Served}
 	}
-	r := start(t, 5, setUp, one(func(e control.Ended) []control.Action {
+	r := start(t, 5, setUp, one(func(e control.AttemptEnded) []control.Action {
 		return []control.Action{control.Send{ID: e.ID, Server: "b"}}
 	}))
 	e := r.ask(t, "x", time.Second)
@@ -72,7 +72,7 @@
 		case control.Request:
 			return []control.Action{control.Send{ID: e.ID, Server: "a", Timeout: 30 * time.Millisecond}, control.Send{ID: e.ID, Server: "b"},
 				control.Send{ID: "nobody", Server: "c"}}
-		case control.Ended:
+		case control.AttemptEnded:
 			if e.Outcome == control.TimedOut {
 				return []control.Action{control.Send{ID: e.ID, Server: "d"}, control.Fail{ID: e.ID}, control.Refuse{ID: e.ID},
 					control.Send{ID: e.ID, Server: "e"}}
@@ -120,11 +120,11 @@
 	r := start(t, 5, hangs, func(_ time.Duration, e control.Event) []control.Action {
 		switch e := e.(type) {
 		case control.Request:
-			return []control.Action{control.Send{ID: e.ID, Server: "a"}, control.SetTimer{In: 20 * time.Millisecond, Label: e.ID}}
+			return []control.Action{control.Send{ID: e.ID, Server: "a"}, control.SetTimer{Delay: 20 * time.Millisecond, Label: e.ID}}
 		case control.TimerFired:
 			return []control.Action{control.Cancel{ID: e.Label, Attempt: 1}, control.Cancel{ID: e.Label}}
-		case control.Ended:
-			return []control.Action{control.Refuse{ID: e.ID, After: time.Second}}
+		case control.AttemptEnded:
+			return []control.Action{control.Refuse{ID: e.ID, RetryAfter: time.Second}}
 		}
 		return nil
 	})
@@ -160,7 +160,7 @@
 		switch e := e.(type) {
 		case control.Request:
 			return []control.Action{control.Send{ID: e.ID, Server: "a"}}
-		case control.Left:
+		case control.ViewerLeft:
 			return []control.Action{control.Cancel{ID: e.ID}}
 		}
 		return nil
--- a/internal/core/rig_test.go
+++ b/internal/core/rig_test.go
@@ -161,11 +161,11 @@
 	told := func(now time.Duration, e control.Event) []control.Action {
 		r.mu.Lock()
 		switch e := e.(type) {
-		case control.Ended:
+		case control.AttemptEnded:
 			r.told = append(r.told, fmt.Sprintf("ended %s#%d %s final=%v", e.Server, e.Attempt, Name(e.Outcome), e.Final))
-		case control.Started:
+		case control.SessionStarted:
 			r.told = append(r.told, "started "+e.Server)
-		case control.Left:
+		case control.ViewerLeft:
 			r.told = append(r.told, "left")
 		case control.TimerFired:
 			r.told = append(r.told, "timer "+e.Label)
@@ -186,7 +186,7 @@
 
 func (r *rig) ask(t *testing.T, id string, due time.Duration) *ear {
 	e := newEar(t)
-	if !r.Request(control.Request{ID: id, Due: r.Now() + due}, e) {
+	if !r.Request(control.Request{ID: id, GiveUpAt: r.Now() + due}, e) {
 		t.Fatal("not taken")
 	}
 	return e
@@ -200,12 +200,12 @@
 }
 
 // one sends each request to a, then by next to where it says.
-func one(next func(e control.Ended) []control.Action) scripted {
+func one(next func(e control.AttemptEnded) []control.Action) scripted {
 	return func(_ time.Duration, e control.Event) []control.Action {
 		switch e := e.(type) {
 		case control.Request:
 			return []control.Action{control.SetRung{ID: e.ID, Rung: 2}, control.Send{ID: e.ID, Server: "a", Timeout: 50 * time.Millisecond}}
-		case control.Ended:
+		case control.AttemptEnded:
 			if !e.Final && next != nil {
 				return next(e)
 			}
--- a/internal/core/run_test.go
+++ b/internal/core/run_test.go
@@ -22,8 +22,8 @@
 		switch e := e.(type) {
 		case control.Request:
 			return []control.Action{control.Send{ID: e.ID, Server: "a"}, control.Probe{Server: "p"}, control.Subscribe{}, control.ReadList{},
-				control.Tell{To: 3, Data: "d"}}
-		case control.Started:
+				control.SendToPeer{Front: 3, Data: "d"}}
+		case control.SessionStarted:
 			return []control.Action{control.SetRung{ID: e.ID, Rung: 4}, control.SetRung{ID: e.ID, Rung: 4}, control.Move{ID: e.ID}}
 		}
 		return nil
@@ -53,7 +53,7 @@
 	away := 0
 	for i := range 1000 {
 		e := newEar(t)
-		if r.Request(control.Request{ID: fmt.Sprint(i), Due: r.Now() + 10*time.Second}, e) {
+		if r.Request(control.Request{ID: fmt.Sprint(i), GiveUpAt: r.Now() + 10*time.Second}, e) {
 			taken = append(taken, e)
 		} else {
 			away++
@@ -84,7 +84,7 @@
 	over := make(chan struct{})
 	go func() { r.Run(ctx); close(over) }()
 	e := newEar(t)
-	r.Request(control.Request{ID: "x", Due: time.Hour}, e)
+	r.Request(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
 	for r.Stats.Attempts.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -135,15 +135,15 @@
 			switch e := e.(type) {
 			case control.Request:
 				id = e.ID
-			case control.Ended:
-				if id = e.ID; e.Outcome != control.Moot {
+			case control.AttemptEnded:
+				if id = e.ID; e.Outcome != control.NotSent {
 					if ends[fmt.Sprint(e.ID, e.Attempt)]++; ends[fmt.Sprint(e.ID, e.Attempt)] > 1 {
 						rt.Errorf("attempt %d of %s ended twice", e.Attempt, e.ID)
 					}
 				} else {
 					return nil
 				}
-			case control.Started:
+			case control.SessionStarted:
 				id = e.ID
 			}
 			for range draw(3) {
@@ -162,7 +162,7 @@
 		for i := range n {
 			e := newEar(t)
 			ears = append(ears, e)
-			o.Request(control.Request{ID: fmt.Sprint(i), Due: o.Now() + 20*time.Millisecond}, e)
+			o.Request(control.Request{ID: fmt.Sprint(i), GiveUpAt: o.Now() + 20*time.Millisecond}, e)
 			if draw(4) == 0 {
 				left := draw(i + 1)
 				o.Leave(fmt.Sprint(left), ears[left])
@@ -193,11 +193,11 @@
 				switch e := e.(type) {
 				case control.Request:
 					return []control.Action{control.Send{ID: e.ID, Server: "a"}}
-				case control.Ended:
+				case control.AttemptEnded:
 					if e.Final {
 						return nil
 					}
-					if e.Outcome == control.Moot || e.Attempt > 0 {
+					if e.Outcome == control.NotSent || e.Attempt > 0 {
 						return []control.Action{control.Refuse{ID: e.ID}}
 					}
 					return []control.Action{control.Send{ID: e.ID, Server: "b"}}
@@ -209,7 +209,7 @@
 		ask := func(n int) {
 			for range n {
 				e := newEar(t)
-				o.Request(control.Request{ID: fmt.Sprint(o.Stats.Requests.Load()), Due: o.Now() + time.Second}, e)
+				o.Request(control.Request{ID: fmt.Sprint(o.Stats.Requests.Load()), GiveUpAt: o.Now() + time.Second}, e)
 				<-e.closed
 			}
 		}
--- a/internal/core/rush_test.go
+++ b/internal/core/rush_test.go
@@ -28,7 +28,7 @@
 		var last *ear
 		for i := range rush {
 			last = newEar(b)
-			o.Request(control.Request{ID: fmt.Sprint(round, "-", i), Due: time.Hour}, last)
+			o.Request(control.Request{ID: fmt.Sprint(round, "-", i), GiveUpAt: time.Hour}, last)
 		}
 		last.answer()
 	}
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -82,7 +82,7 @@
 			if r.out {
 				r.cancel(errCancelled)
 			}
-			o.tell(control.Left{ID: r.ID})
+			o.tell(control.ViewerLeft{ID: r.ID})
 		}
 	}
 }
--- a/internal/edge/adopt.go
+++ b/internal/edge/adopt.go
@@ -60,7 +60,7 @@
 		return
 	}
 	k := &e.set.Classes[class]
-	best := min(max(h.Best, k.Floor), k.Top)
+	best := min(max(h.Best, k.MinRung), k.MaxRung)
 	s := e.table.add([]byte(h.Class+"/"+h.Title+"/"+h.Viewer), func(name string) *session {
 		return &session{name: name, key: h.Viewer, class: class, title: title, best: best}
 	})
@@ -82,8 +82,8 @@
 	s.seen.Store(int64(now))
 	e.boxes.hold(server, y.id)
 	left := max(bound.Ms(title.Length)-bound.Ms(h.Since), 0)
-	r := control.Request{ID: y.id, Class: class, Viewer: hash(s.key), Title: hash(title.Name), Home: title.Home, Span: title.Span,
-		Best: best, Due: now, Length: left, Server: server}
+	r := control.Request{ID: y.id, Class: class, Viewer: hash(s.key), Title: hash(title.Name), HomeCell: title.Home, CellSpan: title.Span,
+		BestRung: best, GiveUpAt: now, ExpectedLength: left, Server: server}
 	if title.Listed {
 		r.Holders = title.Holders
 	}
--- a/internal/edge/boxes.go
+++ b/internal/edge/boxes.go
@@ -154,12 +154,12 @@
 }
 
 // readLoad takes a box's load from its answer.
-func readLoad(p *http1.Response) *control.Load {
+func readLoad(p *http1.Response) *control.LoadReport {
 	l := cmsd.Parse(p.Get("cmsd-dynamic"))
 	if l == nil {
 		return nil
 	}
-	return &control.Load{Streams: l.Streams, Link: l.Link, Uplink: l.Uplink}
+	return &control.LoadReport{Streams: l.Streams, Link: l.Link, Uplink: l.Uplink}
 }
 
 // name is this instance of the edge, as boxes know it.
@@ -211,7 +211,7 @@
 		ctx, cancel := context.WithTimeout(b.e.ctx, b.e.Site.Planner.CheckFor.D())
 		defer cancel()
 		p, err := b.client.Do(ctx, server, "GET", "/health", nil, nil)
-		out := control.Probed{Server: server}
+		out := control.ProbeResult{Server: server}
 		if err == nil {
 			out.OK, out.Load = p.Status == 200, readLoad(p)
 		}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -190,8 +190,8 @@
 	if length > 0 && s.position > 0 {
 		length = max(length-s.position, 0)
 	}
-	r := control.Request{ID: y.id, Class: s.class, Viewer: hash(s.key), Title: hash(s.title.Name), Home: s.title.Home,
-		Span: s.title.Span, Best: s.best, Due: now + patience, Length: length,
+	r := control.Request{ID: y.id, Class: s.class, Viewer: hash(s.key), Title: hash(s.title.Name), HomeCell: s.title.Home,
+		CellSpan: s.title.Span, BestRung: s.best, GiveUpAt: now + patience, ExpectedLength: length,
 		Repeat: d.Repeat, Returned: d.Returned, Moved: d.Moved}
 	if s.title.Listed {
 		r.Holders = s.title.Holders
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -220,7 +220,7 @@
 
 // openPeers opens the port for other edges' messages.
 func (e *Edge) openPeers() error {
-	if !e.set.Peers {
+	if !e.set.AllowPeerMessages {
 		return nil
 	}
 	for _, o := range e.Site.Edges {
--- a/internal/edge/handle.go
+++ b/internal/edge/handle.go
@@ -107,9 +107,9 @@
 		if err != nil || n < 0 {
 			return a, fmt.Errorf("best: no rung")
 		}
-		a.best = min(n, class.Top)
+		a.best = min(n, class.MaxRung)
 	}
-	if a.best < class.Floor {
+	if a.best < class.MinRung {
 		return a, fmt.Errorf("best: below the floor of the class")
 	}
 	if _, ok := e.fleet.Load().titles[title]; !ok {
@@ -162,12 +162,12 @@
 // canUse is the highest rung that a player which says its top bit rate (CMCD tb, in kbit/s) can use.
 func (e *Edge) canUse(class int, tb string) int {
 	k := &e.set.Classes[class]
-	best := k.Top
+	best := k.MaxRung
 	kbit, err := strconv.ParseFloat(tb, 64)
 	if err != nil {
 		return best
 	}
-	for best > k.Floor && e.set.Ladder[best]*k.RateFactor*8 > kbit {
+	for best > k.MinRung && e.set.Ladder[best]*k.RateFactor*8 > kbit {
 		best--
 	}
 	return best
@@ -294,7 +294,7 @@
 	}
 	class := &e.set.Classes[a.class]
 	best, err := strconv.Atoi(tail[0])
-	if err != nil || best < class.Floor || best > class.Top {
+	if err != nil || best < class.MinRung || best > class.MaxRung {
 		return a, fmt.Errorf("best: no rung of the class")
 	}
 	start, err := strconv.ParseInt(tail[1], 36, 64)
--- a/internal/edge/hold.go
+++ b/internal/edge/hold.go
@@ -40,18 +40,18 @@
 
 // hold takes what the planner told.
 func (e *Edge) hold(t *view.Holds) {
-	out := control.Holds{}
+	out := control.HoldsUpdate{}
 	for _, p := range t.Parts {
 		if class := e.Site.Class(p.Class); class >= 0 {
-			out.Parts = append(out.Parts, control.Hold{Server: p.Box, Class: class, Title: hash(p.Title), Rate: p.Rate, Streams: p.Streams})
+			out.Holds = append(out.Holds, control.Hold{Server: p.Box, Class: class, Title: hash(p.Title), Rate: p.Rate, Streams: p.Streams})
 		} else {
 			e.Log.Warn("hold of a class that the site does not have", "class", p.Class, "title", p.Title)
 		}
 	}
 	h := &e.holds
 	h.mu.Lock()
-	tell := h.told+len(out.Parts) > 0
-	h.told, h.expires, h.count = len(out.Parts), e.now()+bound.Ms(t.Lease), t.Count
+	tell := h.told+len(out.Holds) > 0
+	h.told, h.expires, h.count = len(out.Holds), e.now()+bound.Ms(t.Lease), t.Count
 	h.mu.Unlock()
 	if tell {
 		e.owner.Event(out)
@@ -69,7 +69,7 @@
 	h.mu.Unlock()
 	if over {
 		e.Log.Warn("holds lapsed: the planner did not renew them")
-		e.owner.Event(control.Holds{})
+		e.owner.Event(control.HoldsUpdate{})
 	}
 }
 
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -28,7 +28,7 @@
 	s := p.byID[a.Server]
 	p.mu.Unlock()
 	if !ok || s == nil {
-		return core.Result{Outcome: control.Moot}
+		return core.Result{Outcome: control.NotSent}
 	}
 	for {
 		l, err := p.takePatiently(ctx, s)
@@ -44,7 +44,7 @@
 		case notWanted:
 			p.n.Log.Info("attempt not sent", "session", a.ID, "server", a.Server, "attempt", a.Number, "wanted", v.mayBegin(), "left", p.n.patience(ctx))
 			p.free(l)
-			return core.Result{Outcome: control.Moot}
+			return core.Result{Outcome: control.NotSent}
 		case connectionOver:
 			if rested {
 				continue
@@ -105,7 +105,7 @@
 // meanwhile or this node has no descriptor left: hundreds of withdrawn set-ups must not make a healthy server suspect.
 func notConnected(ctx context.Context, err error) control.Outcome {
 	if errors.Is(err, errNoRoom) || errors.Is(err, errLocal) || errors.Is(err, errMoved) || errors.Is(ctx.Err(), context.Canceled) {
-		return control.Moot
+		return control.NotSent
 	}
 	return control.ConnectFailed
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -140,7 +140,7 @@
 
 // server translates one entry.
 func (c *Config) server(e coordinator.Entry) (control.Server, error) {
-	states := map[string]control.State{"up": control.Ready, "draining": control.Draining, "removed": control.Gone}
+	states := map[string]control.ServerState{"up": control.Ready, "draining": control.Draining, "removed": control.Gone}
 	state, known := states[e.State]
 	if e.ID == "" || !known {
 		return control.Server{}, fmt.Errorf("id %q, state %q", e.ID, e.State)
--- a/internal/node/link_test.go
+++ b/internal/node/link_test.go
@@ -245,7 +245,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBox(t, "s-1", ready)
 			// Notes are not missed in this test: the detector's own tries would open connections too.
-			n := startGated(t, func(n *Node) { n.Config.Set.LinkNoteEvery = time.Hour }, b)
+			n := startGated(t, func(n *Node) { n.Config.Set.LinkNoteInterval = time.Hour }, b)
 			v := n.dial().say(setUp(idA, "free", ""))
 			v.want(idA, 200)
 			first := b.next(t, "open")
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -61,7 +61,7 @@
 	if m := b.next(t, "open"); m.ID != idA || len(a.heard) > 0 {
 		t.Errorf("%+v; the one left out heard %d lines", m.Message, len(a.heard))
 	}
-	if r := n.pool.SetUp(context.Background(), core.Attempt{ID: idB, Server: "s-1", Listener: &session{n: n.Node}}); r.Outcome != control.Moot {
+	if r := n.pool.SetUp(context.Background(), core.Attempt{ID: idB, Server: "s-1", Listener: &session{n: n.Node}}); r.Outcome != control.NotSent {
 		t.Errorf("to a server that has gone: %v", core.Name(r.Outcome))
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -78,7 +78,7 @@
 		recent:       answers{keptFor: defaultAnswerMemory, byID: map[string]*session{}}}
 	n.wall = time.Duration(n.base.UnixNano())
 	set := c.Set
-	set.Peers = false // nothing tells where they are
+	set.AllowPeerMessages = false // nothing tells where they are
 	d, err := control.New(set, c.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -150,7 +150,7 @@
 	n.agesMu.Lock()
 	defer n.agesMu.Unlock()
 	starts := make([]startage.Start, len(list))
-	state := make(map[string]control.State, len(list))
+	state := make(map[string]control.ServerState, len(list))
 	for i, s := range list {
 		starts[i] = startage.Start{ID: s.ID, At: s.Started}
 		state[s.ID] = s.State
@@ -223,7 +223,7 @@
 // they may differ, while a set-up is out or a release on its way.
 func (n *Node) compare() {
 	n.owner.Inspect(func() {
-		for id, b := range n.pool.believed(n.module.Own) {
+		for id, b := range n.pool.believed(n.module.OwnSessionCount) {
 			if b.module != b.sockets {
 				n.Log.Debug("belief", "server", id, "module", b.module, "sockets", b.sockets)
 			}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -169,7 +169,7 @@
 		ctx  context.Context
 		err  error
 		want control.Outcome
-	}{{gone, context.Canceled, control.Moot}, {context.Background(), errNoRoom, control.Moot},
+	}{{gone, context.Canceled, control.NotSent}, {context.Background(), errNoRoom, control.NotSent},
 		{late, context.DeadlineExceeded, control.ConnectFailed}, {context.Background(), syscall.ECONNREFUSED, control.ConnectFailed}} {
 		if got := notConnected(c.ctx, c.err); got != c.want {
 			t.Errorf("%v: %v, want %v", c.err, got, c.want)
@@ -217,11 +217,11 @@
 	withdrawn, withdraw := context.WithCancel(long)
 	withdraw()
 	try := core.Attempt{ID: idA, Server: "s-1", Listener: &session{n: n.Node}}
-	if r := n.pool.SetUp(withdrawn, try); r.Outcome != control.Moot {
+	if r := n.pool.SetUp(withdrawn, try); r.Outcome != control.NotSent {
 		t.Errorf("withdrawn: %v", core.Name(r.Outcome))
 	}
 	n.pool.update([]control.Server{{ID: "s-1", State: control.Draining}}, nil, false)
-	if r := n.pool.SetUp(long, try); r.Outcome != control.Moot {
+	if r := n.pool.SetUp(long, try); r.Outcome != control.NotSent {
 		t.Errorf("drained: %v", core.Name(r.Outcome))
 	}
 	n.pool.update([]control.Server{{ID: "s-1", State: control.Ready}}, nil, false)
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -34,7 +34,7 @@
 // server is one listed server, or one that has gone and still has sessions.
 type server struct {
 	id, addr         string
-	state            control.State
+	state            control.ServerState
 	started          time.Duration
 	links            []*link // open
 	idle             []*link // of them, those without a set-up; the last was used last
@@ -52,7 +52,7 @@
 // connection that was opened for another one, and it is said once.
 type earlyEnd struct {
 	outcome control.Outcome
-	load    *control.Load
+	load    *control.LoadReport
 	at      time.Duration
 }
 
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -19,7 +19,7 @@
 	sid := fmt.Sprintf("%016x", p.n.Config.Seed+p.probes)
 	p.mu.Unlock()
 	p.n.start(func() {
-		result := control.Probed{Server: id}
+		result := control.ProbeResult{Server: id}
 		if s != nil {
 			result.OK, result.Load = p.probe(s, sid)
 		}
@@ -27,7 +27,7 @@
 	})
 }
 
-func (p *pool) probe(s *server, sid string) (bool, *control.Load) {
+func (p *pool) probe(s *server, sid string) (bool, *control.LoadReport) {
 	ctx, stop := context.WithTimeout(p.n.serving, p.n.Config.Platform.ConnectTimeout+probeTimeout)
 	defer stop()
 	l, err := p.take(ctx, s)
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -42,10 +42,10 @@
 }
 
 // probeAnswered has a server tested and answer with a cause, a load where it passes.
-func (r *rig) probeAnswered(b *box, s *server, cause int) (bool, *control.Load) {
+func (r *rig) probeAnswered(b *box, s *server, cause int) (bool, *control.LoadReport) {
 	type result struct {
 		ok   bool
-		load *control.Load
+		load *control.LoadReport
 	}
 	got := make(chan result, 1)
 	go func() { ok, l := r.pool.probe(s, idC); got <- result{ok, l} }()
--- a/internal/node/reading.go
+++ b/internal/node/reading.go
@@ -44,7 +44,7 @@
 
 // causes of a close ahead of the answer; an unknown one is a reset.
 var causes = map[int]control.Outcome{jsonlines.CauseFull: control.Full, jsonlines.CauseError: control.Failed,
-	jsonlines.CauseMoot: control.Moot, jsonlines.CauseReset: control.Reset}
+	jsonlines.CauseMoot: control.NotSent, jsonlines.CauseReset: control.Reset}
 
 // ends are causes of a close after it.
 var ends = map[int]control.Outcome{jsonlines.CauseEnd: control.Served, jsonlines.CauseCancelled: control.Cancelled}
@@ -102,7 +102,7 @@
 }
 
 // sessionEnded takes a server's release of a session that stands, or that this node does not know yet.
-func (p *pool) sessionEnded(l *link, m *jsonlines.Message, load *control.Load) {
+func (p *pool) sessionEnded(l *link, m *jsonlines.Message, load *control.LoadReport) {
 	outcome, ok := ends[m.Cause()]
 	if !ok {
 		outcome = control.Reset
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -226,7 +226,7 @@
 		same := make(chan bool, 1)
 		r.owner.Inspect(func() {
 			sum, ok := 0, true
-			for _, b := range r.pool.believed(r.module.Own) {
+			for _, b := range r.pool.believed(r.module.OwnSessionCount) {
 				sum, ok = sum+b.module, ok && b.module == b.sockets
 			}
 			same <- ok && sum == n
--- a/internal/node/setup.go
+++ b/internal/node/setup.go
@@ -100,7 +100,7 @@
 		if !ok {
 			return "hint"
 		}
-		r.Length = length
+		r.ExpectedLength = length
 	}
 	if wrong := n.readLegs(m.Get("X-Legs"), r); wrong != "" {
 		return wrong
@@ -116,7 +116,7 @@
 	}
 	s.timer = timer
 	s.due = n.at(arrived) + timer
-	r.Due = s.due
+	r.GiveUpAt = s.due
 	return ""
 }
 
@@ -129,13 +129,13 @@
 		ok := true
 		switch name {
 		case "home":
-			r.Home, ok = whole(v, 0, max(set.Cells-1, 0))
+			r.HomeCell, ok = whole(v, 0, max(set.Cells-1, 0))
 			seen |= 1
 		case "copies":
-			r.Span, ok = whole(v, 1, max(set.Cells, 1))
+			r.CellSpan, ok = whole(v, 1, max(set.Cells, 1))
 			seen |= 2
 		case "top":
-			r.Best, ok = whole(v, 0, len(set.Ladder)-1)
+			r.BestRung, ok = whole(v, 0, len(set.Ladder)-1)
 			seen |= 4
 		case "viewer":
 			r.Viewer, ok = hexNumber(v)
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -71,7 +71,7 @@
 
 // verdict asks the failure detector of a server with sessions. One whose connection ended has another opened anyway.
 func (p *pool) verdict(s *server, now time.Duration) liveness.Verdict {
-	verdict := s.detector.Next(now, p.n.Config.Set.LinkNoteEvery, len(s.links), s.state != control.Gone)
+	verdict := s.detector.Next(now, p.n.Config.Set.LinkNoteInterval, len(s.links), s.state != control.Gone)
 	if verdict == liveness.Wait && s.renewAt > 0 && now >= s.renewAt && s.detector.BeginCheck(now) {
 		return liveness.Check
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -179,37 +179,37 @@
 	i, p, r := &f.FamilyInfo, &f.Permissions, &f.Safety
 	s := control.Settings{
 		Position: f.Position, Fronts: f.GroupSize, Zone: f.Locality,
-		Subscribe: f.Discovery == "subscribe", AskWithin: micros(r.AskEvery),
-		Over: f.OverShareWorth, Ladder: i.LadderKb, RungWorth: i.RungWorth, JoinAdds: i.JoinAdds,
-		Cells: i.Cells, Racks: i.Shelves, LinksTotal: i.LinksKb, RackUplink: i.RackLinkKb, WeightLink: i.WeightKb,
-		FullFrom: i.FullFrom, NoteDelay: micros(i.See), LinkNoteEvery: micros(i.ReportsEvery),
-		SwitchCost: time.Duration(i.SwitchS * float64(time.Second)),
-		Probes:     p.Probing, Peers: p.Peers, Cancel: p.Cancel, RetryAfter: p.RetryAfter,
+		MustSubscribe: f.Discovery == "subscribe", ListReadInterval: micros(r.AskEvery),
+		OverQuotaFactor: f.OverShareWorth, Ladder: i.LadderKb, RungWorth: i.RungWorth, JoinRateFactor: i.JoinAdds,
+		Cells: i.Cells, Racks: i.Shelves, TotalLinkRate: i.LinksKb, RackUplinkRate: i.RackLinkKb, LinkRatePerWeight: i.WeightKb,
+		RejectUtilization: i.FullFrom, NoteDelay: micros(i.See), LinkNoteInterval: micros(i.ReportsEvery),
+		SwitchCost:  time.Duration(i.SwitchS * float64(time.Second)),
+		AllowProbes: p.Probing, AllowPeerMessages: p.Peers, AllowCancel: p.Cancel, AllowRetryAfter: p.RetryAfter,
 		MaxAttempts: p.MaxAttempts, MaxRetryAfter: micros(p.MaxRetryAfter),
 		MovePrice: f.Tariffs.Moves, ZonePrice: f.Tariffs.CrossZone, ProbePrice: f.Tariffs.Probe,
 		DrainGrace: micros(r.StopSendingWithin), Ramp: micros(r.RampTime), StartShare: r.StartCapacity,
-		FallFactor: r.FallMultiple, FallSpan: micros(r.Fall), BudgetSpan: micros(r.RatioSpan),
+		BurstFactor: r.FallMultiple, BurstSpan: micros(r.Fall), BudgetSpan: micros(r.RatioSpan),
 		BudgetFree: r.FreeResends, BudgetShare: r.ExtraPerRequest,
 	}
 	for _, n := range i.KindStreams {
-		s.KindStreams = append(s.KindStreams, int(n))
+		s.StreamSlotsByKind = append(s.StreamSlotsByKind, int(n))
 	}
 	switch f.Weights {
 	case "nominal", "rough":
-		s.Weights = control.WeightSize
+		s.WeightMode = control.WeightSize
 	case "live":
-		s.Weights = control.WeightLive
+		s.WeightMode = control.WeightDynamic
 	}
 	switch f.Report.How {
 	case "answers":
-		s.Reports = control.ReportsInAnswers
+		s.ReportMode = control.ReportsInAnswers
 	case "probe":
-		s.Reports = control.ReportsByProbe
+		s.ReportMode = control.ReportsByProbe
 	}
 	for n, c := range f.Profiles {
-		class := control.Class{Name: c.Name, Window: micros(c.Window), Aim: micros(c.Aim), Deadline: micros(c.Deadline),
-			Worth: c.Worth, LateWorth: c.LateWorth, RateFactor: pick(i.RateFactor, n, 1), Floor: pick(i.ClassFloor, n, 0),
-			Top: pick(i.ClassTop, n, len(i.LadderKb)-1), Seats: pick(i.LicenceCap, n, 0), Live: pick(i.Live, n, false)}
+		class := control.Class{Name: c.Name, DedupWindow: micros(c.Window), Aim: micros(c.Aim), Deadline: micros(c.Deadline),
+			Worth: c.Worth, LateWorth: c.LateWorth, RateFactor: pick(i.RateFactor, n, 1), MinRung: pick(i.ClassFloor, n, 0),
+			MaxRung: pick(i.ClassTop, n, len(i.LadderKb)-1), Seats: pick(i.LicenceCap, n, 0), Live: pick(i.Live, n, false)}
 		switch c.Effect {
 		case "at_most_once":
 			class.Effect = control.AtMostOnce
@@ -235,16 +235,16 @@
 	out := make([]control.Server, len(entries))
 	for i, e := range entries {
 		out[i] = control.Server{ID: e.Server, Zone: e.Zone, Kind: e.Machine, Cell: e.SlotNo,
-			State: control.State(e.Condition), Weight: e.Nominal, Started: micros(e.UpSince)}
+			State: control.ServerState(e.Condition), Weight: e.Nominal, Started: micros(e.UpSince)}
 	}
 	return out
 }
 
 var outcomes = map[string]control.Outcome{"S": control.Served, "E": control.Failed, "F": control.Full,
-	"T": control.TimedOut, "C": control.ConnectFailed, "R": control.Reset, "X": control.Cancelled, "N": control.Moot}
+	"T": control.TimedOut, "C": control.ConnectFailed, "R": control.Reset, "X": control.Cancelled, "N": control.NotSent}
 
 // Load translates a report, by the columns that the settings name.
-func Load(g map[string]float64) *control.Load {
+func Load(g map[string]float64) *control.LoadReport {
 	if len(g) == 0 {
 		return nil
 	}
@@ -254,7 +254,7 @@
 		}
 		return nil
 	}
-	return &control.Load{Streams: get("rif"), Link: get("x0"), Busy: get("busy"), Uplink: get("x1")}
+	return &control.LoadReport{Streams: get("rif"), Link: get("x0"), CappedLink: get("busy"), Uplink: get("x1")}
 }
 
 // Translate turns a wire event into the module's; nil for one it does not know.
@@ -268,23 +268,23 @@
 		return u, nil
 	case "NewRequest", "TakenOver":
 		return control.Request{ID: e.Req, Class: e.Type, Tenant: e.Group, Viewer: e.PathKey, Title: e.Title,
-			Home: int(e.Home), Span: int(e.Span), Best: int(e.Best), Due: micros(e.Due), Length: micros(int64(e.Length)),
+			HomeCell: int(e.Home), CellSpan: int(e.Span), BestRung: int(e.Best), GiveUpAt: micros(e.Due), ExpectedLength: micros(int64(e.Length)),
 			Repeat: e.Retry, Returned: e.Again, Moved: e.Moved, Playing: e.M == "TakenOver", Server: e.Server}, nil
 	case "Flowing":
-		return control.Started{ID: e.Req, Server: e.Server, Attempt: e.Trial, Took: micros(e.Spent)}, nil
+		return control.SessionStarted{ID: e.Req, Server: e.Server, Attempt: e.Trial, Took: micros(e.Spent)}, nil
 	case "AttemptEnd":
 		o, ok := outcomes[e.Reason]
 		if !ok {
 			return nil, fmt.Errorf("AttemptEnd: unknown reason %q", e.Reason)
 		}
-		return control.Ended{ID: e.Req, Server: e.Server, Attempt: e.Trial, Outcome: o, Took: micros(e.Spent),
+		return control.AttemptEnded{ID: e.Req, Server: e.Server, Attempt: e.Trial, Outcome: o, Took: micros(e.Spent),
 			Final: e.NoMore, Load: Load(e.Gauge)}, nil
 	case "Heartbeat":
 		return control.Note{ID: e.Req, Server: e.Server, Kind: control.NoteKind(e.Kind), Value: e.X}, nil
 	case "Left":
-		return control.Left{ID: e.Req}, nil
+		return control.ViewerLeft{ID: e.Req}, nil
 	case "HealthResult":
-		return control.Probed{Server: e.Server, OK: e.Reason == "S", Load: Load(e.Gauge)}, nil
+		return control.ProbeResult{Server: e.Server, OK: e.Reason == "S", Load: Load(e.Gauge)}, nil
 	case "FromPeer":
 		return control.PeerMessage{From: e.Peer, Data: e.Data}, nil
 	case "Reminder":
@@ -303,7 +303,7 @@
 	case control.SetRung:
 		m.M, m.Req, m.Step = "SetRung", a.ID, &a.Rung
 	case control.Refuse:
-		m.M, m.Req, m.StayAway = "Bounce", a.ID, a.After.Microseconds()
+		m.M, m.Req, m.StayAway = "Bounce", a.ID, a.RetryAfter.Microseconds()
 	case control.Fail:
 		m.M, m.Req = "GiveUp", a.ID
 	case control.Cancel:
@@ -313,14 +313,14 @@
 	case control.Probe:
 		m.M, m.Server = "Ping", a.Server
 	case control.SetTimer:
-		in := a.In.Microseconds()
+		in := a.Delay.Microseconds()
 		m.M, m.In, m.Label = "After", &in, a.Label
 	case control.Subscribe:
 		m.M, m.Active = "Track", &yes
 	case control.ReadList:
 		m.M = "ReadList"
-	case control.Tell:
-		m.M, m.Recipient, m.Data = "BroadcastTo", &a.To, &a.Data
+	case control.SendToPeer:
+		m.M, m.Recipient, m.Data = "BroadcastTo", &a.Front, &a.Data
 	}
 	return m
 }
