--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -29,7 +29,7 @@
 			return err
 		}
 		if len(bytes.TrimSpace(line)) > 0 {
-			reply, lineErr := answer(host, line)
+			reply, lineErr := handleLine(host, line)
 			if lineErr != nil {
 				return lineErr
 			}
@@ -44,11 +44,11 @@
 }
 
 // answer turns a panic of the module into an Exception.
-func answer(host *wire.Host, line []byte) (reply []byte, err error) {
+func handleLine(host *wire.Host, line []byte) (reply []byte, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			reply, err = wire.Exception(line, fmt.Sprint("panic: ", p)), nil
+			reply, err = wire.ExceptionReply(line, fmt.Sprint("panic: ", p)), nil
 		}
 	}()
-	return host.Line(line)
+	return host.HandleLine(line)
 }
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -152,8 +152,8 @@
 				all += d.allowedSetUps(at)
 			}
 			t.Logf("worst span %.2f of what it stands; %.2f of what is allowed used", worst, float64(sent)/20/all)
-			if used := float64(sent) / 20 / all; worst > 1 || used > coldMargin*1.1 {
-				t.Errorf("a span had %.2f of what the server stands; all had %.2f of what is allowed, meant were %.2f", worst, used, coldMargin)
+			if used := float64(sent) / 20 / all; worst > 1 || used > slowStartMargin*1.1 {
+				t.Errorf("a span had %.2f of what the server stands; all had %.2f of what is allowed, meant were %.2f", worst, used, slowStartMargin)
 			}
 		})
 	}
--- a/control/keepers_test.go
+++ b/control/keepers_test.go
@@ -55,7 +55,7 @@
 	if asker.c.serversByID["s1"].othersUtilization < .5 {
 		t.Error("an old message was taken")
 	}
-	for i := range giveUpAsking { // nobody answers any more: the wait ends by the timer, then there is none
+	for i := range maxUnansweredQueries { // nobody answers any more: the wait ends by the timer, then there is none
 		id := fmt.Sprint("b", i)
 		if asker.sentTo(asker.request(id, 0)) != "" {
 			t.Fatal("did not wait for the keeper")
--- a/control/list.go
+++ b/control/list.go
@@ -8,7 +8,7 @@
 func (c *Controller) handleListUpdate(u ListUpdate) {
 	if u.Failed {
 		if c.cfg.MustSubscribe {
-			c.emit(SetTimer{avoidFirst + time.Duration(c.rng.Int64N(int64(avoidFirst))), "subscribe"})
+			c.emit(SetTimer{minAvoidTime + time.Duration(c.rng.Int64N(int64(minAvoidTime))), "subscribe"})
 		}
 		return
 	}
@@ -18,7 +18,7 @@
 		c.registerShortID(s)
 		if s.Started > 0 && s.Started > s.coldFrom {
 			s.coldFrom = s.Started
-			c.pace(s)
+			c.beginSlowStart(s)
 		}
 		s.rackIndex = 0
 		if c.cfg.Racks > 0 {
--- a/control/load.go
+++ b/control/load.go
@@ -26,7 +26,7 @@
 	if !s.hasReport {
 		return own + mean*float64(c.cfg.Fronts-1)/float64(c.cfg.Fronts)
 	}
-	say := math.Exp2(-float64(c.now-s.othersUpdatedAt) / float64(oldReport))
+	say := math.Exp2(-float64(c.now-s.othersUpdatedAt) / float64(reportHalfLife))
 	return own + s.othersUtilization*say + max(0, mean-own)*(1-say)
 }
 
@@ -56,7 +56,7 @@
 	case own > 0:
 		return own * float64(c.cfg.Fronts) / all
 	}
-	return unheard
+	return assumedUtilization
 }
 
 // alive is told by a note on a session that played before the last failure: the server did not restart,
@@ -80,7 +80,7 @@
 		return
 	}
 	if v := cmp.Or(l.Link, l.CappedLink); v != nil {
-		c.applyLinkReport(s, *v, when, answerWeight)
+		c.applyLinkReport(s, *v, when, loadReportWeight)
 		s.freshReport = s.freshReport || c.cfg.LinkNoteInterval == 0
 	}
 	streams := -1
@@ -102,22 +102,22 @@
 	if !(full >= 0) || s.capacity <= 0 {
 		return
 	}
-	full = min(full, noMoreThan)
+	full = min(full, maxReportedUtilization)
 	own := sampleAt(s.ownRateHistory, when) / s.capacity
 	if own > full && full > 0.1 {
-		s.capacity *= 1 + linkWeight*(min(own/full, 1.5)-1)
+		s.capacity *= 1 + linkLearningRate*(min(own/full, 1.5)-1)
 		own = full
 	}
 	own -= (s.peerRateChange - sampleAt(s.peerRateHistory, when)) / s.capacity // what others told since belongs to them
 	c.updateOthers(s, full-own, weight)
-	if full >= nearFull {
+	if full >= nearlyFullThreshold {
 		s.lastFullAt = c.now
 	}
 }
 
 // hear takes what the others' part of a link's fullness is said to be.
 func (c *Controller) updateOthers(s *server, others, weight float64) {
-	if !s.hasReport || c.now-s.othersUpdatedAt > oldReport {
+	if !s.hasReport || c.now-s.othersUpdatedAt > reportHalfLife {
 		weight = 1
 	}
 	s.othersUtilization = max(s.othersUtilization+weight*(others-s.othersUtilization), 0)
@@ -136,7 +136,7 @@
 	}
 	seen := max(c.uplinkRate(r)+ownThen-ownNow, 0) / full
 	seen = min(max(seen, r.configuredCapacity/6), r.configuredCapacity*2)
-	r.capacity += uplinkWeight * (seen - r.capacity)
+	r.capacity += uplinkLearningRate * (seen - r.capacity)
 	r.utilizationReported, r.freshReport = r.utilizationReported || told, r.freshReport || note || c.cfg.LinkNoteInterval == 0
 }
 
@@ -162,7 +162,7 @@
 	case NoteLink:
 		c.clearRestartSuspicion(s, x)
 		part := s.ownRate / max(s.capacity, 1) / max(e.Value, 0.1)
-		if c.cfg.AllowPeerMessages && (atSetUp || c.rng.Float64() < tellers*part) {
+		if c.cfg.AllowPeerMessages && (atSetUp || c.rng.Float64() < reportersPerNote*part) {
 			c.queueReport(s, e.Value, -1, !atSetUp)
 		}
 		c.applyLinkReport(s, e.Value, then, reportWeight)
@@ -181,19 +181,19 @@
 		return
 	}
 	s.lastShortShareAt = c.now
-	full := 1 / max(share, deadShare)
+	full := 1 / max(share, stalledShare)
 	r, link := c.racks[s.rackIndex], c.utilization(s)
-	wasFull := link >= nearFull || s.lastFullAt > 0 && c.now-s.lastFullAt < c.cfg.NoteDelay+settle
+	wasFull := link >= nearlyFullThreshold || s.lastFullAt > 0 && c.now-s.lastFullAt < c.cfg.NoteDelay+settleTime
 	if wasFull || r.capacity <= 0 || r.utilizationReported {
-		if link >= nearFull && share < overFull && link < full {
+		if link >= nearlyFullThreshold && share < overloadThreshold && link < full {
 			c.applyLinkReport(s, full, then, reportWeight)
 			s.freshReport = true
 		}
 		return
 	}
-	r.recovering = share >= r.lastShortShare+0.02 && c.now-r.lastShortShareAt < stepEvery
+	r.recovering = share >= r.lastShortShare+0.02 && c.now-r.lastShortShareAt < stepInterval
 	r.lastShortShare, r.lastShortShareAt = share, c.now
-	if share < overFull && !r.recovering {
+	if share < overloadThreshold && !r.recovering {
 		c.applyUplinkReport(r, full, then, false, true)
 	}
 }
--- a/control/load_test.go
+++ b/control/load_test.go
@@ -40,11 +40,11 @@
 		other = "s1"
 	}
 	f.now += 14 * time.Second
-	if f.c.silent(f.c.serversByID[a]) {
+	if f.c.notesOverdue(f.c.serversByID[a]) {
 		t.Error("suspected while no server is heard: the notes are at fault")
 	}
 	note(other)
-	if !f.c.silent(f.c.serversByID[a]) {
+	if !f.c.notesOverdue(f.c.serversByID[a]) {
 		t.Error("a server that others outlive is not suspected")
 	}
 }
--- a/control/message.go
+++ b/control/message.go
@@ -137,7 +137,7 @@
 		return len(x.pendingCollectors) == 0 || x.done
 	})
 	for _, x := range ready {
-		c.place(x)
+		c.placeSession(x)
 	}
 }
 
@@ -156,7 +156,7 @@
 		c.unansweredQueries = 0
 		for _, a := range m.reports {
 			if s := c.serversByShortID[a.shortID]; s != nil && s.capacity > 0 {
-				c.updateOthers(s, max(a.utilization-s.ownRate/s.capacity, 0), keeperWeight)
+				c.updateOthers(s, max(a.utilization-s.ownRate/s.capacity, 0), collectorWeight)
 				c.updateStreams(s, a.streams)
 			}
 		}
@@ -178,12 +178,12 @@
 // knowledge is what a keeper answers: the holders that it heard of lately.
 func (c *Controller) collectedReports(m message) (known []serverReport) {
 	for _, s := range c.sortedServers {
-		if s.State != Ready || c.keeper(s.Cell) != c.cfg.Position || !s.inCellRange(m.homeCell, m.cellSpan, c.cfg.Cells) ||
-			!s.hasReport || c.now-s.othersUpdatedAt > oldReport || len(known) >= 2*keepCells {
+		if s.State != Ready || c.collectorOf(s.Cell) != c.cfg.Position || !s.inCellRange(m.homeCell, m.cellSpan, c.cfg.Cells) ||
+			!s.hasReport || c.now-s.othersUpdatedAt > reportHalfLife || len(known) >= 2*cellsPerCollector {
 			continue
 		}
 		a := serverReport{shortID: shortIDOf(s.ID), utilization: c.utilization(s), streams: -1}
-		if c.now-s.streamsUpdatedAt < streamsKept && s.streamsUpdatedAt > 0 {
+		if c.now-s.streamsUpdatedAt < collectorStreamsMaxAge && s.streamsUpdatedAt > 0 {
 			a.streams = s.otherStreams + len(s.sessions)
 		}
 		known = append(known, a)
@@ -195,10 +195,10 @@
 func (c *Controller) applyPeerUpdate(s *server, a serverReport) {
 	kb := float64(a.rateChange) * c.rateUnit()
 	s.peerRateChange, s.lastPeerUpdateAt = s.peerRateChange+kb, c.now
-	s.peerRateHistory = appendSample(s.peerRateHistory, c.now, s.peerRateChange, keepHistory)
+	s.peerRateHistory = appendSample(s.peerRateHistory, c.now, s.peerRateChange, historyRetention)
 	s.othersUtilization = max(s.othersUtilization+kb/s.capacity, 0)
 	c.meanValid = false
-	if c.now-s.streamsUpdatedAt < streamsKept {
+	if c.now-s.streamsUpdatedAt < collectorStreamsMaxAge {
 		s.otherStreams, s.streamsUpdatedAt = max(s.otherStreams+a.streamChange, 0), c.now
 	}
 	c.updateStreams(s, a.streams)
@@ -224,7 +224,7 @@
 func (c *Controller) sendUpdates() {
 	for _, s := range c.changedServers {
 		s.changed = false
-		k := c.keeper(s.Cell)
+		k := c.collectorOf(s.Cell)
 		if !c.cfg.AllowPeerMessages || c.seesMostServers || k == c.cfg.Position || s.State != Ready {
 			s.pendingReport = nil
 			continue
--- a/control/placement.go
+++ b/control/placement.go
@@ -11,31 +11,31 @@
 // place sends a request to a server, or ends it. The least loaded holder with room decides;
 // exceptions, each only where the one before found nobody: a holder where own sessions step
 // down to make room, then the best of the suspects whose trial is due.
-func (c *Controller) place(x *session) {
+func (c *Controller) placeSession(x *session) {
 	unseated := x.class.Seats > 0 && c.countSeats(x) >= x.class.Seats
 	if c.now >= x.GiveUpAt && x.GiveUpAt > 0 || x.attempts > 0 && !c.mayResend(x) || unseated {
-		c.end(x)
+		c.refuseOrFail(x)
 		return
 	}
 	var best *server
-	c.compareServers(func() { best = c.choose(x) })
+	c.compareServers(func() { best = c.chooseServer(x) })
 	if best == nil {
-		c.end(x)
+		c.refuseOrFail(x)
 		return
 	}
-	c.send(x, best)
+	c.sendAttempt(x, best)
 }
 
 // choose is the server that a request goes to; nil where none will do.
-func (c *Controller) choose(x *session) *server {
+func (c *Controller) chooseServer(x *session) *server {
 	lowest := c.sessionRate(x, x.class.MinRung)
 	var roomy, crowded, suspect []*server
 	for _, s := range c.sortedServers {
-		if !c.allowed(x, s) {
+		if !c.isEligible(x, s) {
 			continue
 		}
-		switch room := c.room(s, admitLimit, x); {
-		case c.suspect(x, s):
+		switch room := c.headroom(s, admissionLimit, x); {
+		case c.isSuspect(x, s):
 			suspect = append(suspect, s)
 		case room >= lowest*c.addedRateFactor(x, x.class.MinRung, s.sessions):
 			roomy = append(roomy, s)
@@ -43,7 +43,7 @@
 			crowded = append(crowded, s)
 		}
 	}
-	for _, group := range [][]*server{c.shared(x, roomy), crowded, c.trials(x, suspect)} {
+	for _, group := range [][]*server{c.preferSharedStream(x, roomy), crowded, c.trialCandidates(x, suspect)} {
 		if s := c.leastLoaded(x, group); s != nil {
 			return s
 		}
@@ -53,15 +53,15 @@
 
 // allowed keeps the rules that no load can bend: listed and ready, holder of the title, a free
 // stream, the pace of a cold server, and the group that a deduplicated set-up is bound to.
-func (c *Controller) allowed(x *session, s *server) bool {
-	if s.State != Ready || !c.hasTitle(x, s) || !c.paceAllows(s) {
+func (c *Controller) isEligible(x *session, s *server) bool {
+	if s.State != Ready || !c.hasTitle(x, s) || !c.slowStartAllows(s) {
 		return false
 	}
 	others := s.otherStreams
-	if c.now-s.streamsUpdatedAt > streamsFor {
+	if c.now-s.streamsUpdatedAt > streamReportMaxAge {
 		others = 0
 	}
-	_, held := c.heldBack(x, s)
+	_, held := c.reservedForOthers(x, s)
 	if n := c.slots(s); n > 0 && others+len(s.sessions)+int(held) >= n || c.now < s.fullUntil {
 		return false
 	}
@@ -77,8 +77,8 @@
 // suspect judges by symptoms, whatever the cause: set-ups that failed or went unanswered, sessions
 // that broke, or silence while others are heard. Paid set-ups stay off such a server until it has
 // served again, since a doubtful end can be neither resent nor refused.
-func (c *Controller) suspect(x *session, s *server) bool {
-	if slices.Contains(x.triedServers, s) || c.silent(s) {
+func (c *Controller) isSuspect(x *session, s *server) bool {
+	if slices.Contains(x.triedServers, s) || c.notesOverdue(s) {
 		return true
 	}
 	return s.failures > 0 && (x.class.Effect != Idempotent || c.now < s.avoidUntil || s.pendingSetUps() > 0)
@@ -86,7 +86,7 @@
 
 // silent tells a server whose notes stopped while other servers' went on. When all stop, the notes
 // are at fault and nobody is suspected; notes at set-up don't count as going on.
-func (c *Controller) silent(s *server) bool {
+func (c *Controller) notesOverdue(s *server) bool {
 	if c.cfg.LinkNoteInterval <= 0 || len(s.sessions) == 0 {
 		return false
 	}
@@ -99,15 +99,15 @@
 	if since == 0 || s.pendingSetUps() == len(s.sessions) {
 		return false
 	}
-	limit := time.Duration(silentNotes*float64(c.cfg.LinkNoteInterval)) + c.cfg.NoteDelay
+	limit := time.Duration(maxMissedNotes*float64(c.cfg.LinkNoteInterval)) + c.cfg.NoteDelay
 	return c.now-since > limit && c.now-c.lastLinkNoteAt < c.cfg.LinkNoteInterval
 }
 
 // trials are the suspects worth a try when nobody else is left; those that x has not met come first.
 // A paid set-up only tries those of which one answer is missing, which may be all that is wrong.
-func (c *Controller) trials(x *session, suspects []*server) []*server {
+func (c *Controller) trialCandidates(x *session, suspects []*server) []*server {
 	if x.class.Effect == AtMostOnce {
-		worse := func(s *server) bool { return s.mayHaveRestarted || c.silent(s) || s.pendingSetUps() > 0 }
+		worse := func(s *server) bool { return s.mayHaveRestarted || c.notesOverdue(s) || s.pendingSetUps() > 0 }
 		return slices.DeleteFunc(suspects, worse)
 	}
 	met := func(s *server) bool { return slices.Contains(x.triedServers, s) }
@@ -118,7 +118,7 @@
 }
 
 // shared keeps viewers of one live title together where streams can be shared.
-func (c *Controller) shared(x *session, group []*server) []*server {
+func (c *Controller) preferSharedStream(x *session, group []*server) []*server {
 	var with []*server
 	for _, s := range group {
 		if c.findSharedStream(x, s) != nil {
@@ -136,15 +136,15 @@
 func (c *Controller) leastLoaded(x *session, group []*server) *server {
 	least, width := math.Inf(1), tieWidth
 	for _, s := range group {
-		least = min(least, c.seems(x, s))
+		least = min(least, c.effectiveUtilization(x, s))
 		if c.racks[s.rackIndex].utilizationReported {
-			width = toldTie
+			width = reportedUplinkTieWidth
 		}
 	}
 	var best *server
 	bestCost := math.Inf(1)
 	for _, s := range group {
-		if c.seems(x, s) > least+width {
+		if c.effectiveUtilization(x, s) > least+width {
 			continue
 		}
 		cost := c.rng.Float64() * width / 2
@@ -152,7 +152,7 @@
 			cost += c.uplinkRate(r) / r.capacity
 		}
 		if s.Zone != c.cfg.Zone && c.cfg.ZonePrice > 0 {
-			cost += zoneWeight * c.cfg.ZonePrice
+			cost += zonePriceWeight * c.cfg.ZonePrice
 		}
 		if cost < bestCost {
 			best, bestCost = s, cost
@@ -164,14 +164,14 @@
 // send starts an attempt at the rung that fits. Up to about the mean rung of the own sessions, a sign of
 // what the fleet affords, a newcomer may fill the link more: else it starts low and pays for switches.
 // Harm: where a crowd comes, links run short until the next note.
-func (c *Controller) send(x *session, s *server) {
+func (c *Controller) sendAttempt(x *session, s *server) {
 	if x.attempts > 0 && c.cfg.BudgetSpan > 0 {
 		c.retryTimes = append(c.retryTimes, c.now) // mayResend dropped the old ones
 	}
 	x.rung = x.class.MinRung
 	s.addSession(x)
 	c.updateOwnRate(s)
-	if need := -c.room(s, admitLimit, x); need > 0 {
+	if need := -c.headroom(s, admissionLimit, x); need > 0 {
 		c.stepDown(s.sessions, need, x)
 	}
 	top := min(x.BestRung, x.class.MaxRung)
@@ -181,17 +181,17 @@
 	}
 	for x.rung < top {
 		step := c.sessionRate(x, x.rung+1) - c.sessionRate(x, x.rung)
-		upTo, part := riseTarget, startShare
-		if c.cfg.Ladder[x.rung+1] <= fairPart*c.meanOwnRate {
-			upTo, part = fairTarget, fairShare
+		upTo, part := stepUpTarget, newcomerHeadroomShare
+		if c.cfg.Ladder[x.rung+1] <= meanRungFraction*c.meanOwnRate {
+			upTo, part = meanRungTarget, meanRungHeadroomShare
 		}
-		link, _ := c.rooms(s, upTo, x)
-		_, uplink := c.rooms(s, riseTarget, x) // shared by many servers: more newcomers at once
+		link, _ := c.linkAndUplinkHeadroom(s, upTo, x)
+		_, uplink := c.linkAndUplinkHeadroom(s, stepUpTarget, x) // shared by many servers: more newcomers at once
 		room := min(link*part, uplink*max(part/4, 1/float64(c.cfg.Fronts)))
-		if kept := c.planned(x, s) - c.sessionRate(x, x.rung); kept > 0 && c.rng.Float64()*step < kept {
+		if kept := c.holdRatePerSession(x, s) - c.sessionRate(x, x.rung); kept > 0 && c.rng.Float64()*step < kept {
 			room = min(link, uplink) // the room was kept for it: others do not take it meanwhile
 		}
-		if step > room && !c.swap(x, s, step-max(room, 0)) {
+		if step > room && !c.swapSteps(x, s, step-max(room, 0)) {
 			break
 		}
 		x.rung++
@@ -201,5 +201,5 @@
 	x.triedServers = append(x.triedServers, s)
 	x.sentAt, s.lastSetUpAt, s.waitFactor = c.now, c.now, 1
 	c.emit(SetRung{x.ID, x.rung})
-	c.emit(Send{x.ID, s.ID, c.patience(x)})
+	c.emit(Send{x.ID, s.ID, c.attemptTimeout(x)})
 }
--- a/control/placement_test.go
+++ b/control/placement_test.go
@@ -119,7 +119,7 @@
 		}
 		before := f.c.meanServerVisits
 		for range 20 {
-			f.now += beat
+			f.now += tickInterval
 			f.step(TimerFired{"beat"})
 		}
 		return float64(f.c.meanServerVisits-before) / 20
--- a/control/request.go
+++ b/control/request.go
@@ -5,7 +5,7 @@
 import "time"
 
 // request takes a viewer's request and settles it at once: a set-up or a refusal.
-func (c *Controller) request(e Request) {
+func (c *Controller) handleRequest(e Request) {
 	if e.Class < 0 || e.Class >= len(c.cfg.Classes) || c.sessions[e.ID] != nil {
 		return
 	}
@@ -30,23 +30,23 @@
 			x.worth *= c.cfg.OverQuotaFactor
 		}
 	}
-	if !c.ask(x) {
-		c.place(x)
+	if !c.queryCollectors(x) {
+		c.placeSession(x)
 	}
 	if c.cfg.ReportMode == ReportsByProbe && c.cfg.AllowProbes {
-		c.probe(x)
+		c.probeHolder(x)
 	}
 }
 
 // patience is how long an attempt may go unanswered. One that may be sent again is given up early
 // enough to be served elsewhere within its aim; others wait as long as the viewer does.
-func (c *Controller) patience(x *session) time.Duration {
+func (c *Controller) attemptTimeout(x *session) time.Duration {
 	left := x.GiveUpAt - c.now
 	last := c.cfg.MaxAttempts > 0 && x.attempts >= c.cfg.MaxAttempts
 	if x.class.Effect == AtMostOnce || x.class.Aim <= 0 || last {
 		return max(left, 0)
 	}
-	p := time.Duration(patiencePart * float64(x.class.Aim) * float64(max(x.attempts, 1)))
+	p := time.Duration(attemptTimeoutFraction * float64(x.class.Aim) * float64(max(x.attempts, 1)))
 	if x.GiveUpAt > 0 {
 		p = min(p, left)
 	}
@@ -71,7 +71,7 @@
 
 // end answers a request that gets no further attempt: a refusal where nothing can have run or a
 // repeat does no harm, else a failure. The answer goes out at once, with advice when to return.
-func (c *Controller) end(x *session) {
+func (c *Controller) refuseOrFail(x *session) {
 	if x.done {
 		return
 	}
@@ -84,15 +84,15 @@
 	}
 	after := time.Duration(0)
 	if c.cfg.AllowRetryAfter {
-		after = min(returnAdvice, c.cfg.MaxRetryAfter)
+		after = min(retryAfterAdvice, c.cfg.MaxRetryAfter)
 	}
 	c.emit(Refuse{x.ID, after})
 }
 
-func (c *Controller) started(e SessionStarted) {
+func (c *Controller) handleStarted(e SessionStarted) {
 	s := c.serversByID[e.Server]
 	if s != nil {
-		c.answers(s)
+		c.clearFailures(s)
 	}
 	if x := c.sessions[e.ID]; x != nil && x.assignedTo == s {
 		x.playing, x.done, x.startedAt = true, true, c.now
@@ -100,29 +100,29 @@
 }
 
 // answers clears a server that served; one that had broken counts as freshly started.
-func (c *Controller) answers(s *server) {
+func (c *Controller) clearFailures(s *server) {
 	if s.mayHaveRestarted {
 		s.coldFrom = c.now
-		c.pace(s)
+		c.beginSlowStart(s)
 	}
 	s.failures, s.failedSetUps, s.avoidUntil, s.mayHaveRestarted = 0, 0, 0, false
 }
 
 // failed marks a server and leaves it alone for a while, longer each time. A lost connection, or several
 // set-ups unanswered in a row, look like a restart; one unanswered set-up may be a lost answer.
-func (c *Controller) failed(s *server, o Outcome) {
+func (c *Controller) recordFailure(s *server, o Outcome) {
 	s.failures++
 	s.lastFailureAt = c.now
-	if lost := o == Reset || o == ConnectFailed || s.failures >= brokenAfter; lost && !s.mayHaveRestarted {
+	if lost := o == Reset || o == ConnectFailed || s.failures >= brokenAfterFailures; lost && !s.mayHaveRestarted {
 		s.mayHaveRestarted = true
-		c.pace(s)
+		c.beginSlowStart(s)
 	}
-	wait := min(avoidFirst<<min(s.failures-1, 10), avoidMost)
+	wait := min(minAvoidTime<<min(s.failures-1, 10), maxAvoidTime)
 	s.avoidUntil = c.now + wait/2 + time.Duration(c.rng.Int64N(int64(wait)))
 }
 
 // ended closes an attempt, and places the request anew if it is still owed an answer.
-func (c *Controller) ended(e AttemptEnded) {
+func (c *Controller) handleEnded(e AttemptEnded) {
 	s, x := c.serversByID[e.Server], c.sessions[e.ID]
 	if s != nil {
 		c.applyLoadReport(s, e.Load, c.now)
@@ -134,19 +134,19 @@
 	c.updateOwnRate(s)
 	switch e.Outcome {
 	case Served:
-		c.answers(s)
+		c.clearFailures(s)
 	case Full:
 		if c.cfg.RejectUtilization > 0 {
 			c.applyLinkReport(s, max(c.cfg.RejectUtilization, c.utilization(s)), c.now, reportWeight)
 		}
-		s.fullUntil = c.now + fullWait
+		s.fullUntil = c.now + fullServerWait
 	case TimedOut, ConnectFailed, Reset, Failed:
 		// An error is an answer, and may be the request's own fault: several in a row are the server's.
-		if s.failedSetUps++; e.Outcome == Failed && s.failedSetUps < brokenAfter {
+		if s.failedSetUps++; e.Outcome == Failed && s.failedSetUps < brokenAfterFailures {
 			break
 		}
 		if !x.playing || e.Outcome == Reset {
-			c.failed(s, e.Outcome)
+			c.recordFailure(s, e.Outcome)
 		}
 	}
 	if e.Final || x.done {
@@ -158,14 +158,14 @@
 		x.mayHaveRunOn, x.mayHaveRunAt = s, x.sentAt
 	}
 	if e.Outcome == NotSent && s.State == Ready { // else its server takes no more, and another may
-		c.end(x)
+		c.refuseOrFail(x)
 		return
 	}
-	c.place(x)
+	c.placeSession(x)
 }
 
 // left forgets a request whose viewer went away; an attempt still out keeps its place until it ends.
-func (c *Controller) left(e ViewerLeft) {
+func (c *Controller) handleLeft(e ViewerLeft) {
 	x := c.sessions[e.ID]
 	if x == nil {
 		return
--- a/control/rungs.go
+++ b/control/rungs.go
@@ -5,31 +5,31 @@
 import "math"
 
 // remaining is how long a session is thought to play on.
-func (c *Controller) remaining(x *session) float64 {
-	left := guessLength
+func (c *Controller) remainingSeconds(x *session) float64 {
+	left := assumedLength
 	if x.ExpectedLength > 0 {
 		left = max(x.ExpectedLength-(c.now-x.startedAt), x.ExpectedLength/5)
 	}
 	if !x.playing {
-		left = max(x.ExpectedLength, guessLength)
+		left = max(x.ExpectedLength, assumedLength)
 	}
 	return left.Seconds()
 }
 
 // stepLoss is the worth lost for each kB/s freed by stepping a session down once.
-func (c *Controller) stepLoss(x *session) (loss, freed float64) {
+func (c *Controller) stepDownLoss(x *session) (loss, freed float64) {
 	freed = c.sessionRate(x, x.rung) - c.sessionRate(x, x.rung-1)
 	worth := c.cfg.RungWorth[x.rung] - c.cfg.RungWorth[x.rung-1]
-	loss = x.worth * (worth*c.remaining(x) + c.cfg.SwitchCost.Seconds())
+	loss = x.worth * (worth*c.remainingSeconds(x) + c.cfg.SwitchCost.Seconds())
 	return loss / max(freed, 1e-9), freed
 }
 
 // stepGain is the worth earned for each kB/s taken by stepping a session up once.
-func (c *Controller) stepGain(x *session) (gain, taken float64) {
+func (c *Controller) stepUpGain(x *session) (gain, taken float64) {
 	taken = c.sessionRate(x, x.rung+1) - c.sessionRate(x, x.rung)
-	gain = (c.cfg.RungWorth[x.rung+1] - c.cfg.RungWorth[x.rung]) * c.remaining(x)
+	gain = (c.cfg.RungWorth[x.rung+1] - c.cfg.RungWorth[x.rung]) * c.remainingSeconds(x)
 	if x.playing {
-		if gain < switchGain*c.cfg.SwitchCost.Seconds() {
+		if gain < switchGainFactor*c.cfg.SwitchCost.Seconds() {
 			return 0, taken
 		}
 		gain -= c.cfg.SwitchCost.Seconds()
@@ -38,12 +38,12 @@
 }
 
 // cheapest is the playing session whose step down costs least for what it frees.
-func (c *Controller) cheapest(held []*session, but *session) (best *session, loss, freed float64) {
+func (c *Controller) cheapestStepDown(held []*session, but *session) (best *session, loss, freed float64) {
 	for _, x := range held {
 		if x == but || !x.playing || x.rung <= x.class.MinRung {
 			continue
 		}
-		if l, f := c.stepLoss(x); best == nil || l < loss {
+		if l, f := c.stepDownLoss(x); best == nil || l < loss {
 			best, loss, freed = x, l, f
 		}
 	}
@@ -54,7 +54,7 @@
 // fronts that correct at the same moment free together what is needed.
 func (c *Controller) stepDown(held []*session, need float64, but *session) {
 	for need > 0 {
-		x, _, freed := c.cheapest(held, but)
+		x, _, freed := c.cheapestStepDown(held, but)
 		if x == nil || but == nil && freed > need && c.rng.Float64()*freed > need {
 			return
 		}
@@ -70,10 +70,10 @@
 }
 
 // swap makes room for a newcomer's next rung where a step down elsewhere on the link costs clearly less.
-func (c *Controller) swap(x *session, s *server, need float64) bool {
-	gain, _ := c.stepGain(x)
-	y, loss, freed := c.cheapest(s.sessions, x)
-	if y == nil || freed < need || gain < swapGain*loss {
+func (c *Controller) swapSteps(x *session, s *server, need float64) bool {
+	gain, _ := c.stepUpGain(x)
+	y, loss, freed := c.cheapestStepDown(s.sessions, x)
+	if y == nil || freed < need || gain < swapGainFactor*loss {
 		return false
 	}
 	c.setRung(y, y.rung-1)
@@ -81,22 +81,22 @@
 }
 
 // informed tells a server of which other fronts report what they do: nothing is to be guessed then.
-func (c *Controller) informed(s *server) bool {
-	return s.lastPeerUpdateAt > 0 && c.now-s.lastPeerUpdateAt < max(c.cfg.LinkNoteInterval, stepEvery)
+func (c *Controller) hasPeerUpdates(s *server) bool {
+	return s.lastPeerUpdateAt > 0 && c.now-s.lastPeerUpdateAt < max(c.cfg.LinkNoteInterval, stepInterval)
 }
 
 // regulate corrects rungs while sessions play. All fronts hear of a link at the same moment, so each
 // corrects its own share of what is over or free, once for each report, and then believes that the
 // others did likewise until the next one tells.
-func (c *Controller) regulate() {
+func (c *Controller) adjustRungs() {
 	view, rung := c.ownSessionStats()
-	c.seesMostServers, c.meanOwnRate = view > ownView, rung
+	c.seesMostServers, c.meanOwnRate = view > fleetViewThreshold, rung
 	for _, r := range c.racks {
-		c.regulateUplink(r)
+		c.adjustUplinkRungs(r)
 	}
 	for _, s := range c.sortedServers {
 		full := c.utilization(s)
-		if full >= nearFull {
+		if full >= nearlyFullThreshold {
 			s.lastFullAt = c.now
 		}
 		if !s.freshReport || len(s.sessions) == 0 || s.capacity <= 0 {
@@ -104,17 +104,17 @@
 		}
 		s.freshReport = false
 		own := s.ownRate / s.capacity
-		if full > overFull {
-			c.stepDown(s.sessions, (full-fillTarget)*own/full*s.capacity, nil)
-			if !c.informed(s) {
-				s.othersUtilization *= fillTarget / full
+		if full > overloadThreshold {
+			c.stepDown(s.sessions, (full-stepDownTarget)*own/full*s.capacity, nil)
+			if !c.hasPeerUpdates(s) {
+				s.othersUtilization *= stepDownTarget / full
 			}
 			c.meanValid = false
-		} else if c.now-s.lastShortShareAt > stepEvery && full < riseTarget {
-			mine := (riseTarget - full) * s.capacity * c.upPart() * own / max(full, 1e-9)
+		} else if c.now-s.lastShortShareAt > stepInterval && full < stepUpTarget {
+			mine := (stepUpTarget - full) * s.capacity * c.stepUpShare() * own / max(full, 1e-9)
 			taken := c.stepUp(s, min(mine, c.racks[s.rackIndex].stepUpAllowance))
 			c.racks[s.rackIndex].stepUpAllowance -= taken
-			if !c.informed(s) {
+			if !c.hasPeerUpdates(s) {
 				s.othersUtilization += taken / s.capacity * max(full-own, 0) / max(own, 1e-9)
 			}
 			c.meanValid = false
@@ -124,7 +124,7 @@
 
 // regulateUplink does the same for a rack's uplink: steps down at once, then waits until the notes can
 // show it; steps up are left to the links, out of an allowance that is this front's share of the room.
-func (c *Controller) regulateUplink(r *rack) {
+func (c *Controller) adjustUplinkRungs(r *rack) {
 	if r.capacity <= 0 {
 		r.stepUpAllowance = math.Inf(1)
 		return
@@ -135,25 +135,25 @@
 		held = append(held, s.sessions...)
 		own += s.ownRate
 	}
-	short := r.lastShortShare < overFull && c.now-r.lastShortShareAt < stepEvery
-	if !r.utilizationReported && !short && asked > growFrom*r.capacity {
-		r.capacity = min(r.capacity*uplinkGrowth, 2*r.configuredCapacity)
+	short := r.lastShortShare < overloadThreshold && c.now-r.lastShortShareAt < stepInterval
+	if !r.utilizationReported && !short && asked > uplinkGrowthThreshold*r.capacity {
+		r.capacity = min(r.capacity*uplinkGrowthPerTick, 2*r.configuredCapacity)
 	}
-	if c.now-r.lastStepDownAt < c.cfg.NoteDelay+settle {
+	if c.now-r.lastStepDownAt < c.cfg.NoteDelay+settleTime {
 		return
 	}
-	if r.freshReport && asked > overFull*r.capacity && !r.recovering {
+	if r.freshReport && asked > overloadThreshold*r.capacity && !r.recovering {
 		r.lastStepDownAt, r.stepUpAllowance = c.now, 0
-		c.stepDown(held, (asked-fillTarget*r.capacity)*own/asked, nil)
+		c.stepDown(held, (asked-stepDownTarget*r.capacity)*own/asked, nil)
 		for _, s := range r.servers {
-			s.othersUtilization *= fillTarget * r.capacity / asked
+			s.othersUtilization *= stepDownTarget * r.capacity / asked
 		}
 		c.meanValid = false
-	} else if c.now-r.allowanceSetAt >= max(c.cfg.LinkNoteInterval, stepEvery) {
+	} else if c.now-r.allowanceSetAt >= max(c.cfg.LinkNoteInterval, stepInterval) {
 		r.allowanceSetAt, r.stepUpAllowance = c.now, 0
 		if !short {
-			free := max(riseTarget*r.capacity-asked-c.rackHeld(nil, r), 0)
-			r.stepUpAllowance = free * c.upPart() * own / max(asked, 1e-9)
+			free := max(stepUpTarget*r.capacity-asked-c.rackReservedForOthers(nil, r), 0)
+			r.stepUpAllowance = free * c.stepUpShare() * own / max(asked, 1e-9)
 		}
 	}
 	r.freshReport = false
@@ -161,17 +161,17 @@
 
 // upPart is the part of its share of free room that a front takes for steps up. Guards against all fronts
 // taking the same room at one report and stepping down at the next. Harm: room is used later.
-func (c *Controller) upPart() float64 {
+func (c *Controller) stepUpShare() float64 {
 	if c.cfg.AllowPeerMessages {
-		return upPart
+		return peerStepUpShare
 	}
-	return upAlone
+	return noPeerStepUpShare
 }
 
 // stepUp spends a rate on the own sessions that gain most by it, and returns what it spent. A step
 // larger than what is left is taken with that chance.
 func (c *Controller) stepUp(s *server, mine float64) (spent float64) {
-	room := c.room(s, riseTarget, nil)
+	room := c.headroom(s, stepUpTarget, nil)
 	for mine > 0 {
 		var best *session
 		var gain, taken float64
@@ -179,7 +179,7 @@
 			if x.rung >= min(x.BestRung, x.class.MaxRung) || !x.playing {
 				continue
 			}
-			if g, t := c.stepGain(x); g > gain && t <= room {
+			if g, t := c.stepUpGain(x); g > gain && t <= room {
 				best, gain, taken = x, g, t
 			}
 		}
--- a/control/serverlist.go
+++ b/control/serverlist.go
@@ -69,7 +69,7 @@
 			s.goneSince = 0
 		case s.goneSince == 0:
 			s.goneSince = c.now
-		case c.now-s.goneSince > keepGone && len(s.sessions) == 0:
+		case c.now-s.goneSince > goneServerRetention && len(s.sessions) == 0:
 			delete(c.serversByID, s.ID)
 			forgotten = true
 		}
--- a/control/state.go
+++ b/control/state.go
@@ -63,7 +63,7 @@
 	c.now, c.actions = max(now, c.now), nil
 	if !c.tickStarted {
 		c.tickStarted = true
-		c.emit(SetTimer{beat + time.Duration(c.rng.Int64N(int64(beat))), "beat"})
+		c.emit(SetTimer{tickInterval + time.Duration(c.rng.Int64N(int64(tickInterval))), "beat"})
 	}
 	if c.cfg.MustSubscribe && !c.subscribing {
 		c.subscribing = true
@@ -74,21 +74,21 @@
 		case ListUpdate:
 			c.handleListUpdate(e)
 		case Request:
-			c.request(e)
+			c.handleRequest(e)
 		case SessionStarted:
-			c.started(e)
+			c.handleStarted(e)
 		case Note:
 			c.handleNote(e)
 		case AttemptEnded:
-			c.ended(e)
+			c.handleEnded(e)
 		case ViewerLeft:
-			c.left(e)
+			c.handleLeft(e)
 		case ProbeResult:
 			c.handleProbeResult(e)
 		case PeerMessage:
 			c.handlePeerMessage(e)
 		case HoldsUpdate:
-			c.hold(e)
+			c.handleHolds(e)
 		case TimerFired:
 			c.handleTimer(e)
 		}
@@ -100,8 +100,8 @@
 func (c *Controller) handleTimer(e TimerFired) {
 	switch e.Label {
 	case "beat":
-		c.emit(SetTimer{beat, "beat"})
-		c.regulate()
+		c.emit(SetTimer{tickInterval, "beat"})
+		c.adjustRungs()
 	case "subscribe":
 		c.subscribing = true
 		c.emit(Subscribe{})
@@ -305,7 +305,7 @@
 // changed works out and records the own rate after a change at a server.
 func (c *Controller) updateOwnRate(s *server) {
 	s.ownRate, c.meanValid = c.sumOwnRate(s), false
-	s.ownRateHistory = appendSample(s.ownRateHistory, c.now, s.ownRate, keepHistory)
+	s.ownRateHistory = appendSample(s.ownRateHistory, c.now, s.ownRate, historyRetention)
 	c.markChanged(s)
 }
 
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -79,7 +79,7 @@
 	if len(f.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Set, err = wire.Settings(f.Settings); err != nil {
+	if c.Set, err = wire.ParseSettings(f.Settings); err != nil {
 		return nil, err
 	}
 	if c.Platform, err = wire.ReadPlatform(f.Settings); err != nil {
--- a/internal/node/reading.go
+++ b/internal/node/reading.go
@@ -51,7 +51,7 @@
 
 // handle takes one message of a server. It tells whether that ended the set-up on the link.
 func (p *pool) handle(l *link, m *jsonlines.Message) (answered bool) {
-	load := wire.Load(m.Figures("load"))
+	load := wire.ConvertLoad(m.Figures("load"))
 	p.mu.Lock()
 	l.heard = p.n.now()
 	l.s.detector.Heartbeat(l.heard)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,78 +13,78 @@
 
 // Batch is one line of input.
 type Batch struct {
-	Wall     int64             `json:"wall"`
-	Seq      int64             `json:"seq"`
-	Happened []json.RawMessage `json:"happened"`
+	WallMicros int64             `json:"wall"`
+	Seq        int64             `json:"seq"`
+	Events     []json.RawMessage `json:"happened"`
 }
 
 // Event is one event with every field that any of them has.
 type Event struct {
-	M       string             `json:"m"`
-	Front   int                `json:"frontId"`
-	Salt    uint64             `json:"salt"`
-	Facts   json.RawMessage    `json:"facts"`
-	Sheet   int                `json:"sheet"`
-	Members []Entry            `json:"members"`
-	Kind    int                `json:"kind"`
-	Req     string             `json:"req"`
-	Type    int                `json:"type"`
-	Group   int                `json:"userGroup"`
-	PathKey uint64             `json:"pathKey"`
-	Title   uint64             `json:"title"`
-	Due     int64              `json:"due"`
-	Length  float64            `json:"estimate"`
-	Home    float64            `json:"home"`
-	Span    float64            `json:"span"`
-	Best    float64            `json:"bestRung"`
-	Retry   bool               `json:"retry"`
-	Moved   bool               `json:"backFromMove"`
-	Again   bool               `json:"cameBack"`
-	Server  string             `json:"server"`
-	Trial   int                `json:"trial"`
-	Reason  string             `json:"reason"`
-	Spent   int64              `json:"spent"`
-	NoMore  bool               `json:"noMore"`
-	Gauge   map[string]float64 `json:"gauge"`
-	X       float64            `json:"x"`
-	Label   string             `json:"label"`
-	Peer    int                `json:"neighbour"`
-	Data    string             `json:"data"`
+	Name      string             `json:"m"`
+	Front     int                `json:"frontId"`
+	Seed      uint64             `json:"salt"`
+	Settings  json.RawMessage    `json:"facts"`
+	ListID    int                `json:"sheet"`
+	Entries   []ListEntry        `json:"members"`
+	Kind      int                `json:"kind"`
+	RequestID string             `json:"req"`
+	Class     int                `json:"type"`
+	Tenant    int                `json:"userGroup"`
+	Viewer    uint64             `json:"pathKey"`
+	Title     uint64             `json:"title"`
+	Due       int64              `json:"due"`
+	Length    float64            `json:"estimate"`
+	Home      float64            `json:"home"`
+	Span      float64            `json:"span"`
+	Best      float64            `json:"bestRung"`
+	Repeat    bool               `json:"retry"`
+	Moved     bool               `json:"backFromMove"`
+	Returned  bool               `json:"cameBack"`
+	Server    string             `json:"server"`
+	Attempt   int                `json:"trial"`
+	Reason    string             `json:"reason"`
+	Took      int64              `json:"spent"`
+	Final     bool               `json:"noMore"`
+	Load      map[string]float64 `json:"gauge"`
+	Value     float64            `json:"x"`
+	Label     string             `json:"label"`
+	Peer      int                `json:"neighbour"`
+	Data      string             `json:"data"`
 }
 
 // Entry is one line of a server list.
-type Entry struct {
-	Server    string  `json:"server"`
-	Zone      int     `json:"zone"`
-	Machine   int     `json:"machine"`
-	SlotNo    int     `json:"slotNo"`
-	Condition int     `json:"condition"`
-	Nominal   float64 `json:"nominal"`
-	UpSince   int64   `json:"upSince"`
+type ListEntry struct {
+	Server  string  `json:"server"`
+	Zone    int     `json:"zone"`
+	Kind    int     `json:"machine"`
+	Cell    int     `json:"slotNo"`
+	State   int     `json:"condition"`
+	Weight  float64 `json:"nominal"`
+	Started int64   `json:"upSince"`
 }
 
 // Message is one action on the wire.
 type Message struct {
-	M         string  `json:"m"`
-	Front     int     `json:"frontId"`
-	Req       string  `json:"req,omitempty"`
-	Server    string  `json:"server,omitempty"`
-	Patience  int64   `json:"patience,omitempty"`
-	Step      *int    `json:"step,omitempty"`
-	StayAway  int64   `json:"stayAway,omitempty"`
-	Trial     *int    `json:"trial,omitempty"`
-	In        *int64  `json:"in,omitempty"`
-	Label     string  `json:"label,omitempty"`
-	Active    *bool   `json:"active,omitempty"`
-	Recipient *int    `json:"recipient,omitempty"`
-	Data      *string `json:"data,omitempty"`
-	Words     string  `json:"words,omitempty"`
+	Name       string  `json:"m"`
+	Front      int     `json:"frontId"`
+	RequestID  string  `json:"req,omitempty"`
+	Server     string  `json:"server,omitempty"`
+	Timeout    int64   `json:"patience,omitempty"`
+	Rung       *int    `json:"step,omitempty"`
+	RetryAfter int64   `json:"stayAway,omitempty"`
+	Attempt    *int    `json:"trial,omitempty"`
+	Delay      *int64  `json:"in,omitempty"`
+	Label      string  `json:"label,omitempty"`
+	Active     *bool   `json:"active,omitempty"`
+	Recipient  *int    `json:"recipient,omitempty"`
+	Data       *string `json:"data,omitempty"`
+	Text       string  `json:"words,omitempty"`
 }
 
 // Reply is one line of output.
 type Reply struct {
-	Seq    int64     `json:"seq"`
-	Outbox []Message `json:"outbox"`
+	Seq      int64     `json:"seq"`
+	Messages []Message `json:"outbox"`
 }
 
 type facts struct {
@@ -140,9 +140,9 @@
 	Tariffs struct{ CrossZone, Moves, Probe float64 }
 }
 
-func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+func fromMicroseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-func pick[T any](list []T, i int, missing T) T {
+func elementOr[T any](list []T, i int, missing T) T {
 	if i < len(list) {
 		return list[i]
 	}
@@ -164,12 +164,12 @@
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return Platform{}, fmt.Errorf("settings: %w", err)
 	}
-	return Platform{Zones: f.Zones, Kinds: f.Kinds, ConnectTimeout: micros(f.Permissions.ConnectTimeout),
-		ConnIdle: micros(f.Permissions.ConnIdle), AnswerSlack: micros(f.Safety.AnswerSlack)}, nil
+	return Platform{Zones: f.Zones, Kinds: f.Kinds, ConnectTimeout: fromMicroseconds(f.Permissions.ConnectTimeout),
+		ConnIdle: fromMicroseconds(f.Permissions.ConnIdle), AnswerSlack: fromMicroseconds(f.Safety.AnswerSlack)}, nil
 }
 
 // Settings reads the start-up parameters; what is missing stays "not stated".
-func Settings(raw json.RawMessage) (control.Settings, error) {
+func ParseSettings(raw json.RawMessage) (control.Settings, error) {
 	var f facts
 	if len(raw) > 0 {
 		if err := json.Unmarshal(raw, &f); err != nil {
@@ -179,16 +179,16 @@
 	i, p, r := &f.FamilyInfo, &f.Permissions, &f.Safety
 	s := control.Settings{
 		Position: f.Position, Fronts: f.GroupSize, Zone: f.Locality,
-		MustSubscribe: f.Discovery == "subscribe", ListReadInterval: micros(r.AskEvery),
+		MustSubscribe: f.Discovery == "subscribe", ListReadInterval: fromMicroseconds(r.AskEvery),
 		OverQuotaFactor: f.OverShareWorth, Ladder: i.LadderKb, RungWorth: i.RungWorth, JoinRateFactor: i.JoinAdds,
 		Cells: i.Cells, Racks: i.Shelves, TotalLinkRate: i.LinksKb, RackUplinkRate: i.RackLinkKb, LinkRatePerWeight: i.WeightKb,
-		RejectUtilization: i.FullFrom, NoteDelay: micros(i.See), LinkNoteInterval: micros(i.ReportsEvery),
+		RejectUtilization: i.FullFrom, NoteDelay: fromMicroseconds(i.See), LinkNoteInterval: fromMicroseconds(i.ReportsEvery),
 		SwitchCost:  time.Duration(i.SwitchS * float64(time.Second)),
 		AllowProbes: p.Probing, AllowPeerMessages: p.Peers, AllowCancel: p.Cancel, AllowRetryAfter: p.RetryAfter,
-		MaxAttempts: p.MaxAttempts, MaxRetryAfter: micros(p.MaxRetryAfter),
+		MaxAttempts: p.MaxAttempts, MaxRetryAfter: fromMicroseconds(p.MaxRetryAfter),
 		MovePrice: f.Tariffs.Moves, ZonePrice: f.Tariffs.CrossZone, ProbePrice: f.Tariffs.Probe,
-		DrainGrace: micros(r.StopSendingWithin), Ramp: micros(r.RampTime), StartShare: r.StartCapacity,
-		BurstFactor: r.FallMultiple, BurstSpan: micros(r.Fall), BudgetSpan: micros(r.RatioSpan),
+		DrainGrace: fromMicroseconds(r.StopSendingWithin), Ramp: fromMicroseconds(r.RampTime), StartShare: r.StartCapacity,
+		BurstFactor: r.FallMultiple, BurstSpan: fromMicroseconds(r.Fall), BudgetSpan: fromMicroseconds(r.RatioSpan),
 		BudgetFree: r.FreeResends, BudgetShare: r.ExtraPerRequest,
 	}
 	for _, n := range i.KindStreams {
@@ -207,9 +207,9 @@
 		s.ReportMode = control.ReportsByProbe
 	}
 	for n, c := range f.Profiles {
-		class := control.Class{Name: c.Name, DedupWindow: micros(c.Window), Aim: micros(c.Aim), Deadline: micros(c.Deadline),
-			Worth: c.Worth, LateWorth: c.LateWorth, RateFactor: pick(i.RateFactor, n, 1), MinRung: pick(i.ClassFloor, n, 0),
-			MaxRung: pick(i.ClassTop, n, len(i.LadderKb)-1), Seats: pick(i.LicenceCap, n, 0), Live: pick(i.Live, n, false)}
+		class := control.Class{Name: c.Name, DedupWindow: fromMicroseconds(c.Window), Aim: fromMicroseconds(c.Aim), Deadline: fromMicroseconds(c.Deadline),
+			Worth: c.Worth, LateWorth: c.LateWorth, RateFactor: elementOr(i.RateFactor, n, 1), MinRung: elementOr(i.ClassFloor, n, 0),
+			MaxRung: elementOr(i.ClassTop, n, len(i.LadderKb)-1), Seats: elementOr(i.LicenceCap, n, 0), Live: elementOr(i.Live, n, false)}
 		switch c.Effect {
 		case "at_most_once":
 			class.Effect = control.AtMostOnce
@@ -231,20 +231,20 @@
 }
 
 // Servers translates a list.
-func Servers(entries []Entry) []control.Server {
+func ConvertServers(entries []ListEntry) []control.Server {
 	out := make([]control.Server, len(entries))
 	for i, e := range entries {
-		out[i] = control.Server{ID: e.Server, Zone: e.Zone, Kind: e.Machine, Cell: e.SlotNo,
-			State: control.ServerState(e.Condition), Weight: e.Nominal, Started: micros(e.UpSince)}
+		out[i] = control.Server{ID: e.Server, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
+			State: control.ServerState(e.State), Weight: e.Weight, Started: fromMicroseconds(e.Started)}
 	}
 	return out
 }
 
-var outcomes = map[string]control.Outcome{"S": control.Served, "E": control.Failed, "F": control.Full,
+var outcomeByCode = map[string]control.Outcome{"S": control.Served, "E": control.Failed, "F": control.Full,
 	"T": control.TimedOut, "C": control.ConnectFailed, "R": control.Reset, "X": control.Cancelled, "N": control.NotSent}
 
 // Load translates a report, by the columns that the settings name.
-func Load(g map[string]float64) *control.LoadReport {
+func ConvertLoad(g map[string]float64) *control.LoadReport {
 	if len(g) == 0 {
 		return nil
 	}
@@ -258,33 +258,33 @@
 }
 
 // Translate turns a wire event into the module's; nil for one it does not know.
-func Translate(e *Event, sheet []Entry) (control.Event, error) {
-	switch e.M {
+func DecodeEvent(e *Event, sheet []ListEntry) (control.Event, error) {
+	switch e.Name {
 	case "Membership":
 		u := control.ListUpdate{Whole: e.Kind == 1 || e.Kind == 2, Cached: e.Kind == 2, Failed: e.Kind == 3}
 		if !u.Failed {
-			u.Servers = Servers(sheet)
+			u.Servers = ConvertServers(sheet)
 		}
 		return u, nil
 	case "NewRequest", "TakenOver":
-		return control.Request{ID: e.Req, Class: e.Type, Tenant: e.Group, Viewer: e.PathKey, Title: e.Title,
-			HomeCell: int(e.Home), CellSpan: int(e.Span), BestRung: int(e.Best), GiveUpAt: micros(e.Due), ExpectedLength: micros(int64(e.Length)),
-			Repeat: e.Retry, Returned: e.Again, Moved: e.Moved, Playing: e.M == "TakenOver", Server: e.Server}, nil
+		return control.Request{ID: e.RequestID, Class: e.Class, Tenant: e.Tenant, Viewer: e.Viewer, Title: e.Title,
+			HomeCell: int(e.Home), CellSpan: int(e.Span), BestRung: int(e.Best), GiveUpAt: fromMicroseconds(e.Due), ExpectedLength: fromMicroseconds(int64(e.Length)),
+			Repeat: e.Repeat, Returned: e.Returned, Moved: e.Moved, Playing: e.Name == "TakenOver", Server: e.Server}, nil
 	case "Flowing":
-		return control.SessionStarted{ID: e.Req, Server: e.Server, Attempt: e.Trial, Took: micros(e.Spent)}, nil
+		return control.SessionStarted{ID: e.RequestID, Server: e.Server, Attempt: e.Attempt, Took: fromMicroseconds(e.Took)}, nil
 	case "AttemptEnd":
-		o, ok := outcomes[e.Reason]
+		o, ok := outcomeByCode[e.Reason]
 		if !ok {
 			return nil, fmt.Errorf("AttemptEnd: unknown reason %q", e.Reason)
 		}
-		return control.AttemptEnded{ID: e.Req, Server: e.Server, Attempt: e.Trial, Outcome: o, Took: micros(e.Spent),
-			Final: e.NoMore, Load: Load(e.Gauge)}, nil
+		return control.AttemptEnded{ID: e.RequestID, Server: e.Server, Attempt: e.Attempt, Outcome: o, Took: fromMicroseconds(e.Took),
+			Final: e.Final, Load: ConvertLoad(e.Load)}, nil
 	case "Heartbeat":
-		return control.Note{ID: e.Req, Server: e.Server, Kind: control.NoteKind(e.Kind), Value: e.X}, nil
+		return control.Note{ID: e.RequestID, Server: e.Server, Kind: control.NoteKind(e.Kind), Value: e.Value}, nil
 	case "Left":
-		return control.ViewerLeft{ID: e.Req}, nil
+		return control.ViewerLeft{ID: e.RequestID}, nil
 	case "HealthResult":
-		return control.ProbeResult{Server: e.Server, OK: e.Reason == "S", Load: Load(e.Gauge)}, nil
+		return control.ProbeResult{Server: e.Server, OK: e.Reason == "S", Load: ConvertLoad(e.Load)}, nil
 	case "FromPeer":
 		return control.PeerMessage{From: e.Peer, Data: e.Data}, nil
 	case "Reminder":
@@ -294,93 +294,93 @@
 }
 
 // Encode turns an action into its message.
-func Encode(front int, a control.Action) Message {
+func EncodeAction(front int, a control.Action) Message {
 	yes := true
 	m := Message{Front: front}
 	switch a := a.(type) {
 	case control.Send:
-		m.M, m.Req, m.Server, m.Patience = "Try", a.ID, a.Server, a.Timeout.Microseconds()
+		m.Name, m.RequestID, m.Server, m.Timeout = "Try", a.ID, a.Server, a.Timeout.Microseconds()
 	case control.SetRung:
-		m.M, m.Req, m.Step = "SetRung", a.ID, &a.Rung
+		m.Name, m.RequestID, m.Rung = "SetRung", a.ID, &a.Rung
 	case control.Refuse:
-		m.M, m.Req, m.StayAway = "Bounce", a.ID, a.RetryAfter.Microseconds()
+		m.Name, m.RequestID, m.RetryAfter = "Bounce", a.ID, a.RetryAfter.Microseconds()
 	case control.Fail:
-		m.M, m.Req = "GiveUp", a.ID
+		m.Name, m.RequestID = "GiveUp", a.ID
 	case control.Cancel:
-		m.M, m.Req, m.Trial = "Revoke", a.ID, &a.Attempt
+		m.Name, m.RequestID, m.Attempt = "Revoke", a.ID, &a.Attempt
 	case control.Move:
-		m.M, m.Req = "Rebalance", a.ID
+		m.Name, m.RequestID = "Rebalance", a.ID
 	case control.Probe:
-		m.M, m.Server = "Ping", a.Server
+		m.Name, m.Server = "Ping", a.Server
 	case control.SetTimer:
 		in := a.Delay.Microseconds()
-		m.M, m.In, m.Label = "After", &in, a.Label
+		m.Name, m.Delay, m.Label = "After", &in, a.Label
 	case control.Subscribe:
-		m.M, m.Active = "Track", &yes
+		m.Name, m.Active = "Track", &yes
 	case control.ReadList:
-		m.M = "ReadList"
+		m.Name = "ReadList"
 	case control.SendToPeer:
-		m.M, m.Recipient, m.Data = "BroadcastTo", &a.Front, &a.Data
+		m.Name, m.Recipient, m.Data = "BroadcastTo", &a.Front, &a.Data
 	}
 	return m
 }
 
 // Host runs many instances, each with a module of its own.
 type Host struct {
-	fronts map[int]*control.Controller
-	sheets map[int][]Entry
+	controllers map[int]*control.Controller
+	lists       map[int][]ListEntry
 }
 
 // NewHost returns a host without instances.
 func NewHost() *Host {
-	return &Host{fronts: map[int]*control.Controller{}, sheets: map[int][]Entry{}}
+	return &Host{controllers: map[int]*control.Controller{}, lists: map[int][]ListEntry{}}
 }
 
 // Line answers one line of input. An error means the line is malformed and no reply exists.
-func (h *Host) Line(line []byte) ([]byte, error) {
+func (h *Host) HandleLine(line []byte) ([]byte, error) {
 	var b Batch
 	if err := json.Unmarshal(line, &b); err != nil {
 		return nil, fmt.Errorf("malformed batch: %w", err)
 	}
-	reply := Reply{Seq: b.Seq, Outbox: []Message{}}
+	reply := Reply{Seq: b.Seq, Messages: []Message{}}
 	pending := map[int][]control.Event{}
 	step := func(front int) {
-		if c := h.fronts[front]; c != nil && len(pending[front]) > 0 {
-			for _, a := range c.Step(micros(b.Wall), pending[front]) {
-				reply.Outbox = append(reply.Outbox, Encode(front, a))
+		if c := h.controllers[front]; c != nil && len(pending[front]) > 0 {
+			for _, a := range c.Step(fromMicroseconds(b.WallMicros), pending[front]) {
+				reply.Messages = append(reply.Messages, EncodeAction(front, a))
 			}
 		}
 		delete(pending, front)
 	}
-	for i, raw := range b.Happened {
+	for i, raw := range b.Events {
 		var e Event
 		if err := json.Unmarshal(raw, &e); err != nil {
 			return nil, fmt.Errorf("malformed event %d of batch %d: %w", i, b.Seq, err)
 		}
-		switch e.M {
+		switch e.Name {
 		case "":
 			return nil, fmt.Errorf("malformed event %d of batch %d: no message name", i, b.Seq)
 		case "Ledger":
-			h.sheets[e.Sheet] = e.Members
+			h.lists[e.ListID] = e.Entries
 			continue
 		case "CrashNow":
 			delete(pending, e.Front)
-			delete(h.fronts, e.Front)
+			delete(h.controllers, e.Front)
 			continue
 		case "Hello":
 			delete(pending, e.Front)
-			set, err := Settings(e.Facts)
+			set, err := ParseSettings(e.Settings)
 			if err != nil {
 				return nil, fmt.Errorf("event %d of batch %d: %w", i, b.Seq, err)
 			}
-			c, err := control.New(set, e.Salt)
+			c, err := control.New(set, e.Seed)
 			if err != nil {
 				return nil, fmt.Errorf("event %d of batch %d: %w", i, b.Seq, err)
 			}
-			h.fronts[e.Front] = c
+			h.controllers[e.Front] = c
 			continue
 		}
-		ev, err := Translate(&e, h.sheets[e.Sheet])
+		ev, err := DecodeEvent(&e, h.lists[e.ListID])
 		if err != nil {
 			return nil, fmt.Errorf("malformed event %d of batch %d: %w", i, b.Seq, err)
 		}
@@ -410,16 +410,16 @@
 }
 
 // Exception is the reply that reports broken decision code, in answer to a line.
-func Exception(line []byte, words string) []byte {
+func ExceptionReply(line []byte, words string) []byte {
 	var b struct {
 		Seq      int64                   `json:"seq"`
 		Happened []struct{ FrontID int } `json:"happened"`
 	}
 	_ = json.Unmarshal(line, &b) // best effort: the line was read once already
-	m := Message{M: "Exception", Words: words}
+	m := Message{Name: "Exception", Text: words}
 	if len(b.Happened) > 0 {
 		m.Front = b.Happened[0].FrontID
 	}
-	out, _ := encodeReply(Reply{Seq: b.Seq, Outbox: []Message{m}})
+	out, _ := encodeReply(Reply{Seq: b.Seq, Messages: []Message{m}})
 	return out
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func lines(t *testing.T, name string) [][]byte {
+func readLines(t *testing.T, name string) [][]byte {
 	t.Helper()
 	raw, err := os.ReadFile(name)
 	if err != nil {
@@ -19,10 +19,10 @@
 
 // TestGolden plays batches of our own writing; testdata holds each and its reply, line by line.
 func TestGolden(t *testing.T) {
-	in, want := lines(t, "testdata/batches.jsonl"), lines(t, "testdata/replies.jsonl")
+	in, want := readLines(t, "testdata/batches.jsonl"), readLines(t, "testdata/replies.jsonl")
 	h := NewHost()
 	for i, line := range in {
-		got, err := h.Line(line)
+		got, err := h.HandleLine(line)
 		if err != nil {
 			t.Fatalf("line %d: %v", i+1, err)
 		}
@@ -34,7 +34,7 @@
 
 // TestInstancesShareNothing compares two instances in one process with one process each.
 func TestInstancesShareNothing(t *testing.T) {
-	in := lines(t, "testdata/batches.jsonl")
+	in := readLines(t, "testdata/batches.jsonl")
 	twin := func(front int, line []byte) []byte {
 		return bytes.ReplaceAll(line, []byte(`"frontId":1`), fmt.Appendf(nil, `"frontId":%d`, front))
 	}
@@ -51,13 +51,13 @@
 			sep = ""
 		}
 		joint := string(head) + `"happened":[` + strings.TrimSuffix(string(tail), "]}") + sep + string(tail5)
-		got, err := both.Line([]byte(joint))
+		got, err := both.HandleLine([]byte(joint))
 		if err != nil {
 			t.Fatal(err)
 		}
 		want := ""
 		for n, l := range [][]byte{l4, l5} {
-			r, err := alone[n].Line(l)
+			r, err := alone[n].HandleLine(l)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -77,17 +77,17 @@
 	for _, line := range []string{`{`, `[]`, `{"wall":"x"}`, `{"wall":1,"seq":1,"happened":[7]}`,
 		`{"wall":1,"seq":1,"happened":[{}]}`, `{"wall":1,"seq":1,"happened":[{"m":"Hello","facts":{}}]}`,
 		`{"wall":1,"seq":1,"happened":[{"m":"AttemptEnd","reason":"Q"}]}`} {
-		if _, err := NewHost().Line([]byte(line)); err == nil {
+		if _, err := NewHost().HandleLine([]byte(line)); err == nil {
 			t.Errorf("%s: no error", line)
 		}
 	}
-	if _, err := NewHost().Line([]byte(`{"wall":1,"seq":1,"happened":[{"m":"Novelty","frontId":9,"new":{}}]}`)); err != nil {
+	if _, err := NewHost().HandleLine([]byte(`{"wall":1,"seq":1,"happened":[{"m":"Novelty","frontId":9,"new":{}}]}`)); err != nil {
 		t.Errorf("an unknown event stops the adapter: %v", err)
 	}
 }
 
 func TestExceptionNamesAFront(t *testing.T) {
-	got := string(Exception([]byte(`{"seq":7,"happened":[{"m":"Left","frontId":3}]}`), "broken"))
+	got := string(ExceptionReply([]byte(`{"seq":7,"happened":[{"m":"Left","frontId":3}]}`), "broken"))
 	if got != `{"seq":7,"outbox":[{"m":"Exception","frontId":3,"words":"broken"}]}`+"\n" {
 		t.Error(got)
 	}
@@ -104,9 +104,9 @@
 	first, _, _ := bytes.Cut(raw, []byte("\n"))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		h := NewHost()
-		if _, err := h.Line(first); err != nil {
+		if _, err := h.HandleLine(first); err != nil {
 			t.Fatal(err)
 		}
-		_, _ = h.Line(line) // any error will do; a panic fails
+		_, _ = h.HandleLine(line) // any error will do; a panic fails
 	})
 }
