--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -21,18 +21,18 @@
 }
 
 // Kind of an answer.
-type Kind int
+type AnswerKind int
 
 // Kinds of answers.
 const (
-	Plays Kind = iota + 1
+	Playing AnswerKind = iota + 1
 	Refused
 	Failed
 )
 
-func (k Kind) String() string {
+func (k AnswerKind) String() string {
 	switch k {
-	case Plays:
+	case Playing:
 		return "plays"
 	case Refused:
 		return "refused"
@@ -44,12 +44,12 @@
 
 // Answer is what a request comes to.
 type Answer struct {
-	Kind    Kind
-	Server  string
-	Rung    int
-	Attempt int           // that plays
-	After   time.Duration // with Refused: wait advised
-	Setup   any           // with Plays: what the carrier brought back
+	Kind       AnswerKind
+	Server     string
+	Rung       int
+	Attempt    int           // that plays
+	RetryAfter time.Duration // with Refused: wait advised
+	Setup      any           // with Plays: what the carrier brought back
 }
 
 // Listener hears of one request. Its methods are called on the owner's goroutine and must not wait.
@@ -74,12 +74,12 @@
 	Outcome control.Outcome // Served: it plays
 	Load    *control.LoadReport
 	Setup   any
-	Done    func() // if set, called once the owner has been told: what need not be ahead of the answer
+	Cleanup func() // if set, called once the owner has been told: what need not be ahead of the answer
 }
 
 // Carrier carries out actions. SetUp runs in a goroutine of its own and returns when the attempt is no
 // longer out; when ctx ends, it must give the attempt up before it returns. The others must not wait.
-type Carrier interface {
+type Executor interface {
 	SetUp(ctx context.Context, a Attempt) Result
 	Release(id, server string, attempt int) // the server need not run it (any more)
 	SetRung(a Attempt, rung int)
@@ -91,13 +91,13 @@
 
 // Options of an owner.
 type Options struct {
-	Queue       int           // requests waiting for a decision
+	QueueSize   int           // requests waiting for a decision
 	MaxAttempts int           // attempts of one request; 0: not limited
 	Budget      Budget        // of further attempts
-	Slack       time.Duration // after its deadline a request is still answered in time
+	AnswerSlack time.Duration // after its deadline a request is still answered in time
 	Log         *slog.Logger
 	Decider     Decider
-	Carrier     Carrier
+	Executor    Executor
 	Now         func() time.Duration // rises, also over restarts
 }
 
@@ -110,59 +110,59 @@
 
 // Stats counts what an owner did; read by metrics.
 type Stats struct {
-	Requests, TurnedAway, Plays, Refused, Failed atomic.Int64
-	Attempts, Further, Moot, Overdue, NotesLost  atomic.Int64
-	Open                                         atomic.Int64
+	Requests, QueueFull, Started, Refused, Failed             atomic.Int64
+	Attempts, FurtherAttempts, NotSent, Overdue, NotesDropped atomic.Int64
+	Open                                                      atomic.Int64
 }
 
 // Owner owns the module.
-type Owner struct {
+type Orchestrator struct {
 	Options
-	Stats    Stats
-	requests chan input // refused when full
-	events   chan input // waits when full: bounded by what is under way
-	notes    chan input // dropped when full: the next one tells the same
-	over     chan struct{}
-
-	taking sync.RWMutex // held to hand in a request: none may slip in behind the last look at the queue
-	ended  bool         // under taking: no request is taken any more
-
-	open      map[string]*request
-	startedAt time.Duration
-	taken     int // requests, and attempts beyond their first, since startedAt
-	more      int
-	timers    timerHeap
-	batch     []control.Event
-	ctx       context.Context
+	Stats        Stats
+	requestQueue chan input // refused when full
+	eventQueue   chan input // waits when full: bounded by what is under way
+	noteQueue    chan input // dropped when full: the next one tells the same
+	done         chan struct{}
+
+	requestMu      sync.RWMutex // held to hand in a request: none may slip in behind the last look at the queue
+	requestsClosed bool         // under taking: no request is taken any more
+
+	openRequests    map[string]*request
+	startedAt       time.Duration
+	requestCount    int // requests, and attempts beyond their first, since startedAt
+	furtherAttempts int
+	timers          timerHeap
+	batch           []control.Event
+	ctx             context.Context
 }
 
 // input is one thing told to the owner.
 type input struct {
-	event    control.Event
-	request  *request
-	listener Listener
-	id       string
-	what     what
-	attempt  int
-	result   Result
-	took     time.Duration
-	server   string
-	sessions []string
-	look     func()
+	event      control.Event
+	request    *request
+	listener   Listener
+	id         string
+	kind       inputKind
+	attempt    int
+	result     Result
+	took       time.Duration
+	server     string
+	sessionIDs []string
+	callback   func()
 }
 
-type what int
+type inputKind int
 
 const (
-	anEvent what = iota
-	aRequest
-	attemptEnded
-	viewerLeft
-	playedOut
-	serverLost
-	serverEnded
-	adopted
-	inspect
+	inputEvent inputKind = iota
+	inputRequest
+	inputAttemptEnded
+	inputViewerLeft
+	inputSessionFinished
+	inputSessionsLost
+	inputEndedByServer
+	inputAdopted
+	inputInspect
 )
 
 var (
@@ -171,101 +171,103 @@
 )
 
 // New returns an owner; Run must be called.
-func New(o Options) *Owner {
-	return &Owner{Options: o, requests: make(chan input, o.Queue), events: make(chan input, 4096),
-		notes: make(chan input, 1024), over: make(chan struct{}), open: map[string]*request{}}
+func New(o Options) *Orchestrator {
+	return &Orchestrator{Options: o, requestQueue: make(chan input, o.QueueSize), eventQueue: make(chan input, 4096),
+		noteQueue: make(chan input, 1024), done: make(chan struct{}), openRequests: map[string]*request{}}
 }
 
 // Queued is the number of requests that wait for the decision.
-func (o *Owner) Queued() int { return len(o.requests) }
+func (o *Orchestrator) QueueLen() int { return len(o.requestQueue) }
 
 // Request hands in a request; false if the queue is full or the owner has ended, and then nothing is owed.
-func (o *Owner) Request(r control.Request, l Listener) bool {
-	o.taking.RLock()
-	defer o.taking.RUnlock()
-	if o.ended {
+func (o *Orchestrator) Submit(r control.Request, l Listener) bool {
+	o.requestMu.RLock()
+	defer o.requestMu.RUnlock()
+	if o.requestsClosed {
 		return false
 	}
 	select {
-	case o.requests <- input{what: aRequest, request: &request{Request: r, listener: l}}:
+	case o.requestQueue <- input{kind: inputRequest, request: &request{Request: r, listener: l}}:
 		o.Stats.Requests.Add(1)
 		return true
 	default:
-		o.Stats.TurnedAway.Add(1)
+		o.Stats.QueueFull.Add(1)
 		return false
 	}
 }
 
 // Adopt hands over a session that plays already, as an edge finds them after a restart. Nothing is owed
 // for it; its attempt counts as the first.
-func (o *Owner) Adopt(r control.Request, rung int, l Listener) {
+func (o *Orchestrator) Adopt(r control.Request, rung int, l Listener) {
 	r.Playing = true
-	o.put(input{what: adopted, request: &request{Request: r, listener: l, answered: true, playing: true, server: r.Server,
-		attempts: 1, rung: rung, sent: o.Now()}})
+	o.enqueue(input{kind: inputAdopted, request: &request{Request: r, listener: l, answered: true, playing: true, server: r.Server,
+		attempts: 1, rung: rung, sentAt: o.Now()}})
 }
 
 // Leave says that the viewer of a request went away, whether it waits or plays. An id may be used again by a later
 // request: only the one that the listener follows is meant. It goes behind the request itself: one that overtook it would
 // find nothing, and the session would play for nobody. It does not wait: a connection's reader that did would not see that
 // its other viewers leave.
-func (o *Owner) Leave(id string, l Listener) {
-	in := input{what: viewerLeft, id: id, listener: l}
+func (o *Orchestrator) ViewerLeft(id string, l Listener) {
+	in := input{kind: inputViewerLeft, id: id, listener: l}
 	select {
-	case o.requests <- in:
+	case o.requestQueue <- in:
 	default:
-		go o.leaveLater(in)
+		go o.queueViewerLeft(in)
 	}
 }
 
-func (o *Owner) leaveLater(in input) {
+func (o *Orchestrator) queueViewerLeft(in input) {
 	select {
-	case o.requests <- in:
-	case <-o.over:
+	case o.requestQueue <- in:
+	case <-o.done:
 	}
 }
 
 // PlayedOut says that a session came to its end.
-func (o *Owner) PlayedOut(id string) { o.put(input{what: playedOut, id: id}) }
+func (o *Orchestrator) SessionFinished(id string) {
+	o.enqueue(input{kind: inputSessionFinished, id: id})
+}
 
 // Lost says that a server no longer runs these sessions. Like ServerEnded it may be called as soon as a set-up's answer
 // is there: a session whose loss came ahead of its start would stand for ever.
-func (o *Owner) Lost(server string, ids []string) {
-	o.put(input{what: serverLost, server: server, sessions: ids})
+func (o *Orchestrator) SessionsLost(server string, ids []string) {
+	o.enqueue(input{kind: inputSessionsLost, server: server, sessionIDs: ids})
 }
 
 // ServerEnded says that a server ended a session that it runs. It may be called as soon as the set-up's answer
 // is there: what comes ahead of it in the queue is kept until the session plays.
-func (o *Owner) ServerEnded(id, server string, how control.Outcome, l *control.LoadReport) {
-	o.put(input{what: serverEnded, id: id, server: server, result: Result{Outcome: how, Load: l}})
+func (o *Orchestrator) EndedByServer(id, server string, how control.Outcome, l *control.LoadReport) {
+	o.enqueue(input{kind: inputEndedByServer, id: id, server: server, result: Result{Outcome: how, Load: l}})
 }
 
 // Event tells the module a list, a probe's result or a message.
-func (o *Owner) Event(e control.Event) { o.put(input{event: e}) }
+func (o *Orchestrator) AddEvent(e control.Event) { o.enqueue(input{event: e}) }
 
 // Note tells a note; one too many is dropped.
-func (o *Owner) Note(n control.Note) {
+func (o *Orchestrator) AddNote(n control.Note) {
 	select {
-	case o.notes <- input{event: n}:
+	case o.noteQueue <- input{event: n}:
 	default:
-		o.Stats.NotesLost.Add(1)
+		o.Stats.NotesDropped.Add(1)
 	}
 }
 
 // Inspect has look called on the owner's goroutine, between two steps of the module. It must not wait.
-func (o *Owner) Inspect(look func()) { o.put(input{what: inspect, look: look}) }
+func (o *Orchestrator) Inspect(look func()) { o.enqueue(input{kind: inputInspect, callback: look}) }
 
-func (o *Owner) put(in input) {
+func (o *Orchestrator) enqueue(in input) {
 	select {
-	case o.events <- in:
-	case <-o.over:
+	case o.eventQueue <- in:
+	case <-o.done:
 	}
 }
 
 // logsSessions tells whether the course of sessions is logged: its figures are not gathered for nothing.
-func (o *Owner) logsSessions() bool { return o.Log.Enabled(context.Background(), slog.LevelInfo) }
+func (o *Orchestrator) infoEnabled() bool { return o.Log.Enabled(context.Background(), slog.LevelInfo) }
 
 // Name is an outcome's word in logs.
-func Name(x control.Outcome) string {
+func OutcomeName(x control.Outcome) string {
 	names := [...]string{"served", "failed", "full", "timed out", "connect failed", "reset", "cancelled", "moot"}
 	if int(x) < len(names) {
 		return names[x]
--- a/internal/core/order_test.go
+++ b/internal/core/order_test.go
@@ -15,9 +15,9 @@
 func TestRequestBehindEvents(t *testing.T) {
 	for i := range 200 {
 		told := ""
-		o := New(Options{Queue: 4, Log: slog.New(slog.DiscardHandler), Carrier: &carrier{t: t, out: map[string]int{}},
+		o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
 			Now: func() time.Duration { return 0 },
-			Decider: scripted(func(_ time.Duration, e control.Event) []control.Action {
+			Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 				switch e := e.(type) {
 				case control.ListUpdate:
 					told += "list "
@@ -27,14 +27,14 @@
 				}
 				return nil
 			})})
-		o.Event(control.ListUpdate{Whole: true})
-		o.Event(control.ListUpdate{})
-		e := newEar(t)
-		o.Request(control.Request{ID: strconv.Itoa(i), GiveUpAt: time.Hour}, e)
+		o.AddEvent(control.ListUpdate{Whole: true})
+		o.AddEvent(control.ListUpdate{})
+		e := newRecordingListener(t)
+		o.Submit(control.Request{ID: strconv.Itoa(i), GiveUpAt: time.Hour}, e)
 		ctx, stop := context.WithCancel(context.Background())
 		over := make(chan struct{})
 		go func() { o.Run(ctx); close(over) }()
-		e.answer()
+		e.waitAnswer()
 		stop()
 		<-over
 		if told != "list list request" {
@@ -47,20 +47,20 @@
 // forgotten behind the last look at the queue.
 func TestRequestCrossesEnd(t *testing.T) {
 	for range 300 {
-		o := New(Options{Queue: 4, Log: slog.New(slog.DiscardHandler), Carrier: &carrier{t: t, out: map[string]int{}},
+		o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
 			Now:     func() time.Duration { return 0 },
-			Decider: scripted(func(time.Duration, control.Event) []control.Action { return nil })})
+			Decider: deciderFunc(func(time.Duration, control.Event) []control.Action { return nil })})
 		ctx, stop := context.WithCancel(context.Background())
 		over := make(chan struct{})
 		go func() { o.Run(ctx); close(over) }()
-		e, taken := newEar(t), make(chan bool)
-		go func() { taken <- o.Request(control.Request{ID: "x", GiveUpAt: time.Hour}, e) }()
+		e, taken := newRecordingListener(t), make(chan bool)
+		go func() { taken <- o.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, e) }()
 		stop()
 		if <-taken {
-			e.answer()
+			e.waitAnswer()
 		}
 		<-over
-		if o.Request(control.Request{ID: "y", GiveUpAt: time.Hour}, e) {
+		if o.Submit(control.Request{ID: "y", GiveUpAt: time.Hour}, e) {
 			t.Fatal("taken by an owner that has ended")
 		}
 	}
@@ -70,9 +70,9 @@
 // its request.
 func TestLeaveNeverWaits(t *testing.T) {
 	told := make(chan string, 16)
-	o := New(Options{Queue: 1, Log: slog.New(slog.DiscardHandler), Carrier: &carrier{t: t, out: map[string]int{}},
+	o := New(Options{QueueSize: 1, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
 		Now: func() time.Duration { return 0 },
-		Decider: scripted(func(_ time.Duration, e control.Event) []control.Action {
+		Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 			switch e := e.(type) {
 			case control.Request:
 				told <- "request " + e.ID
@@ -81,9 +81,9 @@
 			}
 			return nil
 		})})
-	e := newEar(t)
-	o.Request(control.Request{ID: "x", GiveUpAt: time.Hour}, e) // fills it: nobody owns the module yet
-	o.Leave("x", e)                                             // would wait for ever
+	e := newRecordingListener(t)
+	o.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, e) // fills it: nobody owns the module yet
+	o.ViewerLeft("x", e)                                       // would wait for ever
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() { o.Run(ctx); close(over) }()
@@ -104,10 +104,10 @@
 // TestLostCrossesStart: a server is found lost after its answer and ahead of the session's start in the queue; the
 // session starts and ends at once, instead of standing for ever. The loss of another server changes nothing.
 func TestLostCrossesStart(t *testing.T) {
-	var r *rig
-	r = start(t, 5, func(context.Context, Attempt) Result {
-		r.Lost("b", []string{"x"})
-		r.Lost("a", []string{"x"})
+	var r *harness
+	r = startHarness(t, 5, func(context.Context, Attempt) Result {
+		r.SessionsLost("b", []string{"x"})
+		r.SessionsLost("a", []string{"x"})
 		return Result{Outcome: control.Served}
 	}, func(_ time.Duration, e control.Event) []control.Action {
 		if e, ok := e.(control.Request); ok {
@@ -115,24 +115,24 @@
 		}
 		return nil
 	})
-	e := r.ask(t, "x", 5*time.Second)
-	e.close()
-	if got := r.events(); got != "started a; ended a#0 reset final=true" {
+	e := r.submit(t, "x", 5*time.Second)
+	e.waitClosed()
+	if got := r.loggedEvents(); got != "started a; ended a#0 reset final=true" {
 		t.Error(got)
 	}
-	e = r.ask(t, "y", 5*time.Second) // the other order: it plays when its server is lost
-	e.answer()
-	r.Lost("a", []string{"y"})
-	e.close()
+	e = r.submit(t, "y", 5*time.Second) // the other order: it plays when its server is lost
+	e.waitAnswer()
+	r.SessionsLost("a", []string{"y"})
+	e.waitClosed()
 }
 
 // TestEndOfSessionCrossesEnd: a server's release waits as the owner is told to end; it is passed on.
 func TestEndOfSessionCrossesEnd(t *testing.T) {
 	for range 50 { // a select that finds both picks either
 		held, letGo := make(chan struct{}), make(chan struct{})
-		o := New(Options{Queue: 4, Log: slog.New(slog.DiscardHandler), Carrier: &carrier{t: t, out: map[string]int{}},
+		o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
 			Now: func() time.Duration { return 0 },
-			Decider: scripted(func(_ time.Duration, e control.Event) []control.Action {
+			Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 				if _, ok := e.(control.ProbeResult); ok {
 					close(held)
 					<-letGo
@@ -142,41 +142,41 @@
 		ctx, stop := context.WithCancel(context.Background())
 		over := make(chan struct{})
 		go func() { o.Run(ctx); close(over) }()
-		e := newEar(t)
+		e := newRecordingListener(t)
 		o.Adopt(control.Request{ID: "x", Server: "s"}, 0, e)
-		o.Event(control.ProbeResult{})
+		o.AddEvent(control.ProbeResult{})
 		<-held
-		o.ServerEnded("x", "s", control.Served, nil)
+		o.EndedByServer("x", "s", control.Served, nil)
 		stop()
 		close(letGo)
 		<-over
-		if len(e.heard) != 1 || e.heard[0] != "ended served false" {
-			t.Fatalf("heard %q", e.heard)
+		if len(e.changes) != 1 || e.changes[0] != "ended served false" {
+			t.Fatalf("heard %q", e.changes)
 		}
 	}
 }
 
 // TestFinishRequests: what waits is answered, what comes later is refused, and a session that plays still ends.
 func TestFinishRequests(t *testing.T) {
-	o := New(Options{Queue: 4, Log: slog.New(slog.DiscardHandler), Carrier: &carrier{t: t, out: map[string]int{}},
+	o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
 		Now:     func() time.Duration { return 0 },
-		Decider: scripted(func(time.Duration, control.Event) []control.Action { return nil })})
+		Decider: deciderFunc(func(time.Duration, control.Event) []control.Action { return nil })})
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() { o.Run(ctx); close(over) }()
-	plays, waits := newEar(t), newEar(t)
+	plays, waits := newRecordingListener(t), newRecordingListener(t)
 	o.Adopt(control.Request{ID: "x", Server: "s"}, 0, plays)
-	if !o.Request(control.Request{ID: "y", GiveUpAt: time.Hour}, waits) {
+	if !o.Submit(control.Request{ID: "y", GiveUpAt: time.Hour}, waits) {
 		t.Fatal("not taken")
 	}
 	o.FinishRequests()
-	if a := waits.answer(); a.Kind != Failed {
+	if a := waits.waitAnswer(); a.Kind != Failed {
 		t.Errorf("answered %v", a.Kind)
 	}
-	if o.Request(control.Request{ID: "z", GiveUpAt: time.Hour}, newEar(t)) {
+	if o.Submit(control.Request{ID: "z", GiveUpAt: time.Hour}, newRecordingListener(t)) {
 		t.Error("a request is taken that nobody will answer")
 	}
-	o.ServerEnded("x", "s", control.Served, nil)
+	o.EndedByServer("x", "s", control.Served, nil)
 	<-plays.closed
 	stop()
 	<-over
@@ -187,13 +187,13 @@
 // may be dropped, the end is not: the session would stand for ever.
 func TestEndBehindManyNotes(t *testing.T) {
 	sent, answered := make(chan struct{}), make(chan struct{})
-	c := &carrier{t: t, out: map[string]int{}, setUp: func(context.Context, Attempt) Result {
+	c := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: func(context.Context, Attempt) Result {
 		close(sent)
 		<-answered
 		return Result{Outcome: control.Served, Setup: "it plays"}
 	}}
-	o := New(Options{Queue: 4, Log: slog.New(slog.DiscardHandler), Carrier: c, Now: func() time.Duration { return 0 },
-		Decider: scripted(func(_ time.Duration, e control.Event) []control.Action {
+	o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: c, Now: func() time.Duration { return 0 },
+		Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 			if r, ok := e.(control.Request); ok {
 				return []control.Action{control.Send{ID: r.ID, Server: "s"}}
 			}
@@ -203,17 +203,17 @@
 	over := make(chan struct{})
 	go func() { o.Run(ctx); close(over) }()
 	defer func() { stop(); <-over }()
-	e, taken := newEar(t), make(chan struct{})
-	o.Request(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
+	e, taken := newRecordingListener(t), make(chan struct{})
+	o.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
 	<-sent
 	for i := range 10 * maxEarlyNotes {
-		o.Event(control.Note{ID: "x", Server: "s", Kind: control.NoteLink, Value: float64(i)})
+		o.AddEvent(control.Note{ID: "x", Server: "s", Kind: control.NoteLink, Value: float64(i)})
 	}
-	o.ServerEnded("x", "s", control.Served, nil)
+	o.EndedByServer("x", "s", control.Served, nil)
 	o.Inspect(func() { close(taken) })
 	<-taken
 	close(answered)
-	e.answer()
+	e.waitAnswer()
 	select {
 	case <-e.closed:
 	case <-time.After(5 * time.Second):
@@ -227,14 +227,14 @@
 	const rush = 50
 	sent, ready := make(chan struct{}), make(chan struct{})
 	deciding, goOn := make(chan struct{}), make(chan struct{})
-	c := &carrier{t: t, out: map[string]int{}, setUp: func(context.Context, Attempt) Result {
+	c := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: func(context.Context, Attempt) Result {
 		close(sent)
 		<-ready
 		return Result{Outcome: control.Served, Setup: "it plays"}
 	}}
 	decided := 0 // on the owner's goroutine
-	o := New(Options{Queue: rush, Log: slog.New(slog.DiscardHandler), Carrier: c, Now: func() time.Duration { return 0 },
-		Decider: scripted(func(_ time.Duration, e control.Event) []control.Action {
+	o := New(Options{QueueSize: rush, Log: slog.New(slog.DiscardHandler), Executor: c, Now: func() time.Duration { return 0 },
+		Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 			r, ok := e.(control.Request)
 			switch {
 			case !ok:
@@ -252,36 +252,36 @@
 	over := make(chan struct{})
 	go func() { o.Run(ctx); close(over) }()
 	defer func() { stop(); <-over }()
-	e := &countingEar{ear: newEar(t), count: &decided}
-	o.Request(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
+	e := &countingListener{recordingListener: newRecordingListener(t), count: &decided}
+	o.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
 	<-sent
 	held, letGo := make(chan struct{}), make(chan struct{})
 	o.Inspect(func() { close(held); <-letGo })
 	<-held
 	for i := range rush {
-		o.Request(control.Request{ID: strconv.Itoa(i), GiveUpAt: time.Hour}, newEar(t))
+		o.Submit(control.Request{ID: strconv.Itoa(i), GiveUpAt: time.Hour}, newRecordingListener(t))
 	}
 	close(letGo)
 	<-deciding
 	close(ready)
-	for len(o.events) == 0 {
+	for len(o.eventQueue) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	close(goOn)
-	e.answer()
-	if e.atAnswer != 1 {
-		t.Errorf("the answer was passed on behind %d of %d decisions, want 1", e.atAnswer, rush)
+	e.waitAnswer()
+	if e.countAtAnswer != 1 {
+		t.Errorf("the answer was passed on behind %d of %d decisions, want 1", e.countAtAnswer, rush)
 	}
 }
 
 // countingEar notes what a counter stood at when its request was answered.
-type countingEar struct {
-	*ear
-	count    *int
-	atAnswer int
+type countingListener struct {
+	*recordingListener
+	count         *int
+	countAtAnswer int
 }
 
-func (e *countingEar) Answered(a Answer) {
-	e.atAnswer = *e.count
-	e.ear.Answered(a)
+func (e *countingListener) Answered(a Answer) {
+	e.countAtAnswer = *e.count
+	e.recordingListener.Answered(a)
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -10,17 +10,17 @@
 // request is one request from its arrival until nothing more can come of it.
 type request struct {
 	control.Request
-	listener Listener
-	answered bool
-	gone     bool // the viewer left before the answer
-	playing  bool
-	server   string
-	attempts int
-	rung     int
-	out      bool          // an attempt is out
-	taken    time.Duration // when the owner took it
-	cancel   context.CancelCauseFunc
-	sent     time.Duration
+	listener      Listener
+	answered      bool
+	viewerLeft    bool // the viewer left before the answer
+	playing       bool
+	server        string
+	attempts      int
+	rung          int
+	inFlight      bool          // an attempt is out
+	acceptedAt    time.Duration // when the owner took it
+	cancelAttempt context.CancelCauseFunc
+	sentAt        time.Duration
 
 	// Of the server tried, what came ahead of the end of its set-up.
 	earlyNotes []input
@@ -32,31 +32,31 @@
 const maxEarlyNotes = 8
 
 // adopt counts a session once: one that is open already stays as it is.
-func (o *Owner) adopt(r *request) {
-	if o.open[r.ID] != nil {
+func (o *Orchestrator) adoptSession(r *request) {
+	if o.openRequests[r.ID] != nil {
 		r.listener.Closed()
 		return
 	}
-	o.open[r.ID] = r
+	o.openRequests[r.ID] = r
 	o.Stats.Open.Add(1)
 	o.Log.Debug("session taken over", "session", r.ID, "server", r.server, "rung", r.rung)
-	o.tell(r.Request)
+	o.addToBatch(r.Request)
 	if r.rung >= 0 {
-		o.tell(control.Note{ID: r.ID, Server: r.server, Kind: control.NoteRung, Value: float64(r.rung)})
+		o.addToBatch(control.Note{ID: r.ID, Server: r.server, Kind: control.NoteRung, Value: float64(r.rung)})
 	}
 }
 
 // noteDue keeps a note that came ahead of its session's start, and takes the rung that the server has in force.
-func (o *Owner) noteDue(n control.Note, in input) bool {
-	r := o.open[n.ID]
+func (o *Orchestrator) acceptNote(n control.Note, in input) bool {
+	r := o.openRequests[n.ID]
 	if r == nil || r.server != n.Server {
 		return true
 	}
-	if r.out {
+	if r.inFlight {
 		if len(r.earlyNotes) < maxEarlyNotes {
 			r.earlyNotes = append(r.earlyNotes, in)
 		} else {
-			o.Stats.NotesLost.Add(1)
+			o.Stats.NotesDropped.Add(1)
 		}
 		return false
 	}
@@ -67,11 +67,11 @@
 }
 
 // serverEnded closes a session that its server ended; it is not released there any more.
-func (o *Owner) serverEnded(in input) {
-	r := o.open[in.id]
+func (o *Orchestrator) handleEndedByServer(in input) {
+	r := o.openRequests[in.id]
 	switch {
 	case r == nil || r.server != in.server:
-	case r.out:
+	case r.inFlight:
 		if r.earlyEnd == nil {
 			r.earlyEnd = &in
 		}
@@ -80,48 +80,48 @@
 	}
 }
 
-func (o *Owner) begin(r *request) {
-	if o.ended { // handed in before FinishRequests, and taken from the queue just ahead of it
+func (o *Orchestrator) acceptRequest(r *request) {
+	if o.requestsClosed { // handed in before FinishRequests, and taken from the queue just ahead of it
 		r.listener.Answered(Answer{Kind: Failed})
 		r.listener.Closed()
 		return
 	}
-	if o.open[r.ID] != nil {
+	if o.openRequests[r.ID] != nil {
 		o.Log.Error("request id seen before", "session", r.ID)
 		r.listener.Answered(Answer{Kind: Failed})
 		r.listener.Closed()
 		return
 	}
-	o.taken++
-	r.taken = o.Now()
-	o.open[r.ID] = r
+	o.requestCount++
+	r.acceptedAt = o.Now()
+	o.openRequests[r.ID] = r
 	o.Stats.Open.Add(1)
-	o.timers.push(timer{at: r.GiveUpAt + o.Slack/2, backstop: r})
-	o.tell(r.Request)
+	o.timers.push(timer{at: r.GiveUpAt + o.AnswerSlack/2, backstop: r})
+	o.addToBatch(r.Request)
 }
 
 // attemptEnded is told by the goroutine of a set-up.
-func (o *Owner) attemptEnded(in input) {
-	r := o.open[in.id]
+func (o *Orchestrator) handleAttemptEnded(in input) {
+	r := o.openRequests[in.id]
 	if r == nil {
 		return
 	}
-	r.out = false
-	r.cancel(nil)
+	r.inFlight = false
+	r.cancelAttempt(nil)
 	earlyNotes, earlyEnd := r.earlyNotes, r.earlyEnd
 	r.earlyNotes, r.earlyEnd = nil, nil
 	e := control.AttemptEnded{ID: r.ID, Server: in.server, Attempt: in.attempt, Outcome: in.result.Outcome, Took: in.took,
-		Load: in.result.Load, Final: r.answered || r.gone}
+		Load: in.result.Load, Final: r.answered || r.viewerLeft}
 	if e.Outcome == control.Served && !e.Final {
 		r.playing = true
-		o.tell(control.SessionStarted{ID: r.ID, Server: in.server, Attempt: in.attempt, Took: in.took})
-		o.noteSetUp(r, in)
-		o.answer(r, Answer{Kind: Plays, Server: in.server, Rung: r.rung, Attempt: in.attempt, Setup: in.result.Setup}, byServer)
+		o.addToBatch(control.SessionStarted{ID: r.ID, Server: in.server, Attempt: in.attempt, Took: in.took})
+		o.addSetUpNotes(r, in)
+		o.answer(r, Answer{Kind: Playing, Server: in.server, Rung: r.rung, Attempt: in.attempt, Setup: in.result.Setup}, byServer)
 		for _, note := range earlyNotes {
-			o.take(note)
+			o.handle(note)
 		}
 		if earlyEnd != nil {
-			o.take(*earlyEnd)
+			o.handle(*earlyEnd)
 		}
 		return
 	}
@@ -129,22 +129,22 @@
 		e.Outcome = control.Cancelled
 	}
 	if mayStillRun(e.Outcome) {
-		o.Carrier.Release(r.ID, in.server, in.attempt)
+		o.Executor.Release(r.ID, in.server, in.attempt)
 	}
-	o.Log.Info("attempt ended", "session", r.ID, "server", in.server, "attempt", in.attempt, "outcome", Name(e.Outcome),
+	o.Log.Info("attempt ended", "session", r.ID, "server", in.server, "attempt", in.attempt, "outcome", OutcomeName(e.Outcome),
 		"took", in.took, "final", e.Final)
 	if e.Final {
-		o.forget(r)
+		o.closeRequest(r)
 	}
-	o.tell(e)
+	o.addToBatch(e)
 }
 
 // noteSetUp passes on what the set-up's answer reported, as notes at set-up do.
-func (o *Owner) noteSetUp(r *request, in input) {
+func (o *Orchestrator) addSetUpNotes(r *request, in input) {
 	if l := in.result.Load; l != nil && l.Link != nil {
-		o.tell(control.Note{ID: r.ID, Server: in.server, Kind: control.NoteLink, Value: *l.Link})
+		o.addToBatch(control.Note{ID: r.ID, Server: in.server, Kind: control.NoteLink, Value: *l.Link})
 		if l.Uplink != nil {
-			o.tell(control.Note{ID: r.ID, Server: in.server, Kind: control.NoteUplink, Value: *l.Uplink})
+			o.addToBatch(control.Note{ID: r.ID, Server: in.server, Kind: control.NoteUplink, Value: *l.Uplink})
 		}
 	}
 }
@@ -154,47 +154,47 @@
 	return x != control.Full && x != control.ConnectFailed && x != control.NotSent
 }
 
-func (o *Owner) left(id string, l Listener) {
-	r := o.open[id]
+func (o *Orchestrator) handleViewerLeft(id string, l Listener) {
+	r := o.openRequests[id]
 	switch {
 	case r == nil || r.listener != l:
 	case r.playing:
-		o.end(id, control.Cancelled)
-	case !r.gone:
-		r.gone = true
-		o.Log.Info("request withdrawn", "session", r.ID, "server", r.server, "attempts", r.attempts, "out", r.out, "after", o.Now()-r.taken)
-		if !r.out {
-			o.forget(r)
+		o.releaseAndEnd(id, control.Cancelled)
+	case !r.viewerLeft:
+		r.viewerLeft = true
+		o.Log.Info("request withdrawn", "session", r.ID, "server", r.server, "attempts", r.attempts, "out", r.inFlight, "after", o.Now()-r.acceptedAt)
+		if !r.inFlight {
+			o.closeRequest(r)
 		}
-		o.tell(control.ViewerLeft{ID: id})
+		o.addToBatch(control.ViewerLeft{ID: id})
 	}
 }
 
 // end closes a session that plays.
-func (o *Owner) end(id string, how control.Outcome) {
-	r := o.open[id]
+func (o *Orchestrator) releaseAndEnd(id string, how control.Outcome) {
+	r := o.openRequests[id]
 	if r == nil || !r.playing {
 		return
 	}
 	if how != control.Reset {
-		o.Carrier.Release(id, r.server, r.attempts-1)
+		o.Executor.Release(id, r.server, r.attempts-1)
 	}
 	o.endSession(r, how, nil)
 }
 
 // endSession tells viewer and module that a session no longer plays.
-func (o *Owner) endSession(r *request, how control.Outcome, l *control.LoadReport) {
-	if o.logsSessions() {
-		o.Log.Info("session ended", "session", r.ID, "server", r.server, "outcome", Name(how))
+func (o *Orchestrator) endSession(r *request, how control.Outcome, l *control.LoadReport) {
+	if o.infoEnabled() {
+		o.Log.Info("session ended", "session", r.ID, "server", r.server, "outcome", OutcomeName(how))
 	}
 	r.listener.Ended(how, false)
-	o.forget(r)
-	o.tell(control.AttemptEnded{ID: r.ID, Server: r.server, Attempt: r.attempts - 1, Outcome: how, Took: o.Now() - r.sent, Final: true,
+	o.closeRequest(r)
+	o.addToBatch(control.AttemptEnded{ID: r.ID, Server: r.server, Attempt: r.attempts - 1, Outcome: how, Took: o.Now() - r.sentAt, Final: true,
 		Load: l})
 }
 
-func (o *Owner) forget(r *request) {
-	delete(o.open, r.ID)
+func (o *Orchestrator) closeRequest(r *request) {
+	delete(o.openRequests, r.ID)
 	o.Stats.Open.Add(-1)
 	r.listener.Closed()
 }
@@ -206,31 +206,31 @@
 	byServer   answerSource = "server"   // the set-up stands there
 	byModule   answerSource = "module"   // refused or failed by decision
 	byBackstop answerSource = "backstop" // the module said nothing in time
-	byEnd      answerSource = "end"      // the owner ends
+	byShutdown answerSource = "end"      // the owner ends
 )
 
 // answer gives a request its one answer.
-func (o *Owner) answer(r *request, a Answer, by answerSource) {
+func (o *Orchestrator) answer(r *request, a Answer, by answerSource) {
 	if r.answered {
 		o.Log.Error("second answer kept back", "session", r.ID, "answer", a.Kind.String(), "by", by)
 		return
 	}
 	r.answered = true
 	switch a.Kind {
-	case Plays:
-		o.Stats.Plays.Add(1)
+	case Playing:
+		o.Stats.Started.Add(1)
 	case Refused:
 		o.Stats.Refused.Add(1)
 	case Failed:
 		o.Stats.Failed.Add(1)
 	}
 	r.listener.Answered(a)
-	if o.logsSessions() {
+	if o.infoEnabled() {
 		now := o.Now()
 		o.Log.Info("answer", "session", r.ID, "answer", a.Kind.String(), "by", by, "server", a.Server, "rung", a.Rung,
-			"attempts", r.attempts, "out", r.out, "took", now-r.taken, "left", r.GiveUpAt-now)
+			"attempts", r.attempts, "out", r.inFlight, "took", now-r.acceptedAt, "left", r.GiveUpAt-now)
 	}
-	if a.Kind != Plays && !r.out {
-		o.forget(r)
+	if a.Kind != Playing && !r.inFlight {
+		o.closeRequest(r)
 	}
 }
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -10,31 +10,31 @@
 )
 
 func TestPlaysAndEnds(t *testing.T) {
-	r := start(t, 5, served, one(nil))
+	r := startHarness(t, 5, setUpServes, sendToA(nil))
 	for _, how := range []string{"viewer left", "played out", "server lost"} {
-		e := r.ask(t, how, time.Second)
-		if a := e.answer(); a.Kind != Plays || a.Server != "a" || a.Rung != 2 {
+		e := r.submit(t, how, time.Second)
+		if a := e.waitAnswer(); a.Kind != Playing || a.Server != "a" || a.Rung != 2 {
 			t.Fatalf("answer %+v", a)
 		}
 		want := "ended cancelled false"
 		switch how {
 		case "viewer left":
-			r.Leave(how, e)
+			r.ViewerLeft(how, e)
 		case "played out":
-			r.PlayedOut(how)
+			r.SessionFinished(how)
 			want = "ended served false"
 		case "server lost":
-			r.Lost("b", []string{how}) // another server's loss is not its own
-			r.Lost("a", []string{how})
+			r.SessionsLost("b", []string{how}) // another server's loss is not its own
+			r.SessionsLost("a", []string{how})
 			want = "ended reset false"
 		}
-		e.close()
-		if len(e.heard) != 1 || e.heard[0] != want {
-			t.Errorf("%s: heard %v, want %s", how, e.heard, want)
+		e.waitClosed()
+		if len(e.changes) != 1 || e.changes[0] != want {
+			t.Errorf("%s: heard %v, want %s", how, e.changes, want)
 		}
 	}
-	if n := len(r.c.released); n != 2 {
-		t.Errorf("released %v: a lost server needs no release, the others do", r.c.released)
+	if n := len(r.executor.released); n != 2 {
+		t.Errorf("released %v: a lost server needs no release, the others do", r.executor.released)
 	}
 	if n := r.Stats.Open.Load(); n != 0 {
 		t.Errorf("%d requests still open", n)
@@ -45,22 +45,22 @@
 func TestTimeOutThenElsewhere(t *testing.T) {
 	setUp := func(ctx context.Context, a Attempt) Result {
 		if a.Server == "a" {
-			return hangs(ctx, a)
+			return setUpHangs(ctx, a)
 		}
 		return Result{Outcome: control.Served}
 	}
-	r := start(t, 5, setUp, one(func(e control.AttemptEnded) []control.Action {
+	r := startHarness(t, 5, setUp, sendToA(func(e control.AttemptEnded) []control.Action {
 		return []control.Action{control.Send{ID: e.ID, Server: "b"}}
 	}))
-	e := r.ask(t, "x", time.Second)
-	if a := e.answer(); a.Kind != Plays || a.Server != "b" || a.Attempt != 1 {
-		t.Fatalf("answer %+v; %s", a, r.events())
+	e := r.submit(t, "x", time.Second)
+	if a := e.waitAnswer(); a.Kind != Playing || a.Server != "b" || a.Attempt != 1 {
+		t.Fatalf("answer %+v; %s", a, r.loggedEvents())
 	}
-	if got := r.events(); got != "ended a#0 timed out final=false; started b" {
+	if got := r.loggedEvents(); got != "ended a#0 timed out final=false; started b" {
 		t.Error(got)
 	}
-	if len(r.c.released) != 1 || r.c.released[0] != "x@a#0" {
-		t.Errorf("released %v", r.c.released)
+	if len(r.executor.released) != 1 || r.executor.released[0] != "x@a#0" {
+		t.Errorf("released %v", r.executor.released)
 	}
 }
 
@@ -80,17 +80,17 @@
 		}
 		return nil
 	}
-	r := start(t, 1, hangs, decide)
-	e := r.ask(t, "x", time.Second)
-	if a := e.answer(); a.Kind != Failed {
+	r := startHarness(t, 1, setUpHangs, decide)
+	e := r.submit(t, "x", time.Second)
+	if a := e.waitAnswer(); a.Kind != Failed {
 		t.Fatalf("answer %+v", a)
 	}
-	e.close()
+	e.waitClosed()
 	stepped := make(chan struct{})
 	r.Inspect(func() { close(stepped) }) // the step that closed the request goes on to its last action
 	<-stepped
-	if n := r.Stats.Moot.Load(); n != 4 {
-		t.Errorf("%d moot, want 4; %s", n, r.events())
+	if n := r.Stats.NotSent.Load(); n != 4 {
+		t.Errorf("%d moot, want 4; %s", n, r.loggedEvents())
 	}
 	if n := r.Stats.Attempts.Load(); n != 1 {
 		t.Errorf("%d attempts went out", n)
@@ -100,24 +100,24 @@
 // A viewer that leaves while the set-up is out: the answer that crosses ends as cancelled, and is released.
 func TestLeaveCrossesAnswer(t *testing.T) {
 	release := make(chan struct{})
-	r := start(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} }, one(nil))
-	e := r.ask(t, "x", time.Second)
+	r := startHarness(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} }, sendToA(nil))
+	e := r.submit(t, "x", time.Second)
 	for r.Stats.Attempts.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	r.Leave("x", e)
+	r.ViewerLeft("x", e)
 	close(release)
-	e.close()
-	if len(e.answers) != 0 || r.events() != "left; ended a#0 cancelled final=true" {
-		t.Errorf("answers %v; %s", e.answers, r.events())
+	e.waitClosed()
+	if len(e.answers) != 0 || r.loggedEvents() != "left; ended a#0 cancelled final=true" {
+		t.Errorf("answers %v; %s", e.answers, r.loggedEvents())
 	}
-	if len(r.c.released) != 1 {
-		t.Errorf("released %v", r.c.released)
+	if len(r.executor.released) != 1 {
+		t.Errorf("released %v", r.executor.released)
 	}
 }
 
 func TestCancel(t *testing.T) {
-	r := start(t, 5, hangs, func(_ time.Duration, e control.Event) []control.Action {
+	r := startHarness(t, 5, setUpHangs, func(_ time.Duration, e control.Event) []control.Action {
 		switch e := e.(type) {
 		case control.Request:
 			return []control.Action{control.Send{ID: e.ID, Server: "a"}, control.SetTimer{Delay: 20 * time.Millisecond, Label: e.ID}}
@@ -128,27 +128,27 @@
 		}
 		return nil
 	})
-	e := r.ask(t, "x", 5*time.Second)
-	if a := e.answer(); a.Kind != Refused || a.After != time.Second {
-		t.Errorf("answer %+v; %s", a, r.events())
+	e := r.submit(t, "x", 5*time.Second)
+	if a := e.waitAnswer(); a.Kind != Refused || a.RetryAfter != time.Second {
+		t.Errorf("answer %+v; %s", a, r.loggedEvents())
 	}
-	if got := r.events(); got != "timer x; ended a#0 cancelled final=false" {
+	if got := r.loggedEvents(); got != "timer x; ended a#0 cancelled final=false" {
 		t.Error(got)
 	}
 }
 
 // A module that says nothing is covered by the backstop, within the slack.
 func TestSilentModule(t *testing.T) {
-	r := start(t, 5, served, func(time.Duration, control.Event) []control.Action { return nil })
+	r := startHarness(t, 5, setUpServes, func(time.Duration, control.Event) []control.Action { return nil })
 	begin := time.Now()
-	e := r.ask(t, "x", 30*time.Millisecond)
-	if a := e.answer(); a.Kind != Failed {
+	e := r.submit(t, "x", 30*time.Millisecond)
+	if a := e.waitAnswer(); a.Kind != Failed {
 		t.Errorf("answer %+v", a)
 	}
 	if took := time.Since(begin); took < 30*time.Millisecond {
 		t.Errorf("answered after %v, before the deadline", took)
 	}
-	e.close()
+	e.waitClosed()
 	if r.Stats.Overdue.Load() != 1 {
 		t.Error("not counted as overdue")
 	}
@@ -156,7 +156,7 @@
 
 // TestLeaveFollowsRequest: a viewer that leaves at once is never overtaken by its own request.
 func TestLeaveFollowsRequest(t *testing.T) {
-	r := start(t, 5, hangs, func(_ time.Duration, e control.Event) []control.Action {
+	r := startHarness(t, 5, setUpHangs, func(_ time.Duration, e control.Event) []control.Action {
 		switch e := e.(type) {
 		case control.Request:
 			return []control.Action{control.Send{ID: e.ID, Server: "a"}}
@@ -166,22 +166,22 @@
 		return nil
 	})
 	for i := range 200 {
-		e := r.ask(t, strconv.Itoa(i), time.Minute)
-		r.Leave(strconv.Itoa(i), e)
-		e.close()
+		e := r.submit(t, strconv.Itoa(i), time.Minute)
+		r.ViewerLeft(strconv.Itoa(i), e)
+		e.waitClosed()
 	}
 }
 
 // TestServerEnds: what a server says of a session ahead of its set-up's end is heard after it, and an end by the
 // server is not released there again.
 func TestServerEnds(t *testing.T) {
-	var r *rig
+	var r *harness
 	ready := make(chan struct{})
-	r = start(t, 5, func(context.Context, Attempt) Result {
+	r = startHarness(t, 5, func(context.Context, Attempt) Result {
 		<-ready
-		r.Note(control.Note{ID: "x", Server: "a", Kind: control.NoteRung, Value: 2})
-		r.ServerEnded("x", "b", control.Reset, nil) // another server's word counts for nothing
-		r.ServerEnded("x", "a", control.Served, nil)
+		r.AddNote(control.Note{ID: "x", Server: "a", Kind: control.NoteRung, Value: 2})
+		r.EndedByServer("x", "b", control.Reset, nil) // another server's word counts for nothing
+		r.EndedByServer("x", "a", control.Served, nil)
 		return Result{Outcome: control.Served}
 	}, func(_ time.Duration, e control.Event) []control.Action {
 		if e, ok := e.(control.Request); ok && !e.Playing {
@@ -189,21 +189,21 @@
 		}
 		return nil
 	})
-	e := r.ask(t, "x", 5*time.Second)
+	e := r.submit(t, "x", 5*time.Second)
 	close(ready)
-	e.close()
-	if got := r.events(); got != "started a; ended a#0 served final=true" {
+	e.waitClosed()
+	if got := r.loggedEvents(); got != "started a; ended a#0 served final=true" {
 		t.Error(got)
 	}
 	for range 2 { // once more under the same id: it counts once
-		r.Adopt(control.Request{ID: "y", Server: "a"}, -1, newEar(t))
+		r.Adopt(control.Request{ID: "y", Server: "a"}, -1, newRecordingListener(t))
 	}
-	if r.events(); r.Stats.Open.Load() != 1 {
+	if r.loggedEvents(); r.Stats.Open.Load() != 1 {
 		t.Errorf("%d open", r.Stats.Open.Load())
 	}
-	r.c.mu.Lock()
-	defer r.c.mu.Unlock()
-	if len(r.c.released) != 0 {
-		t.Errorf("released %v", r.c.released)
+	r.executor.mu.Lock()
+	defer r.executor.mu.Unlock()
+	if len(r.executor.released) != 0 {
+		t.Errorf("released %v", r.executor.released)
 	}
 }
--- a/internal/core/rig_test.go
+++ b/internal/core/rig_test.go
@@ -19,9 +19,9 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // scripted answers events by a function.
-type scripted func(now time.Duration, e control.Event) []control.Action
+type deciderFunc func(now time.Duration, e control.Event) []control.Action
 
-func (s scripted) Step(now time.Duration, events []control.Event) (out []control.Action) {
+func (s deciderFunc) Step(now time.Duration, events []control.Event) (out []control.Action) {
 	for _, e := range events {
 		out = append(out, s(now, e)...)
 	}
@@ -29,92 +29,92 @@
 }
 
 // carrier ends set-ups as told, and watches that no request has two attempts out.
-type carrier struct {
+type fakeExecutor struct {
 	t        testing.TB
 	mu       sync.Mutex
-	out      map[string]int
+	inFlight map[string]int
 	setUp    func(ctx context.Context, a Attempt) Result
 	released []string
-	other    []string
+	calls    []string
 }
 
-func (c *carrier) SetUp(ctx context.Context, a Attempt) Result {
+func (c *fakeExecutor) SetUp(ctx context.Context, a Attempt) Result {
 	c.mu.Lock()
-	if c.out[a.ID]++; c.out[a.ID] > 1 {
-		c.t.Errorf("%s has %d attempts out", a.ID, c.out[a.ID])
+	if c.inFlight[a.ID]++; c.inFlight[a.ID] > 1 {
+		c.t.Errorf("%s has %d attempts out", a.ID, c.inFlight[a.ID])
 	}
 	c.mu.Unlock()
 	r := c.setUp(ctx, a)
 	c.mu.Lock()
-	c.out[a.ID]--
+	c.inFlight[a.ID]--
 	c.mu.Unlock()
 	return r
 }
 
-func (c *carrier) note(s string) {
+func (c *fakeExecutor) record(s string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.other = append(c.other, s)
+	c.calls = append(c.calls, s)
 }
 
-func (c *carrier) Release(id, server string, n int) {
+func (c *fakeExecutor) Release(id, server string, n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.released = append(c.released, fmt.Sprintf("%s@%s#%d", id, server, n))
 }
 
-func (c *carrier) SetRung(a Attempt, rung int) { c.note(fmt.Sprint("rung ", a.ID, " ", rung)) }
+func (c *fakeExecutor) SetRung(a Attempt, rung int) { c.record(fmt.Sprint("rung ", a.ID, " ", rung)) }
 
-func (c *carrier) Probe(server string) { c.note("probe " + server) }
+func (c *fakeExecutor) Probe(server string) { c.record("probe " + server) }
 
-func (c *carrier) Subscribe() { c.note("subscribe") }
+func (c *fakeExecutor) Subscribe() { c.record("subscribe") }
 
-func (c *carrier) ReadList() { c.note("read") }
+func (c *fakeExecutor) ReadList() { c.record("read") }
 
-func (c *carrier) Tell(to int, data string) { c.note(fmt.Sprint("tell ", to, " ", data)) }
+func (c *fakeExecutor) Tell(to int, data string) { c.record(fmt.Sprint("tell ", to, " ", data)) }
 
 // ear is a listener that keeps what it heard.
-type ear struct {
-	t       testing.TB
-	mu      sync.Mutex
-	answers []Answer
-	heard   []string
-	done    chan struct{} // closed at the answer
-	closed  chan struct{}
+type recordingListener struct {
+	t        testing.TB
+	mu       sync.Mutex
+	answers  []Answer
+	changes  []string
+	answered chan struct{} // closed at the answer
+	closed   chan struct{}
 }
 
-func newEar(t testing.TB) *ear {
-	return &ear{t: t, done: make(chan struct{}), closed: make(chan struct{})}
+func newRecordingListener(t testing.TB) *recordingListener {
+	return &recordingListener{t: t, answered: make(chan struct{}), closed: make(chan struct{})}
 }
 
-func (e *ear) Answered(a Answer) {
+func (e *recordingListener) Answered(a Answer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.answers = append(e.answers, a); len(e.answers) > 1 {
 		e.t.Error("second answer")
 		return
 	}
-	close(e.done)
+	close(e.answered)
 }
 
-func (e *ear) Rung(r int) {
+func (e *recordingListener) Rung(r int) {
 	e.mu.Lock()
-	e.heard = append(e.heard, fmt.Sprint("rung ", r))
+	e.changes = append(e.changes, fmt.Sprint("rung ", r))
 	e.mu.Unlock()
 }
 
-func (e *ear) Ended(o control.Outcome, moved bool) {
+func (e *recordingListener) Ended(o control.Outcome, moved bool) {
 	e.mu.Lock()
-	e.heard = append(e.heard, fmt.Sprint("ended ", Name(o), " ", moved))
+	e.changes = append(e.changes, fmt.Sprint("ended ", OutcomeName(o), " ", moved))
 	e.mu.Unlock()
 }
 
-func (e *ear) Closed() { close(e.closed) }
+func (e *recordingListener) Closed() { close(e.closed) }
 
-func (e *ear) answer() Answer {
+func (e *recordingListener) waitAnswer() Answer {
 	e.t.Helper()
 	select {
-	case <-e.done:
+	case <-e.answered:
 	case <-time.After(5 * time.Second):
 		e.t.Fatal("no answer")
 	}
@@ -123,7 +123,7 @@
 	return e.answers[0]
 }
 
-func (e *ear) close() {
+func (e *recordingListener) waitClosed() {
 	e.t.Helper()
 	select {
 	case <-e.closed:
@@ -132,51 +132,51 @@
 	}
 }
 
-type rig struct {
-	*Owner
-	c    *carrier
-	mu   sync.Mutex
-	told []string
+type harness struct {
+	*Orchestrator
+	executor *fakeExecutor
+	mu       sync.Mutex
+	eventLog []string
 
-	marks, marked atomic.Int64
+	markersSent, markersSeen atomic.Int64
 }
 
 // events are what the module was told. An event of the test's own goes through the owner first: a listener
 // hears that a request is closed before the module is told its end, and what was told then is not all yet.
-func (r *rig) events() string {
-	mark := control.PeerMessage{Data: strconv.FormatInt(r.marks.Add(1), 10)}
-	r.Event(mark)
-	for deadline := time.Now().Add(10 * time.Second); r.marked.Load() < r.marks.Load() && time.Now().Before(deadline); {
+func (r *harness) loggedEvents() string {
+	mark := control.PeerMessage{Data: strconv.FormatInt(r.markersSent.Add(1), 10)}
+	r.AddEvent(mark)
+	for deadline := time.Now().Add(10 * time.Second); r.markersSeen.Load() < r.markersSent.Load() && time.Now().Before(deadline); {
 		time.Sleep(100 * time.Microsecond)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return strings.Join(r.told, "; ")
+	return strings.Join(r.eventLog, "; ")
 }
 
 // start runs an owner whose module is a script.
-func start(t *testing.T, most int, setUp func(context.Context, Attempt) Result, decide scripted) *rig {
-	r := &rig{c: &carrier{t: t, out: map[string]int{}, setUp: setUp}}
+func startHarness(t *testing.T, most int, setUp func(context.Context, Attempt) Result, decide deciderFunc) *harness {
+	r := &harness{executor: &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: setUp}}
 	begin := time.Now()
 	told := func(now time.Duration, e control.Event) []control.Action {
 		r.mu.Lock()
 		switch e := e.(type) {
 		case control.AttemptEnded:
-			r.told = append(r.told, fmt.Sprintf("ended %s#%d %s final=%v", e.Server, e.Attempt, Name(e.Outcome), e.Final))
+			r.eventLog = append(r.eventLog, fmt.Sprintf("ended %s#%d %s final=%v", e.Server, e.Attempt, OutcomeName(e.Outcome), e.Final))
 		case control.SessionStarted:
-			r.told = append(r.told, "started "+e.Server)
+			r.eventLog = append(r.eventLog, "started "+e.Server)
 		case control.ViewerLeft:
-			r.told = append(r.told, "left")
+			r.eventLog = append(r.eventLog, "left")
 		case control.TimerFired:
-			r.told = append(r.told, "timer "+e.Label)
+			r.eventLog = append(r.eventLog, "timer "+e.Label)
 		case control.PeerMessage:
-			defer r.marked.Add(1)
+			defer r.markersSeen.Add(1)
 		}
 		r.mu.Unlock()
 		return decide(now, e)
 	}
-	r.Owner = New(Options{Queue: 64, MaxAttempts: most, Slack: 40 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
-		Decider: scripted(told), Carrier: r.c, Now: func() time.Duration { return time.Since(begin) }})
+	r.Orchestrator = New(Options{QueueSize: 64, MaxAttempts: most, AnswerSlack: 40 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
+		Decider: deciderFunc(told), Executor: r.executor, Now: func() time.Duration { return time.Since(begin) }})
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() { r.Run(ctx); close(over) }()
@@ -184,23 +184,23 @@
 	return r
 }
 
-func (r *rig) ask(t *testing.T, id string, due time.Duration) *ear {
-	e := newEar(t)
-	if !r.Request(control.Request{ID: id, GiveUpAt: r.Now() + due}, e) {
+func (r *harness) submit(t *testing.T, id string, due time.Duration) *recordingListener {
+	e := newRecordingListener(t)
+	if !r.Submit(control.Request{ID: id, GiveUpAt: r.Now() + due}, e) {
 		t.Fatal("not taken")
 	}
 	return e
 }
 
-func served(context.Context, Attempt) Result { return Result{Outcome: control.Served} }
+func setUpServes(context.Context, Attempt) Result { return Result{Outcome: control.Served} }
 
-func hangs(ctx context.Context, _ Attempt) Result {
+func setUpHangs(ctx context.Context, _ Attempt) Result {
 	<-ctx.Done()
 	return Result{Outcome: control.Reset}
 }
 
 // one sends each request to a, then by next to where it says.
-func one(next func(e control.AttemptEnded) []control.Action) scripted {
+func sendToA(next func(e control.AttemptEnded) []control.Action) deciderFunc {
 	return func(_ time.Duration, e control.Event) []control.Action {
 		switch e := e.(type) {
 		case control.Request:
--- a/internal/core/run_test.go
+++ b/internal/core/run_test.go
@@ -18,7 +18,7 @@
 
 // Every other action reaches the carrier; a move ends the session and marks it.
 func TestOtherActions(t *testing.T) {
-	r := start(t, 5, served, func(_ time.Duration, e control.Event) []control.Action {
+	r := startHarness(t, 5, setUpServes, func(_ time.Duration, e control.Event) []control.Action {
 		switch e := e.(type) {
 		case control.Request:
 			return []control.Action{control.Send{ID: e.ID, Server: "a"}, control.Probe{Server: "p"}, control.Subscribe{}, control.ReadList{},
@@ -28,13 +28,13 @@
 		}
 		return nil
 	})
-	e := r.ask(t, "x", time.Second)
-	e.answer()
-	e.close()
-	if got := strings.Join(r.c.other, "; "); got != "probe p; subscribe; read; tell 3 d; rung x 4" {
+	e := r.submit(t, "x", time.Second)
+	e.waitAnswer()
+	e.waitClosed()
+	if got := strings.Join(r.executor.calls, "; "); got != "probe p; subscribe; read; tell 3 d; rung x 4" {
 		t.Error(got)
 	}
-	if got := strings.Join(e.heard, "; "); got != "rung 4; ended cancelled true" {
+	if got := strings.Join(e.changes, "; "); got != "rung 4; ended cancelled true" {
 		t.Error(got)
 	}
 }
@@ -42,18 +42,18 @@
 // Requests faster than the queue drains are turned away at once; what was taken is answered.
 func TestOverload(t *testing.T) {
 	block := make(chan struct{})
-	r := start(t, 5, served, func(_ time.Duration, e control.Event) []control.Action {
+	r := startHarness(t, 5, setUpServes, func(_ time.Duration, e control.Event) []control.Action {
 		if q, ok := e.(control.Request); ok {
 			<-block
 			return []control.Action{control.Refuse{ID: q.ID}}
 		}
 		return nil
 	})
-	var taken []*ear
+	var taken []*recordingListener
 	away := 0
 	for i := range 1000 {
-		e := newEar(t)
-		if r.Request(control.Request{ID: fmt.Sprint(i), GiveUpAt: r.Now() + 10*time.Second}, e) {
+		e := newRecordingListener(t)
+		if r.Submit(control.Request{ID: fmt.Sprint(i), GiveUpAt: r.Now() + 10*time.Second}, e) {
 			taken = append(taken, e)
 		} else {
 			away++
@@ -64,7 +64,7 @@
 	}
 	close(block)
 	for _, e := range taken {
-		if a := e.answer(); a.Kind != Refused {
+		if a := e.waitAnswer(); a.Kind != Refused {
 			t.Fatalf("answer %+v", a)
 		}
 	}
@@ -72,9 +72,9 @@
 
 // When the owner ends, what it owes is answered.
 func TestStopAnswers(t *testing.T) {
-	r := &rig{c: &carrier{t: t, out: map[string]int{}, setUp: hangs}}
-	r.Owner = New(Options{Queue: 4, Log: slog.New(slog.DiscardHandler), Carrier: r.c, Now: func() time.Duration { return 0 },
-		Decider: scripted(func(_ time.Duration, e control.Event) []control.Action {
+	r := &harness{executor: &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: setUpHangs}}
+	r.Orchestrator = New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: r.executor, Now: func() time.Duration { return 0 },
+		Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 			if q, ok := e.(control.Request); ok {
 				return []control.Action{control.Send{ID: q.ID, Server: "a"}}
 			}
@@ -83,17 +83,17 @@
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() { r.Run(ctx); close(over) }()
-	e := newEar(t)
-	r.Request(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
+	e := newRecordingListener(t)
+	r.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
 	for r.Stats.Attempts.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	stop()
 	<-over
-	if a := e.answer(); a.Kind != Failed {
+	if a := e.waitAnswer(); a.Kind != Failed {
 		t.Errorf("answer %+v", a)
 	}
-	r.Leave("x", e) // after the end: does not wait for ever
+	r.ViewerLeft("x", e) // after the end: does not wait for ever
 }
 
 // Whatever a module orders and servers do, each request has one answer in time, each attempt one end, and
@@ -151,26 +151,26 @@
 			}
 			return out
 		}
-		c := &carrier{t: t, out: map[string]int{}, setUp: setUp}
+		c := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: setUp}
 		begin := time.Now()
-		o := New(Options{Queue: 64, MaxAttempts: 4, Slack: 10 * time.Millisecond, Log: slog.New(slog.DiscardHandler), Carrier: c,
-			Decider: scripted(decide), Now: func() time.Duration { return time.Since(begin) }})
+		o := New(Options{QueueSize: 64, MaxAttempts: 4, AnswerSlack: 10 * time.Millisecond, Log: slog.New(slog.DiscardHandler), Executor: c,
+			Decider: deciderFunc(decide), Now: func() time.Duration { return time.Since(begin) }})
 		ctx, stop := context.WithCancel(context.Background())
 		over := make(chan struct{})
 		go func() { o.Run(ctx); close(over) }()
-		var ears []*ear
+		var ears []*recordingListener
 		for i := range n {
-			e := newEar(t)
+			e := newRecordingListener(t)
 			ears = append(ears, e)
-			o.Request(control.Request{ID: fmt.Sprint(i), GiveUpAt: o.Now() + 20*time.Millisecond}, e)
+			o.Submit(control.Request{ID: fmt.Sprint(i), GiveUpAt: o.Now() + 20*time.Millisecond}, e)
 			if draw(4) == 0 {
 				left := draw(i + 1)
-				o.Leave(fmt.Sprint(left), ears[left])
+				o.ViewerLeft(fmt.Sprint(left), ears[left])
 			}
 		}
 		for i, e := range ears {
 			select {
-			case <-e.done:
+			case <-e.answered:
 			case <-e.closed: // its viewer left
 			case <-time.After(5 * time.Second):
 				rt.Fatalf("request %d has no answer", i)
@@ -186,10 +186,10 @@
 func TestBudgetOverRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
-		c := &carrier{t: t, out: map[string]int{}, setUp: func(context.Context, Attempt) Result { return Result{Outcome: control.Failed} }}
-		o := New(Options{Queue: 64, MaxAttempts: 5, Slack: 40 * time.Millisecond, Log: slog.New(slog.DiscardHandler), Carrier: c,
+		c := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: func(context.Context, Attempt) Result { return Result{Outcome: control.Failed} }}
+		o := New(Options{QueueSize: 64, MaxAttempts: 5, AnswerSlack: 40 * time.Millisecond, Log: slog.New(slog.DiscardHandler), Executor: c,
 			Budget: Budget{Span: 10 * time.Second, Share: 0.2}, Now: func() time.Duration { return time.Since(begin) },
-			Decider: scripted(func(_ time.Duration, e control.Event) []control.Action {
+			Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 				switch e := e.(type) {
 				case control.Request:
 					return []control.Action{control.Send{ID: e.ID, Server: "a"}}
@@ -208,18 +208,18 @@
 		go o.Run(ctx)
 		ask := func(n int) {
 			for range n {
-				e := newEar(t)
-				o.Request(control.Request{ID: fmt.Sprint(o.Stats.Requests.Load()), GiveUpAt: o.Now() + time.Second}, e)
+				e := newRecordingListener(t)
+				o.Submit(control.Request{ID: fmt.Sprint(o.Stats.Requests.Load()), GiveUpAt: o.Now() + time.Second}, e)
 				<-e.closed
 			}
 		}
 		ask(20)
-		if got := o.Stats.Further.Load(); got != 4 {
+		if got := o.Stats.FurtherAttempts.Load(); got != 4 {
 			t.Errorf("%d further attempts of 20 requests right after the start, want 0.2 of them", got)
 		}
 		time.Sleep(10 * time.Second)
 		ask(3)
-		if got := o.Stats.Further.Load(); got != 7 {
+		if got := o.Stats.FurtherAttempts.Load(); got != 7 {
 			t.Errorf("%d further attempts, want the module's word to stand after the span", got)
 		}
 		stop()
--- a/internal/core/rush_test.go
+++ b/internal/core/rush_test.go
@@ -13,8 +13,8 @@
 // BenchmarkRush is a rush of 200 requests at once, each refused by a module that takes no time.
 func BenchmarkRush(b *testing.B) {
 	const rush = 200
-	o := New(Options{Queue: rush, Log: slog.New(slog.DiscardHandler), Carrier: &carrier{t: b, out: map[string]int{}}, Now: func() time.Duration { return 0 },
-		Decider: scripted(func(_ time.Duration, e control.Event) []control.Action {
+	o := New(Options{QueueSize: rush, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: b, inFlight: map[string]int{}}, Now: func() time.Duration { return 0 },
+		Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 			if r, ok := e.(control.Request); ok {
 				return []control.Action{control.Refuse{ID: r.ID}}
 			}
@@ -25,11 +25,11 @@
 	go func() { o.Run(ctx); close(over) }()
 	defer func() { stop(); <-over }()
 	for round := range b.N {
-		var last *ear
+		var last *recordingListener
 		for i := range rush {
-			last = newEar(b)
-			o.Request(control.Request{ID: fmt.Sprint(round, "-", i), GiveUpAt: time.Hour}, last)
+			last = newRecordingListener(b)
+			o.Submit(control.Request{ID: fmt.Sprint(round, "-", i), GiveUpAt: time.Hour}, last)
 		}
-		last.answer()
+		last.waitAnswer()
 	}
 }
--- a/internal/core/sameid_test.go
+++ b/internal/core/sameid_test.go
@@ -11,31 +11,31 @@
 // The tests of this file have an id used again by a later request. What concerns the earlier one leaves that alone.
 
 // failsFirst is a module that fails the first request at once and sends on those behind it.
-func failsFirst() scripted {
+func failFirstRequest() deciderFunc {
 	later := false
 	return func(now time.Duration, e control.Event) []control.Action {
 		if r, ok := e.(control.Request); ok && !later {
 			later = true
 			return []control.Action{control.Fail{ID: r.ID}}
 		}
-		return one(nil)(now, e)
+		return sendToA(nil)(now, e)
 	}
 }
 
 // TestLeaveOfEarlierRequest: the leave of a request comes late, when another one is open under its id.
 func TestLeaveOfEarlierRequest(t *testing.T) {
 	release := make(chan struct{})
-	r := start(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} }, failsFirst())
-	earlier := r.ask(t, "x", time.Minute)
-	earlier.close()
-	later := r.ask(t, "x", time.Minute)
-	r.Leave("x", earlier)
-	for r.Queued() > 0 {
+	r := startHarness(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} }, failFirstRequest())
+	earlier := r.submit(t, "x", time.Minute)
+	earlier.waitClosed()
+	later := r.submit(t, "x", time.Minute)
+	r.ViewerLeft("x", earlier)
+	for r.QueueLen() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	r.events() // by now the owner has seen what it took
+	r.loggedEvents() // by now the owner has seen what it took
 	close(release)
-	if a := later.answer(); a.Kind != Plays {
+	if a := later.waitAnswer(); a.Kind != Playing {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -43,13 +43,13 @@
 // TestBackstopOfEarlierRequest: the deadline of a request comes when another one is open under its id, which has more time.
 func TestBackstopOfEarlierRequest(t *testing.T) {
 	release := make(chan struct{})
-	r := start(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} }, failsFirst())
-	earlier := r.ask(t, "x", 20*time.Millisecond)
-	earlier.close()
-	later := r.ask(t, "x", time.Minute)
+	r := startHarness(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} }, failFirstRequest())
+	earlier := r.submit(t, "x", 20*time.Millisecond)
+	earlier.waitClosed()
+	later := r.submit(t, "x", time.Minute)
 	time.Sleep(100 * time.Millisecond)
 	close(release)
-	if a := later.answer(); a.Kind != Plays || r.Stats.Overdue.Load() != 0 {
+	if a := later.waitAnswer(); a.Kind != Playing || r.Stats.Overdue.Load() != 0 {
 		t.Errorf("answer %+v, %d overdue", a, r.Stats.Overdue.Load())
 	}
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -16,33 +16,33 @@
 
 // timerHeap keeps timers by time, those of one time in the order in which they were set.
 type timerHeap struct {
-	list []timer
-	set  uint64
+	timers    []timer
+	lastOrder uint64
 }
 
 func (h *timerHeap) less(i, j int) bool {
-	a, b := &h.list[i], &h.list[j]
+	a, b := &h.timers[i], &h.timers[j]
 	return a.at < b.at || a.at == b.at && a.order < b.order
 }
 
 func (h *timerHeap) push(t timer) {
-	h.set++
-	t.order = h.set
-	h.list = append(h.list, t)
-	for i := len(h.list) - 1; i > 0; {
+	h.lastOrder++
+	t.order = h.lastOrder
+	h.timers = append(h.timers, t)
+	for i := len(h.timers) - 1; i > 0; {
 		up := (i - 1) / 2
 		if !h.less(i, up) {
 			break
 		}
-		h.list[i], h.list[up] = h.list[up], h.list[i]
+		h.timers[i], h.timers[up] = h.timers[up], h.timers[i]
 		i = up
 	}
 }
 
 func (h *timerHeap) pop() timer {
-	t, last := h.list[0], len(h.list)-1
-	h.list[0] = h.list[last]
-	h.list = h.list[:last]
+	t, last := h.timers[0], len(h.timers)-1
+	h.timers[0] = h.timers[last]
+	h.timers = h.timers[:last]
 	for i := 0; ; {
 		low := i
 		for c := 2*i + 1; c <= 2*i+2 && c < last; c++ {
@@ -53,36 +53,36 @@
 		if low == i {
 			return t
 		}
-		h.list[i], h.list[low] = h.list[low], h.list[i]
+		h.timers[i], h.timers[low] = h.timers[low], h.timers[i]
 		i = low
 	}
 }
 
-func (o *Owner) untilNext() time.Duration {
-	if len(o.timers.list) == 0 {
+func (o *Orchestrator) untilNextTimer() time.Duration {
+	if len(o.timers.timers) == 0 {
 		return time.Hour
 	}
-	return max(o.timers.list[0].at-o.Now(), 0)
+	return max(o.timers.timers[0].at-o.Now(), 0)
 }
 
 // fire tells timers that are due. The backstop answers a request of which the module said nothing in
 // time: a viewer that waits for ever is worse than one that is told of a failure.
-func (o *Owner) fire() {
+func (o *Orchestrator) fireTimers() {
 	now := o.Now()
-	for len(o.timers.list) > 0 && o.timers.list[0].at <= now {
+	for len(o.timers.timers) > 0 && o.timers.timers[0].at <= now {
 		t := o.timers.pop()
 		if t.backstop == nil {
-			o.tell(control.TimerFired{Label: t.label})
+			o.addToBatch(control.TimerFired{Label: t.label})
 			continue
 		}
-		if r := t.backstop; o.open[r.ID] == r && !r.answered && !r.gone {
+		if r := t.backstop; o.openRequests[r.ID] == r && !r.answered && !r.viewerLeft {
 			o.Stats.Overdue.Add(1)
 			o.Log.Error("answer overdue", "session", r.ID)
 			o.answer(r, Answer{Kind: Failed}, byBackstop)
-			if r.out {
-				r.cancel(errCancelled)
+			if r.inFlight {
+				r.cancelAttempt(errCancelled)
 			}
-			o.tell(control.ViewerLeft{ID: r.ID})
+			o.addToBatch(control.ViewerLeft{ID: r.ID})
 		}
 	}
 }
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -22,26 +22,26 @@
 // connection, and waiting again if that connection ends soon after. It is forgotten once the peer has confirmed it, or
 // when its lifetime is over. The zero value is not usable; see New.
 type Pending[T any] struct {
-	lifetime time.Duration
-	doubt    time.Duration
-	waiting  map[string]*entry[T]
-	sent     map[string]*entry[T]
-	added    uint64
+	lifetime   time.Duration
+	lossWindow time.Duration
+	waiting    map[string]*entry[T]
+	sent       map[string]*entry[T]
+	lastOrder  uint64
 }
 
 // entry is one message and where it is.
 type entry[T any] struct {
-	value  T
-	order  uint64 // of the message among all that were added
-	at     time.Duration
-	sentOn ConnectionID // the last one
-	sentAt time.Duration
+	value   T
+	order   uint64 // of the message among all that were added
+	addedAt time.Duration
+	sentOn  ConnectionID // the last one
+	sentAt  time.Duration
 }
 
 // New returns an empty set. A message is kept for lifetime after it was added. A message whose connection ended more
 // than doubt after it was sent counts as delivered.
 func New[T any](lifetime, doubt time.Duration) *Pending[T] {
-	return &Pending[T]{lifetime: lifetime, doubt: doubt, waiting: map[string]*entry[T]{}, sent: map[string]*entry[T]{}}
+	return &Pending[T]{lifetime: lifetime, lossWindow: doubt, waiting: map[string]*entry[T]{}, sent: map[string]*entry[T]{}}
 }
 
 // Len is the number of messages that are held, sent or not.
@@ -55,8 +55,8 @@
 	if p.waiting[key] != nil || p.sent[key] != nil {
 		return
 	}
-	p.added++
-	p.waiting[key] = &entry[T]{value: value, order: p.added, at: now}
+	p.lastOrder++
+	p.waiting[key] = &entry[T]{value: value, order: p.lastOrder, addedAt: now}
 }
 
 // Waiting lists the messages that have to be sent, in the order in which they were added.
@@ -72,7 +72,7 @@
 }
 
 // Sent says that a waiting message was handed to a connection.
-func (p *Pending[T]) Sent(key string, on ConnectionID, now time.Duration) {
+func (p *Pending[T]) MarkSent(key string, on ConnectionID, now time.Duration) {
 	e := p.waiting[key]
 	if e == nil {
 		return
@@ -83,7 +83,7 @@
 }
 
 // Confirmed says that the peer has the message.
-func (p *Pending[T]) Confirmed(key string) {
+func (p *Pending[T]) Confirm(key string) {
 	delete(p.waiting, key)
 	delete(p.sent, key)
 }
@@ -96,7 +96,7 @@
 			continue
 		}
 		delete(p.sent, key)
-		if now-e.sentAt <= p.doubt {
+		if now-e.sentAt <= p.lossWindow {
 			p.waiting[key] = e
 			again++
 		}
@@ -108,13 +108,13 @@
 // which they were added.
 func (p *Pending[T]) Expire(now time.Duration) (undelivered []string) {
 	for _, m := range p.Waiting() {
-		if now-p.waiting[m.Key].at > p.lifetime {
+		if now-p.waiting[m.Key].addedAt > p.lifetime {
 			undelivered = append(undelivered, m.Key)
 			delete(p.waiting, m.Key)
 		}
 	}
 	for key, e := range p.sent {
-		if now-e.at > p.lifetime {
+		if now-e.addedAt > p.lifetime {
 			delete(p.sent, key)
 		}
 	}
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	lifetime = 8 * time.Second
-	doubt    = time.Second
+	lifetime   = 8 * time.Second
+	lossWindow = time.Second
 
 	noConnection ConnectionID = 0
 )
@@ -19,7 +19,7 @@
 // modelEntry is one message in the plainest model: a list that is searched.
 type modelEntry struct {
 	key     string
-	at      time.Duration
+	addedAt time.Duration
 	sentOn  ConnectionID // noConnection while it waits
 	sentAt  time.Duration
 	settled bool // confirmed, or its connection outlived the doubt
@@ -54,7 +54,7 @@
 	key := fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "key"))
 	m.pending.Add(key, len(m.model), m.now)
 	if m.find(key) == nil {
-		m.model = append(m.model, &modelEntry{key: key, at: m.now})
+		m.model = append(m.model, &modelEntry{key: key, addedAt: m.now})
 	}
 }
 
@@ -69,7 +69,7 @@
 	}
 	on := rapid.SampledFrom(m.open).Draw(t, "connection")
 	for _, message := range m.pending.Waiting() {
-		m.pending.Sent(message.Key, on, m.now)
+		m.pending.MarkSent(message.Key, on, m.now)
 		e := m.find(message.Key)
 		e.sentOn, e.sentAt = on, m.now
 	}
@@ -77,7 +77,7 @@
 
 func (m *pendingMachine) Confirm(t *rapid.T) {
 	e := m.drawEntry(t)
-	m.pending.Confirmed(e.key)
+	m.pending.Confirm(e.key)
 	e.settled = true
 }
 
@@ -93,7 +93,7 @@
 		if e.settled || e.sentOn != ended {
 			continue
 		}
-		if m.now-e.sentAt > doubt {
+		if m.now-e.sentAt > lossWindow {
 			e.settled = true
 			continue
 		}
@@ -112,14 +112,14 @@
 func (m *pendingMachine) Expire(t *rapid.T) {
 	var want []string
 	for _, e := range m.model {
-		if !e.settled && m.now-e.at > lifetime && e.sentOn == noConnection {
+		if !e.settled && m.now-e.addedAt > lifetime && e.sentOn == noConnection {
 			want = append(want, e.key)
 		}
 	}
 	if got := m.pending.Expire(m.now); !slices.Equal(got, want) {
 		t.Fatalf("undelivered %v, want %v", got, want)
 	}
-	m.model = slices.DeleteFunc(m.model, func(e *modelEntry) bool { return m.now-e.at > lifetime })
+	m.model = slices.DeleteFunc(m.model, func(e *modelEntry) bool { return m.now-e.addedAt > lifetime })
 }
 
 // Check compares what waits, and that nothing is held that has settled.
@@ -149,7 +149,7 @@
 // TestInterleavings: whatever the order of events, a message waits, is on a connection that lives, or has arrived.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &pendingMachine{pending: New[int](lifetime, doubt)}
+		m := &pendingMachine{pending: New[int](lifetime, lossWindow)}
 		t.Repeat(rapid.StateMachineActions(m))
 	})
 }
--- a/internal/edge/adopt.go
+++ b/internal/edge/adopt.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"rainpulley/control"
+	"rainpulley/internal/admission"
 	"rainpulley/internal/bound"
 	"rainpulley/internal/hls"
-	"rainpulley/internal/join"
 	"rainpulley/internal/view"
 )
 
@@ -66,7 +66,7 @@
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.state != join.None {
+	if s.state != admission.None {
 		e.Log.Info("held session let go: its viewer has a new one", "session", h.ID, "server", server)
 		e.boxes.Release(h.ID, server, 0)
 		return
@@ -74,7 +74,7 @@
 	y := &try{id: h.ID, s: s, e: e, answered: make(chan struct{}), closed: make(chan struct{})}
 	close(y.answered)
 	now := e.now()
-	s.try, s.tries, s.state, s.since, s.started = y, 1, join.Playing, now, true
+	s.try, s.tries, s.state, s.since, s.started = y, 1, admission.Playing, now, true
 	s.origin = now - bound.Ms(h.Since)
 	s.server, s.source, s.rung, s.want = server, src, h.Rung, h.Rung
 	s.window.Aim("http://"+server, token(y.id), track, 0)
--- a/internal/edge/boxes.go
+++ b/internal/edge/boxes.go
@@ -215,7 +215,7 @@
 		if err == nil {
 			out.OK, out.Load = p.Status == 200, readLoad(p)
 		}
-		b.e.owner.Event(out)
+		b.e.owner.AddEvent(out)
 	})
 }
 
@@ -348,7 +348,7 @@
 	}
 	b.mu.Unlock()
 	if len(ids) > 0 {
-		b.e.owner.Lost(server, ids)
+		b.e.owner.SessionsLost(server, ids)
 	}
 }
 
@@ -376,7 +376,7 @@
 	case l.End:
 		b.lost(server, f, func(id string, _ time.Duration) bool { return id == l.Session })
 	case l.Kind >= control.NoteShare && l.Kind <= control.NoteUplink && l.Value >= 0:
-		b.e.owner.Note(control.Note{ID: l.Session, Server: server, Kind: l.Kind, Value: l.Value})
+		b.e.owner.AddNote(control.Note{ID: l.Session, Server: server, Kind: l.Kind, Value: l.Value})
 	}
 	return nil
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -20,11 +20,11 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"rainpulley/control"
+	"rainpulley/internal/admission"
 	"rainpulley/internal/bound"
 	"rainpulley/internal/config"
 	"rainpulley/internal/core"
 	"rainpulley/internal/http1"
-	"rainpulley/internal/join"
 	"rainpulley/internal/view"
 )
 
@@ -47,7 +47,7 @@
 type Edge struct {
 	Options
 	set     control.Settings
-	owner   *core.Owner
+	owner   *core.Orchestrator
 	boxes   *boxes
 	table   *table
 	sources *sources
@@ -108,9 +108,9 @@
 	}
 	e.boxes = newBoxes(e)
 	e.sources = &sources{e: e, byPath: map[string]sourceEntry{}}
-	e.owner = core.New(core.Options{Queue: o.Site.Limits.Queue, MaxAttempts: o.Site.Attempts.Most, Slack: o.Site.Rules.AnswerSlack.D(),
+	e.owner = core.New(core.Options{QueueSize: o.Site.Limits.Queue, MaxAttempts: o.Site.Attempts.Most, AnswerSlack: o.Site.Rules.AnswerSlack.D(),
 		Budget: core.Budget{Span: e.set.BudgetSpan, Share: e.set.BudgetShare},
-		Log:    o.Log, Decider: d, Carrier: e.boxes, Now: e.now})
+		Log:    o.Log, Decider: d, Executor: e.boxes, Now: e.now})
 	e.fleet.Store(&fleet{titles: map[string]view.Title{}})
 	e.metrics = e.newMetrics()
 	e.playback.Store(&o.Site.Playback)
@@ -183,7 +183,7 @@
 func (e *Edge) idPrefix() string { return "e" + strconv.Itoa(e.Position) + "-" }
 
 // ask hands a session's next try to the module. s.mu is held.
-func (e *Edge) ask(s *session, d join.Decision, patience time.Duration) (*try, bool) {
+func (e *Edge) ask(s *session, d admission.Decision, patience time.Duration) (*try, bool) {
 	y := &try{id: e.nextID(), title: s.title.Name, best: s.best, s: s, e: e, answered: make(chan struct{}), closed: make(chan struct{})}
 	now := e.now()
 	length := bound.Ms(s.title.Length)
@@ -196,15 +196,15 @@
 	if s.title.Listed {
 		r.Holders = s.title.Holders
 	}
-	s.try, s.state, s.since = y, join.Pending, now
+	s.try, s.state, s.since = y, admission.Pending, now
 	s.tries++
 	e.Log.Info("request", "session", y.id, "viewer", s.key, "title", s.title.Name, "class", e.Site.Classes[s.class].Name,
 		"best", s.best, "try", s.tries, "returned", d.Returned)
 	if !d.Returned {
 		e.holds.arrive(e.Site.Classes[s.class].Name, s.title.Name)
 	}
-	if !e.owner.Request(r, y) {
-		s.state = join.Answered
+	if !e.owner.Submit(r, y) {
+		s.state = admission.Unsuccessful
 		return nil, false
 	}
 	return y, true
@@ -242,24 +242,24 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			switch {
-			case s.state == join.Playing && s.window.Ended():
+			case s.state == admission.Playing && s.window.Ended():
 				if now-s.origin >= s.source.length(s.rung) {
 					out = append(out, s.try.id)
 				}
-			case s.state == join.Playing:
+			case s.state == admission.Playing:
 				if now-time.Duration(s.seen.Load()) > e.playback.Load().Silence.D() {
 					left = append(left, s.try)
 				}
-			case s.state == join.Lost || s.state == join.Over || s.state == join.Answered:
+			case s.state == admission.Lost || s.state == admission.Ended || s.state == admission.Unsuccessful:
 				return now-s.since < forgetAfter
 			}
 			return true
 		})
 		for _, y := range left {
-			e.owner.Leave(y.id, y)
+			e.owner.ViewerLeft(y.id, y)
 		}
 		for _, id := range out {
-			e.owner.PlayedOut(id)
+			e.owner.SessionFinished(id)
 		}
 	}
 }
@@ -270,7 +270,7 @@
 	for {
 		s.mu.Lock()
 		want, src := s.want, s.source
-		if s.try != y || s.state != join.Playing || want == s.rung {
+		if s.try != y || s.state != admission.Playing || want == s.rung {
 			s.changing = false
 			s.mu.Unlock()
 			return
@@ -288,9 +288,9 @@
 			e.Log.Warn("rung not changed", "session", y.id, "server", server, "rung", want, "error", err)
 			if s.want == want { // the module is told what is in force
 				s.want = s.rung
-				go e.owner.Event(control.Note{ID: y.id, Server: server, Kind: control.NoteRung, Value: float64(s.rung)})
+				go e.owner.AddEvent(control.Note{ID: y.id, Server: server, Kind: control.NoteRung, Value: float64(s.rung)})
 			}
-		} else if s.try == y && s.state == join.Playing && s.server == server {
+		} else if s.try == y && s.state == admission.Playing && s.server == server {
 			s.rung = want
 			s.window.Aim("http://"+server, token(y.id), track, 0)
 		}
@@ -300,8 +300,8 @@
 
 // turnAway is decided before a request is taken.
 func (e *Edge) turnAway() (bool, time.Duration) {
-	return join.Advice(join.Overload{Queued: e.owner.Queued(), Queue: e.Site.Limits.Queue,
-		Sessions: int(e.table.size.Load()), Allowed: e.Site.Limits.Sessions}, mrand.Float64())
+	return admission.CheckCapacity(admission.Usage{Queued: e.owner.QueueLen(), QueueLimit: e.Site.Limits.Queue,
+		Sessions: int(e.table.size.Load()), SessionLimit: e.Site.Limits.Sessions}, mrand.Float64())
 }
 
 var errUnknownTitle = errors.New("no such title")
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -87,7 +87,7 @@
 			u.Servers = append(u.Servers, s)
 		}
 	}
-	e.owner.Event(u)
+	e.owner.AddEvent(u)
 	e.Log.Info("view", "version", v.Version, "boxes", len(v.Boxes), "titles", len(v.Titles), "changed", len(l.Boxes), "cached", cached)
 	if !cached {
 		e.keepLast(v)
@@ -143,7 +143,7 @@
 		l, err := b.readView(ctx)
 		if err != nil {
 			b.e.Log.Warn("list not read", "error", err)
-			b.e.owner.Event(control.ListUpdate{Failed: true})
+			b.e.owner.AddEvent(control.ListUpdate{Failed: true})
 			return
 		}
 		u := control.ListUpdate{Whole: true}
@@ -152,7 +152,7 @@
 				u.Servers = append(u.Servers, s)
 			}
 		}
-		b.e.owner.Event(u)
+		b.e.owner.AddEvent(u)
 	})
 }
 
@@ -281,6 +281,6 @@
 			e.Log.Debug("datagram dropped", "from", from.String(), "bytes", n)
 			continue
 		}
-		e.owner.Event(control.PeerMessage{From: who, Data: text[len(peerMark):]})
+		e.owner.AddEvent(control.PeerMessage{From: who, Data: text[len(peerMark):]})
 	}
 }
--- a/internal/edge/handle.go
+++ b/internal/edge/handle.go
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
+	"rainpulley/internal/admission"
 	"rainpulley/internal/bound"
 	"rainpulley/internal/core"
 	"rainpulley/internal/hls"
 	"rainpulley/internal/http1"
-	"rainpulley/internal/join"
 )
 
 const playlistType = "application/vnd.apple.mpegurl" // RFC 8216, 4
@@ -68,7 +68,7 @@
 		e.badAsk(x, err)
 		return
 	}
-	e.serve(ctx, x, ask, join.Play)
+	e.serve(ctx, x, ask, admission.Play)
 }
 
 // badAsk answers a request that asks for what there is not.
@@ -208,7 +208,7 @@
 		e.badAsk(x, err)
 		return
 	}
-	e.serve(ctx, x, a, join.Reload)
+	e.serve(ctx, x, a, admission.Reload)
 }
 
 // cutName splits class/title/key from what follows.
@@ -236,7 +236,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.state != join.Playing {
+	if s.state != admission.Playing {
 		return false
 	}
 	s.seen.Store(int64(now))
@@ -317,9 +317,9 @@
 }
 
 // serve settles a request that is not simply a reload of what plays.
-func (e *Edge) serve(ctx context.Context, x *http1.Exchange, a ask, k join.Kind) {
+func (e *Edge) serve(ctx context.Context, x *http1.Exchange, a ask, k admission.RequestKind) {
 	due := e.now() + a.patience
-	if k == join.Reload && e.reclaiming != nil && e.table.find(a.name) == nil {
+	if k == admission.Reload && e.reclaiming != nil && e.table.find(a.name) == nil {
 		e.awaitReclaim(a.name)
 	}
 	if turn, after := e.turnAway(); turn && e.table.find(a.name) == nil {
@@ -332,17 +332,17 @@
 	for {
 		s.mu.Lock()
 		s.seen.Store(int64(e.now()))
-		d := join.Decide(join.Session{State: s.state, Moved: s.moved, Since: s.since}, k, e.now(), a.position > 0)
+		d := admission.Decide(admission.Session{State: s.state, Moved: s.moved, Since: s.since}, k, e.now(), a.position > 0)
 		y := s.try
-		switch d.Verdict {
-		case join.Serve:
+		switch d.Action {
+		case admission.Serve:
 			e.write(ctx, x, s, a, k) // unlocks
 			return
-		case join.Absent:
+		case admission.NotFound:
 			s.mu.Unlock()
 			e.no(x, 410, "this session is over")
 			return
-		case join.Hold:
+		case admission.Defer:
 			s.mu.Unlock()
 			select {
 			case <-y.closed:
@@ -351,11 +351,11 @@
 				e.refuse(x, time.Second)
 				return
 			}
-		case join.Try:
+		case admission.SetUp:
 			s.title, s.best = e.fleet.Load().titles[a.title], a.best
 			switch {
 			case d.Returned && s.position > 0: // where it stood when the server was lost
-			case k == join.Reload:
+			case k == admission.Reload:
 				s.position = a.position
 			default: // from the beginning
 				s.position, s.started, s.window = 0, false, hls.Window{}
@@ -372,12 +372,12 @@
 		if !e.await(x, s, y, due) {
 			return
 		}
-		if y.answer.Kind != core.Plays {
+		if y.answer.Kind != core.Playing {
 			e.deny(x, y)
 			return
 		}
 		s.mu.Lock()
-		if s.try == y && s.state == join.Playing {
+		if s.try == y && s.state == admission.Playing {
 			e.write(ctx, x, s, a, k)
 			return
 		}
@@ -416,14 +416,14 @@
 	stop()
 	s.mu.Lock()
 	y.waiting--
-	leave := !ok && y.waiting == 0 && s.try == y && s.state == join.Pending
+	leave := !ok && y.waiting == 0 && s.try == y && s.state == admission.Pending
 	if leave {
-		s.state, s.since = join.Leaving, e.now()
+		s.state, s.since = admission.Leaving, e.now()
 	}
 	s.mu.Unlock()
 	if leave {
 		e.Log.Info("viewer left", "session", y.id)
-		e.owner.Leave(y.id, y)
+		e.owner.ViewerLeft(y.id, y)
 	}
 	if ok {
 		return true
@@ -435,7 +435,7 @@
 
 func (e *Edge) deny(x *http1.Exchange, y *try) {
 	if y.answer.Kind == core.Refused {
-		e.refuse(x, y.answer.After)
+		e.refuse(x, y.answer.RetryAfter)
 		return
 	}
 	e.no(x, 502, "the session could not be set up")
@@ -451,7 +451,7 @@
 }
 
 // write answers with a playlist of a session that plays. It unlocks the session.
-func (e *Edge) write(ctx context.Context, x *http1.Exchange, s *session, a ask, k join.Kind) {
+func (e *Edge) write(ctx context.Context, x *http1.Exchange, s *session, a ask, k admission.RequestKind) {
 	now := e.now()
 	if a.track > 0 {
 		e.rendition(ctx, x, s, a) // unlocks
@@ -462,7 +462,7 @@
 	cors(x)
 	x.Header("Content-Type", playlistType)
 	x.Header("Cache-Control", "no-store")
-	if k == join.Reload {
+	if k == admission.Reload {
 		s.grow(e, now)
 		x.Out = s.window.Append(x.Out)
 		return
@@ -478,6 +478,6 @@
 	x.Out = fmt.Appendf(x.Out, `{"position":%d,"instance":%q,"view":%d,"boxes":%d,"titles":%d,"sessions":%d,"open":%d,`+
 		`"requests":%d,"turned_away":%d,"plays":%d,"refused":%d,"failed":%d,"attempts":%d,"further":%d,"overdue":%d,"notes_lost":%d,"holds":%d}`+"\n",
 		e.Position, e.boot, v.Version, len(v.Boxes), len(v.Titles), e.table.size.Load(), t.Open.Load(), t.Requests.Load(),
-		t.TurnedAway.Load(), t.Plays.Load(), t.Refused.Load(), t.Failed.Load(), t.Attempts.Load(), t.Further.Load(),
-		t.Overdue.Load(), t.NotesLost.Load(), e.holds.inForce())
+		t.QueueFull.Load(), t.Started.Load(), t.Refused.Load(), t.Failed.Load(), t.Attempts.Load(), t.FurtherAttempts.Load(),
+		t.Overdue.Load(), t.NotesDropped.Load(), e.holds.inForce())
 }
--- a/internal/edge/hold.go
+++ b/internal/edge/hold.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"rainpulley/control"
+	"rainpulley/internal/admission"
 	"rainpulley/internal/bound"
-	"rainpulley/internal/join"
 	"rainpulley/internal/view"
 )
 
@@ -54,7 +54,7 @@
 	h.told, h.expires, h.count = len(out.Holds), e.now()+bound.Ms(t.Lease), t.Count
 	h.mu.Unlock()
 	if tell {
-		e.owner.Event(out)
+		e.owner.AddEvent(out)
 	}
 }
 
@@ -69,7 +69,7 @@
 	h.mu.Unlock()
 	if over {
 		e.Log.Warn("holds lapsed: the planner did not renew them")
-		e.owner.Event(control.HoldsUpdate{})
+		e.owner.AddEvent(control.HoldsUpdate{})
 	}
 }
 
@@ -134,7 +134,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		p, ok := peak[e.Site.Classes[s.class].Name+"/"+s.title.Name]
-		if !ok || s.state != join.Playing {
+		if !ok || s.state != admission.Playing {
 			return true
 		}
 		k := [3]string{p, s.title.Name, s.server}
--- a/internal/edge/rendition.go
+++ b/internal/edge/rendition.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
+	"rainpulley/internal/admission"
 	"rainpulley/internal/hls"
 	"rainpulley/internal/http1"
-	"rainpulley/internal/join"
 )
 
 // rendition answers the playlist of an alternative rendition (EXT-X-MEDIA): at the session's box, for as
@@ -32,7 +32,7 @@
 		return
 	}
 	s.mu.Lock()
-	still := s.state == join.Playing && s.server == server
+	still := s.state == admission.Playing && s.server == server
 	s.mu.Unlock()
 	if !still {
 		e.no(x, 503, "the session changes its server")
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"rainpulley/control"
+	"rainpulley/internal/admission"
 	"rainpulley/internal/core"
 	"rainpulley/internal/hls"
-	"rainpulley/internal/join"
 	"rainpulley/internal/view"
 )
 
@@ -22,7 +22,7 @@
 	seen  atomic.Int64 // time of the viewer's last request, from the edge's clock
 
 	mu       sync.Mutex
-	state    join.State
+	state    admission.State
 	since    time.Duration
 	moved    bool
 	tries    int
@@ -121,21 +121,21 @@
 	y.answer = a
 	s.since = y.e.now()
 	leave := false
-	if a.Kind == core.Plays {
+	if a.Kind == core.Playing {
 		leave = !s.opens(y, a)
 	} else if s.try == y {
-		s.state = join.Answered
+		s.state = admission.Unsuccessful
 	}
 	close(y.answered)
 	s.mu.Unlock()
 	if leave {
-		go y.e.owner.Leave(y.id, y) // not from the owner's goroutine, which would wait for itself
+		go y.e.owner.ViewerLeft(y.id, y) // not from the owner's goroutine, which would wait for itself
 	}
 }
 
 // opens takes a set-up into the session. False if the viewer left meanwhile.
 func (s *session) opens(y *try, a core.Answer) bool {
-	if s.try != y || s.state == join.Leaving {
+	if s.try != y || s.state == admission.Leaving {
 		return false
 	}
 	setup, ok := a.Setup.(*setup)
@@ -143,7 +143,7 @@
 		return false
 	}
 	now := y.e.now()
-	s.state, s.server, s.source = join.Playing, a.Server, setup.source
+	s.state, s.server, s.source = admission.Playing, a.Server, setup.source
 	s.rung, s.want = setup.rung, a.Rung
 	if !s.started {
 		s.origin, s.started = now-s.position, true
@@ -168,7 +168,7 @@
 	s := y.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.try != y || s.state != join.Playing {
+	if s.try != y || s.state != admission.Playing {
 		return
 	}
 	s.want = rung
@@ -196,8 +196,8 @@
 	now := y.e.now()
 	s.since, s.moved = now, moved
 	s.position = now - s.origin
-	if s.state = join.Over; moved || o == control.Reset {
-		s.state = join.Lost
+	if s.state = admission.Ended; moved || o == control.Reset {
+		s.state = admission.Lost
 	}
 }
 
@@ -206,8 +206,8 @@
 	s := y.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.try == y && (s.state == join.Leaving || s.state == join.Pending) {
-		s.state, s.since = join.Answered, y.e.now()
+	if s.try == y && (s.state == admission.Leaving || s.state == admission.Pending) {
+		s.state, s.since = admission.Unsuccessful, y.e.now()
 	}
 	close(y.closed)
 }
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -55,7 +55,7 @@
 		l.say(jsonlines.Open, a.ID, v.attrs(attrs[:0], p.n.patience(ctx), a.Rung), -1, v.text)
 		select {
 		case r := <-l.reply:
-			r.Done = func() { p.free(l) }
+			r.Cleanup = func() { p.free(l) }
 			return r
 		case <-ctx.Done():
 			return p.giveUp(ctx, l, a)
@@ -97,7 +97,7 @@
 	}
 	l.sid, l.heard = id, p.n.now()
 	l.answerDue.Store(true)
-	l.s.releases.Confirmed(id) // of an earlier attempt: said again, it would end this one
+	l.s.releases.Confirm(id) // of an earlier attempt: said again, it would end this one
 	return admitted
 }
 
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -95,7 +95,7 @@
 		n := startNode(t, newBox(t, "s-1", nil))
 		letGo := n.holdOwner()
 		v := n.dial().say(setUp(idA, "paid", ""))
-		eventually(t, "queued", func() bool { return n.owner.Queued() == 1 })
+		eventually(t, "queued", func() bool { return n.owner.QueueLen() == 1 })
 		n.stop()
 		eventually(t, "the node leaving", n.viewers.leaving.Load)
 		letGo()
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -62,7 +62,7 @@
 		t.Errorf("%+v; the one left out heard %d lines", m.Message, len(a.heard))
 	}
 	if r := n.pool.SetUp(context.Background(), core.Attempt{ID: idB, Server: "s-1", Listener: &session{n: n.Node}}); r.Outcome != control.NotSent {
-		t.Errorf("to a server that has gone: %v", core.Name(r.Outcome))
+		t.Errorf("to a server that has gone: %v", core.OutcomeName(r.Outcome))
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,7 +34,7 @@
 	beforeAdmission func(id string)     // if set, called ahead of the admission of a set-up's first byte
 	giveWay         func()              // lets other goroutines go first
 	module          *control.Controller // touched on the owner's goroutine only
-	owner           *core.Owner
+	owner           *core.Orchestrator
 	pool            *pool
 	viewers         *viewers
 	follow          *coordinator.Follower
@@ -86,8 +86,8 @@
 	n.module = d
 	n.pool = newPool(n, c.Sockets*3/8)
 	n.viewers = newViewers(n, c.Sockets/2)
-	n.owner = core.New(core.Options{Queue: maxQueued, MaxAttempts: c.Set.MaxAttempts, Slack: c.Platform.AnswerSlack + socketSlack,
-		Budget: core.Budget{Span: c.Set.BudgetSpan, Share: c.Set.BudgetShare}, Log: log, Decider: d, Carrier: n.pool, Now: n.now})
+	n.owner = core.New(core.Options{QueueSize: maxQueued, MaxAttempts: c.Set.MaxAttempts, AnswerSlack: c.Platform.AnswerSlack + socketSlack,
+		Budget: core.Budget{Span: c.Set.BudgetSpan, Share: c.Set.BudgetShare}, Log: log, Decider: d, Executor: n.pool, Now: n.now})
 	n.follow = coordinator.New(c.Coordinator, c.Known.Index, c.Platform.ConnectTimeout, log, n.take)
 	n.follow.Heard = n.coordinatorHeard
 	return n, nil
@@ -139,7 +139,7 @@
 		addr[e.ID] = e.Addr
 	}
 	// The module first: a set-up that the pool holds back for a drain ends behind it, and is placed anew.
-	n.owner.Event(control.ListUpdate{Whole: whole || cached, Cached: cached, Servers: list})
+	n.owner.AddEvent(control.ListUpdate{Whole: whole || cached, Cached: cached, Servers: list})
 	n.pool.update(list, addr, whole)
 	n.Log.Debug("list", "whole", whole, "servers", len(list))
 	return nil
@@ -289,6 +289,6 @@
 	s.conn.stand(1)
 	n.owner.Adopt(r, -1, s)
 	if over {
-		n.owner.ServerEnded(r.ID, r.Server, end.outcome, end.load)
+		n.owner.EndedByServer(r.ID, r.Server, end.outcome, end.load)
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -218,11 +218,11 @@
 	withdraw()
 	try := core.Attempt{ID: idA, Server: "s-1", Listener: &session{n: n.Node}}
 	if r := n.pool.SetUp(withdrawn, try); r.Outcome != control.NotSent {
-		t.Errorf("withdrawn: %v", core.Name(r.Outcome))
+		t.Errorf("withdrawn: %v", core.OutcomeName(r.Outcome))
 	}
 	n.pool.update([]control.Server{{ID: "s-1", State: control.Draining}}, nil, false)
 	if r := n.pool.SetUp(long, try); r.Outcome != control.NotSent {
-		t.Errorf("drained: %v", core.Name(r.Outcome))
+		t.Errorf("drained: %v", core.OutcomeName(r.Outcome))
 	}
 	n.pool.update([]control.Server{{ID: "s-1", State: control.Ready}}, nil, false)
 	n.dial().say(setUp(idB, "free", ""))
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -82,7 +82,7 @@
 			}
 		}
 		now := v.n.now()
-		pending.Sent(message.Key, on.id, now)
+		pending.MarkSent(message.Key, on.id, now)
 		if now-m.ended > noticeDue {
 			v.n.near.noticesLate.Add(1)
 		}
@@ -116,7 +116,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if pending := v.notices[address]; pending != nil {
-		pending.Confirmed(id)
+		pending.Confirm(id)
 		v.dropEmptyNotices(address)
 	}
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -167,7 +167,7 @@
 	}
 	clear(s.standing)
 	p.n.Log.Info("sessions lost", "server", s.id, "sessions", len(ids), "why", why)
-	go p.n.owner.Lost(s.id, ids) // not under the lock: the owner's goroutine takes it too
+	go p.n.owner.SessionsLost(s.id, ids) // not under the lock: the owner's goroutine takes it too
 }
 
 // belief is how many sessions run at a server, set-ups too.
@@ -259,7 +259,7 @@
 		if !l.say(jsonlines.Close, m.Key, nil, jsonlines.CauseCancelled, "") {
 			return // the connection is ending: what waits goes on the next one
 		}
-		s.releases.Sent(m.Key, l.id, p.n.now())
+		s.releases.MarkSent(m.Key, l.id, p.n.now())
 	}
 }
 
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -23,7 +23,7 @@
 		if s != nil {
 			result.OK, result.Load = p.probe(s, sid)
 		}
-		p.n.owner.Event(result)
+		p.n.owner.AddEvent(result)
 	})
 }
 
--- a/internal/node/reading.go
+++ b/internal/node/reading.go
@@ -93,7 +93,7 @@
 			if p.n.Log.Enabled(context.Background(), slog.LevelDebug) {
 				p.n.Log.Debug("note", "session", m.ID, "server", l.s.id, "note", m.Attr("note"), "value", v)
 			}
-			p.n.owner.Note(control.Note{ID: m.ID, Server: l.s.id, Kind: kind, Value: v})
+			p.n.owner.AddNote(control.Note{ID: m.ID, Server: l.s.id, Kind: kind, Value: v})
 		}
 	default:
 		p.mu.Unlock()
@@ -116,7 +116,7 @@
 	p.mu.Unlock()
 	p.n.Log.Debug("released by server", "session", m.ID, "server", l.s.id, "cause", m.Cause(), "stood", stood)
 	if stood {
-		p.n.owner.ServerEnded(m.ID, l.s.id, outcome, load)
+		p.n.owner.EndedByServer(m.ID, l.s.id, outcome, load)
 	}
 }
 
--- a/internal/node/resend.go
+++ b/internal/node/resend.go
@@ -154,7 +154,7 @@
 		for _, s := range orphans {
 			if s.abandon(ended) {
 				n.remember(s)
-				n.owner.Leave(s.id, s)
+				n.owner.ViewerLeft(s.id, s)
 			}
 		}
 	})
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -51,13 +51,13 @@
 // replyTo is an answer in the viewer's protocol.
 func replyTo(a core.Answer) reply {
 	switch a.Kind {
-	case core.Plays:
+	case core.Playing:
 		text, _ := a.Setup.(string)
 		return reply{status: statusPlays, body: []byte(text)}
 	case core.Refused:
 		r := reply{status: statusRefused}
-		if a.After > 0 {
-			r.after = strconv.FormatInt(a.After.Milliseconds(), 10)
+		if a.RetryAfter > 0 {
+			r.after = strconv.FormatInt(a.RetryAfter.Milliseconds(), 10)
 		}
 		return r
 	}
@@ -72,13 +72,13 @@
 	s.noteLateness(a)
 	if !first {
 		s.n.Log.Info("answer not sent: the viewer has left", "session", s.id, "answer", a.Kind.String())
-		if a.Kind == core.Plays {
-			s.n.owner.Leave(s.id, s)
+		if a.Kind == core.Playing {
+			s.n.owner.ViewerLeft(s.id, s)
 		}
 		return
 	}
 	s.n.remember(s)
-	if a.Kind == core.Plays {
+	if a.Kind == core.Playing {
 		c.stand(1)
 	}
 	if orphaned {
--- a/internal/node/viewer.go
+++ b/internal/node/viewer.go
@@ -177,7 +177,7 @@
 		c.open[s.id] = s
 	}
 	c.mu.Unlock()
-	if leaving := c.n.viewers.leaving.Load(); full || leaving || !c.n.owner.Request(r, s) {
+	if leaving := c.n.viewers.leaving.Load(); full || leaving || !c.n.owner.Submit(r, s) {
 		c.n.Log.Info("set-up refused", "session", s.id, "status", statusUnavailable, "waiting", c.waiting(), "leaving", leaving, "connection", uint64(c.id))
 		c.n.forget(s)
 		c.reply(m, statusUnavailable)
@@ -252,7 +252,7 @@
 	s.leave()
 	on.answered(s)
 	c.logTearDown(s, on, waited)
-	c.n.owner.Leave(s.id, s)
+	c.n.owner.ViewerLeft(s.id, s)
 	c.reply(m, statusPlays)
 }
 
