--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -19,14 +19,14 @@
 
 // Entry is one server of an update.
 type Entry struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	State   string  `json:"state"`
-	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"` // Unix milliseconds; 0: not told
+	ID            string  `json:"id"`
+	Addr          string  `json:"addr"`
+	Zone          string  `json:"zone"`
+	Kind          string  `json:"kind"`
+	Cell          int     `json:"cell"`
+	State         string  `json:"state"`
+	Weight        float64 `json:"weight"`
+	StartedMillis int64   `json:"started_ms"` // Unix milliseconds; 0: not told
 }
 
 // Endpoints is a whole list, or what changed of it.
@@ -48,14 +48,14 @@
 }
 
 const (
-	pollWait   = time.Second            // asked for; short, so that a coordinator gone silent is asked again soon
-	pollSlack  = 400 * time.Millisecond // beyond it a poll is given up
-	firstRetry = 50 * time.Millisecond
-	maxRetry   = time.Second
+	pollWait      = time.Second            // asked for; short, so that a coordinator gone silent is asked again soon
+	pollGrace     = 400 * time.Millisecond // beyond it a poll is given up
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = time.Second
 
 	// maxAnswer bounds an answer in bytes. A list of 1,024 servers has about 200 kB; a history from the first event on, as
 	// it is asked for after a gap, has every change of each of them.
-	maxAnswer = 8 << 20
+	maxResponseBytes = 8 << 20
 )
 
 // Merge folds updates into one: for each server its last entry, in order of first mention; a whole list drops what came
@@ -85,52 +85,52 @@
 
 // Follower follows a coordinator whose address may change.
 type Follower struct {
-	Take   func([]Update) error // in their order, each once; an error leaves them to be read again
-	Heard  func()               // if set, called behind each answer that was taken, an empty one too
-	Log    *slog.Logger
-	client http1.Client
-
-	mu     sync.Mutex // held while updates are taken: none of an address comes after a move away from it
-	addr   string
-	held   int64              // number of the last event taken
-	gap    bool               // events were left out: all are asked for
-	redial context.CancelFunc // of the poll under way
+	Apply      func([]Update) error // in their order, each once; an error leaves them to be read again
+	OnResponse func()               // if set, called behind each answer that was taken, an empty one too
+	Log        *slog.Logger
+	client     http1.Client
+
+	mu           sync.Mutex // held while updates are taken: none of an address comes after a move away from it
+	addr         string
+	lastIndex    int64              // number of the last event taken
+	missedEvents bool               // events were left out: all are asked for
+	cancelPoll   context.CancelFunc // of the poll under way
 }
 
 // New returns a follower that holds the events up to a number. Connect bounds how long a connection may take to come up.
-func New(addr string, held int64, connect time.Duration, log *slog.Logger, take func([]Update) error) *Follower {
-	l := http1.DefaultLimits()
-	l.Body = maxAnswer
-	l.HeadFor, l.BodyFor, l.IdleFor = pollWait+pollSlack, pollWait+pollSlack, pollWait+pollSlack
-	return &Follower{Take: take, Log: log, addr: addr, held: held, client: http1.Client{Limits: l, Connect: connect}}
+func New(addr string, lastIndex int64, connectTimeout time.Duration, log *slog.Logger, apply func([]Update) error) *Follower {
+	limits := http1.DefaultLimits()
+	limits.Body = maxResponseBytes
+	limits.HeadFor, limits.BodyFor, limits.IdleFor = pollWait+pollGrace, pollWait+pollGrace, pollWait+pollGrace
+	return &Follower{Apply: apply, Log: log, addr: addr, lastIndex: lastIndex, client: http1.Client{Limits: limits, Connect: connectTimeout}}
 }
 
 // Move follows another address from now on, with the numbering as it stands. Known are events that whoever told the
 // address told with it; what is new in them is taken at once.
-func (f *Follower) Move(addr string, known Updates) {
+func (f *Follower) SwitchAddress(addr string, known Updates) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.move(addr, known)
+	f.switchAddressLocked(addr, known)
 }
 
-func (f *Follower) move(addr string, known Updates) {
-	if f.addr = addr; f.redial != nil {
-		f.redial()
+func (f *Follower) switchAddressLocked(addr string, known Updates) {
+	if f.addr = addr; f.cancelPoll != nil {
+		f.cancelPoll()
 	}
-	if err := f.take(known); err != nil {
-		f.Log.Warn("events told with a new address not taken", "held", f.held, "error", err)
+	if err := f.applyNew(known); err != nil {
+		f.Log.Warn("events told with a new address not taken", "held", f.lastIndex, "error", err)
 	}
 }
 
 // Run follows until ctx ends. What cannot be read changes nothing and is asked for anew.
 func (f *Follower) Run(ctx context.Context) {
-	pause := firstRetry
+	pause := minRetryDelay
 	for ctx.Err() == nil {
 		asked := time.Now()
 		fresh, moved, err := f.poll(ctx)
 		switch {
 		case err == nil && (fresh || time.Since(asked) >= pollWait/2):
-			pause = firstRetry
+			pause = minRetryDelay
 			continue
 		case ctx.Err() != nil:
 			return
@@ -138,30 +138,30 @@
 			continue
 		}
 		f.Log.Debug("coordinator not heard", "error", err)
-		if !errors.Is(err, errSilent) { // a silent one has been waited for already
+		if !errors.Is(err, errPollTimeout) { // a silent one has been waited for already
 			select {
 			case <-ctx.Done():
 			case <-time.After(pause/2 + rand.N(pause)):
 			}
-			pause = min(2*pause, maxRetry)
+			pause = min(2*pause, maxRetryDelay)
 		}
 	}
 }
 
 var (
-	errSilent = errors.New("coordinator: silent")
-	errGap    = errors.New("coordinator: events left out")
+	errPollTimeout       = errors.New("coordinator: silent")
+	errIncompleteHistory = errors.New("coordinator: events left out")
 )
 
 // poll asks once; fresh tells that something new was taken, moved that the address changed meanwhile.
 func (f *Follower) poll(ctx context.Context) (fresh, moved bool, err error) {
 	f.mu.Lock()
-	addr, from, all := f.addr, f.held, f.gap
+	addr, from, all := f.addr, f.lastIndex, f.missedEvents
 	if all {
 		from = 0
 	}
-	inner, cancel := context.WithTimeoutCause(ctx, pollWait+pollSlack, errSilent)
-	f.redial = cancel
+	inner, cancel := context.WithTimeoutCause(ctx, pollWait+pollGrace, errPollTimeout)
+	f.cancelPoll = cancel
 	f.mu.Unlock()
 	defer cancel()
 	p, err := f.client.Do(inner, addr, "GET", "/v2/stream?follow="+strconv.FormatInt(from, 10)+"&wait_ms="+
@@ -184,45 +184,45 @@
 	if err != nil {
 		return false, false, err
 	}
-	before := f.held
+	before := f.lastIndex
 	if all {
-		err = f.takeAll(u)
+		err = f.applyHistory(u)
 	} else {
-		err = f.take(u)
+		err = f.applyNew(u)
 	}
-	if err == nil && f.Heard != nil {
-		f.Heard()
+	if err == nil && f.OnResponse != nil {
+		f.OnResponse()
 	}
-	return all || f.held > before, false, err
+	return all || f.lastIndex > before, false, err
 }
 
 // take hands on what is new in an answer. An index that goes back is no news: numbers only rise, and an older list
 // would undo drains. Where events were left out, what is there is taken, since a drain may be in it, and then all
 // events are asked for once, from the first.
-func (f *Follower) take(u Updates) error {
-	fresh := u.Index - f.held
+func (f *Follower) applyNew(u Updates) error {
+	fresh := u.Index - f.lastIndex
 	if fresh <= 0 {
 		return nil
 	}
 	news := u.Updates[max(int64(len(u.Updates))-fresh, 0):]
-	if err := f.Take(news); err != nil {
+	if err := f.Apply(news); err != nil {
 		return err
 	}
-	f.held, f.gap = u.Index, int64(len(news)) < fresh && !slices.ContainsFunc(news, Update.whole)
+	f.lastIndex, f.missedEvents = u.Index, int64(len(news)) < fresh && !slices.ContainsFunc(news, Update.isFullList)
 	return nil
 }
 
 // takeAll hands on all events from the first, after a gap. One that cannot tell them all tells no more than is held.
-func (f *Follower) takeAll(u Updates) error {
-	f.gap = false
-	if u.Index < f.held || !slices.ContainsFunc(u.Updates, Update.whole) {
-		return errGap
+func (f *Follower) applyHistory(u Updates) error {
+	f.missedEvents = false
+	if u.Index < f.lastIndex || !slices.ContainsFunc(u.Updates, Update.isFullList) {
+		return errIncompleteHistory
 	}
-	if err := f.Take(u.Updates); err != nil {
+	if err := f.Apply(u.Updates); err != nil {
 		return err
 	}
-	f.held = u.Index
+	f.lastIndex = u.Index
 	return nil
 }
 
-func (u Update) whole() bool { return u.Endpoints != nil && u.Endpoints.Full }
+func (u Update) isFullList() bool { return u.Endpoints != nil && u.Endpoints.Full }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -64,7 +64,7 @@
 	}
 	status := func(c net.Conn) { _, _ = fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") }
 	addr, polls := scripted(t, answer(list(2, "a")), half, status, answer("noise"), answer(`{"index":"x"}`), func(net.Conn) {}, answer(list(1, "old")),
-		answer(list(3, "a", "b")), func(c net.Conn) { time.Sleep(pollWait + 2*pollSlack) }, answer(list(4, "refused")), answer(list(5, "c", "d")))
+		answer(list(3, "a", "b")), func(c net.Conn) { time.Sleep(pollWait + 2*pollGrace) }, answer(list(4, "refused")), answer(list(5, "c", "d")))
 	took := make(chan string, 100)
 	refuse := true
 	f := New(addr, 1, time.Second, slog.New(slog.DiscardHandler), func(u []Update) error {
@@ -115,7 +115,7 @@
 	over := make(chan struct{})
 	go func() { f.Run(ctx); close(over) }()
 	<-polls
-	f.Move(next, Updates{})
+	f.SwitchAddress(next, Updates{})
 	if p := <-asked; !strings.Contains(p, "follow=7&") {
 		t.Error(p)
 	}
--- a/internal/coordinator/crossing_test.go
+++ b/internal/coordinator/crossing_test.go
@@ -60,7 +60,7 @@
 	}
 	next(t, "first poll", polls)
 	next(t, "half an answer", half)
-	f.Move(to, Updates{})
+	f.SwitchAddress(to, Updates{})
 	close(rest)
 	if got := next(t, "a poll of the new address", asked); !strings.Contains(got, "follow=8&") {
 		t.Error(got)
@@ -86,7 +86,7 @@
 	f.mu.Lock() // whoever takes waits
 	close(let)
 	next(t, "the answer read", read)
-	f.move(to, Updates{})
+	f.switchAddressLocked(to, Updates{})
 	f.mu.Unlock()
 	if got := next(t, "an answer taken", took); got != "whole=false new:up" {
 		t.Errorf("took %q of the address that was left", got)
@@ -104,14 +104,14 @@
 	update := func(id, state string) Update {
 		return Update{Endpoints: &Endpoints{Servers: []Entry{{ID: id, State: state}}}}
 	}
-	f.Move(to, Updates{Index: 8, Updates: []Update{update("a", "up"), update("a", "draining")}})
+	f.SwitchAddress(to, Updates{Index: 8, Updates: []Update{update("a", "up"), update("a", "draining")}})
 	if got := next(t, "what was told", took); got != "whole=false a:draining" {
 		t.Error(got)
 	}
 	if got := next(t, "a poll of the new address", asked); !strings.Contains(got, "follow=8&") {
 		t.Error(got)
 	}
-	f.Move(to, Updates{Index: 6, Updates: []Update{update("a", "up")}}) // older than what is held: it would undo a drain
+	f.SwitchAddress(to, Updates{Index: 6, Updates: []Update{update("a", "up")}}) // older than what is held: it would undo a drain
 	select {
 	case got := <-took:
 		t.Errorf("took %q", got)
@@ -171,7 +171,7 @@
 			if got := next(t, "an answer after the silence", took); got != "whole=false after:up" {
 				t.Error(got)
 			}
-			if d := time.Since(began); d > pollWait+pollSlack+time.Second {
+			if d := time.Since(began); d > pollWait+pollGrace+time.Second {
 				t.Errorf("given up after %v", d)
 			}
 			if got := next(t, "third poll", polls); !strings.Contains(got, "follow=8&") {
@@ -219,7 +219,7 @@
 		e := &Endpoints{Full: len(u.Updates) == 0}
 		for i := range servers {
 			e.Servers = append(e.Servers, Entry{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("10.1.%d.%d:3868", i/256, i%256), Zone: "middle-hall",
-				Kind: "four-core", State: "up", Weight: 4, Started: 1_800_000_000_000})
+				Kind: "four-core", State: "up", Weight: 4, StartedMillis: 1_800_000_000_000})
 		}
 		u.Updates = append(u.Updates, Update{Endpoints: e})
 	}
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -14,8 +14,8 @@
 
 	"rainpulley/control"
 	"rainpulley/internal/bound"
-	"rainpulley/internal/lastview"
 	"rainpulley/internal/view"
+	"rainpulley/internal/viewstore"
 )
 
 const (
@@ -181,7 +181,7 @@
 	}
 	b, err := json.Marshal(view.Line{Version: v.Version, Whole: true, Boxes: v.Boxes, Titles: v.Titles})
 	if err == nil {
-		err = lastview.Open(e.lastPath()).Write(b, time.Now())
+		err = viewstore.Open(e.lastPath()).Write(b, time.Now())
 	}
 	if err != nil {
 		e.Log.Error("last view not kept", "file", e.lastPath(), "error", err)
@@ -194,7 +194,7 @@
 	if e.State == "" {
 		return
 	}
-	last, err := lastview.Open(e.lastPath()).Read()
+	last, err := viewstore.Open(e.lastPath()).Read()
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
@@ -212,7 +212,7 @@
 		e.Log.Error("last view not used", "file", last.Path, "error", err)
 		return
 	}
-	e.Log.Info("started from the last view", "file", last.Path, "version", l.Version, "age", time.Since(last.Written).Round(time.Millisecond))
+	e.Log.Info("started from the last view", "file", last.Path, "version", l.Version, "age", time.Since(last.WrittenAt).Round(time.Millisecond))
 	v := view.View{Version: l.Version, Boxes: l.Boxes, Titles: l.Titles}
 	e.take(v, l, true, true)
 	e.reclaim(v)
--- a/internal/jsonlines/jsonlines.go
+++ b/internal/jsonlines/jsonlines.go
@@ -15,17 +15,17 @@
 )
 
 // MaxLine is the longest line in bytes, its end included.
-const MaxLine = 16 << 10
+const MaxLineBytes = 16 << 10
 
 // Types of messages that a front node acts on or sends; others are skipped.
 const (
-	Open   = "open"
-	Ready  = "ready"
-	Close  = "close"
-	Event  = "event"
-	Level  = "level"
-	Probe  = "probe"
-	Probed = "probed"
+	TypeOpen   = "open"
+	TypeReady  = "ready"
+	TypeClose  = "close"
+	TypeEvent  = "event"
+	TypeLevel  = "level"
+	TypeProbe  = "probe"
+	TypeProbed = "probed"
 )
 
 // Causes of a close.
@@ -35,13 +35,13 @@
 	CauseFull      = 34
 	CauseReset     = 41
 	CauseError     = 47
-	CauseMoot      = 102
+	CauseNotSent   = 102
 
-	CausePassed = 1 // of a test's answer; 0: failed
+	CauseProbePassed = 1 // of a test's answer; 0: failed
 )
 
 // ErrSpoilt marks a line that is no message: what follows on its connection cannot be trusted.
-var ErrSpoilt = errors.New("jsonlines: line spoilt")
+var ErrMalformed = errors.New("jsonlines: line spoilt")
 
 // Message is one line.
 type Message struct {
@@ -64,9 +64,9 @@
 }
 
 // Number is a field as a finite number.
-func (m *Message) Number(name string) (float64, bool) { return number(m.Attr(name)) }
+func (m *Message) Number(name string) (float64, bool) { return parseFinite(m.Attr(name)) }
 
-func number(s string) (float64, bool) {
+func parseFinite(s string) (float64, bool) {
 	v, err := strconv.ParseFloat(s, 64)
 	return v, err == nil && !math.IsInf(v, 0) && !math.IsNaN(v)
 }
@@ -80,11 +80,11 @@
 }
 
 // Figures reads a field of the form name:number;name:number. What is no number is left out.
-func (m *Message) Figures(name string) map[string]float64 {
+func (m *Message) NumberMap(name string) map[string]float64 {
 	out := map[string]float64{}
 	for part := range strings.SplitSeq(m.Attr(name), ";") {
 		k, v, _ := strings.Cut(part, ":")
-		if f, ok := number(strings.TrimSpace(v)); ok {
+		if f, ok := parseFinite(strings.TrimSpace(v)); ok {
 			out[strings.TrimSpace(k)] = f
 		}
 	}
@@ -95,8 +95,8 @@
 func Read(r *bufio.Reader) (*Message, error) {
 	line, err := r.ReadSlice('\n')
 	switch {
-	case errors.Is(err, bufio.ErrBufferFull) || len(line) > MaxLine:
-		return nil, fmt.Errorf("%w: too long", ErrSpoilt)
+	case errors.Is(err, bufio.ErrBufferFull) || len(line) > MaxLineBytes:
+		return nil, fmt.Errorf("%w: too long", ErrMalformed)
 	case err != nil:
 		return nil, err
 	}
@@ -108,16 +108,16 @@
 func Parse(line []byte) (*Message, error) {
 	m := &Message{}
 	if !utf8.Valid(line) {
-		return nil, fmt.Errorf("%w: no UTF-8", ErrSpoilt)
+		return nil, fmt.Errorf("%w: no UTF-8", ErrMalformed)
 	}
 	if err := json.Unmarshal(line, m); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSpoilt, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if m.Type == "" {
-		return nil, fmt.Errorf("%w: no type", ErrSpoilt)
+		return nil, fmt.Errorf("%w: no type", ErrMalformed)
 	}
 	if m.Text != nil && strings.ContainsRune(*m.Text, utf8.RuneError) && !bytes.ContainsRune(line, utf8.RuneError) {
-		return nil, fmt.Errorf("%w: half a character", ErrSpoilt)
+		return nil, fmt.Errorf("%w: half a character", ErrMalformed)
 	}
 	return m, nil
 }
@@ -125,27 +125,27 @@
 // Append appends a message with its line feed. Attrs are names and values in turn; a cause under 0 and an empty
 // text are left out.
 func Append(b []byte, kind, id string, attrs []string, cause int, text string) []byte {
-	b = appendText(append(b, `{"msg":`...), kind)
-	b = appendText(append(b, `,"sid":`...), id)
+	b = appendString(append(b, `{"msg":`...), kind)
+	b = appendString(append(b, `,"sid":`...), id)
 	b = append(b, `,"attrs":{`...)
 	for i := 0; i+1 < len(attrs); i += 2 {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = appendText(append(appendText(b, attrs[i]), ':'), attrs[i+1])
+		b = appendString(append(appendString(b, attrs[i]), ':'), attrs[i+1])
 	}
 	b = append(b, '}')
 	if cause >= 0 {
 		b = strconv.AppendInt(append(b, `,"code":`...), int64(cause), 10)
 	}
 	if text != "" {
-		b = appendText(append(b, `,"text":`...), text)
+		b = appendString(append(b, `,"text":`...), text)
 	}
 	return append(b, '}', '\n')
 }
 
 // appendText appends a JSON string (RFC 8259, section 7); s must be UTF-8.
-func appendText(b []byte, s string) []byte {
+func appendString(b []byte, s string) []byte {
 	const hex = "0123456789abcdef"
 	b = append(b, '"')
 	for i := range len(s) {
--- a/internal/jsonlines/jsonlines_test.go
+++ b/internal/jsonlines/jsonlines_test.go
@@ -12,10 +12,10 @@
 
 func TestParse(t *testing.T) {
 	m, err := Parse([]byte(`{"msg":"close","sid":"9b","attrs":{"load":"rif:12;x0:0.5; x1:-1;bad:x;big:1e999","value":2,"n":null},"code":34,"new":[1]}` + "\n"))
-	if err != nil || m.Type != Close || m.Cause() != CauseFull || m.Attr("value") != "2" || m.Attr("n") != "" || m.Text != nil {
+	if err != nil || m.Type != TypeClose || m.Cause() != CauseFull || m.Attr("value") != "2" || m.Attr("n") != "" || m.Text != nil {
 		t.Fatalf("%+v, %v", m, err)
 	}
-	f := m.Figures("load")
+	f := m.NumberMap("load")
 	if len(f) != 3 || f["rif"] != 12 || f["x0"] != 0.5 || f["x1"] != -1 {
 		t.Errorf("%v", f)
 	}
@@ -30,12 +30,12 @@
 func TestSpoilt(t *testing.T) {
 	for _, line := range []string{"noise\n", "{}\n", "\n", `{"msg":"ready"` + "\n", `{"msg":"ready","sid":4}` + "\n", `{"msg":"ready","text":"a` + "\xff" + `"}` + "\n",
 		`{"msg":"ready","text":"\ud800"}` + "\n", `{"msg":"ready"}{}` + "\n", `[1]` + "\n", `{"msg":"ready","attrs":3}` + "\n",
-		`{"msg":"ready","text":"` + strings.Repeat("a", MaxLine) + "\"}\n", strings.Repeat("x", 2*MaxLine)} {
-		if _, err := Read(bufio.NewReaderSize(strings.NewReader(line), MaxLine)); !errors.Is(err, ErrSpoilt) {
+		`{"msg":"ready","text":"` + strings.Repeat("a", MaxLineBytes) + "\"}\n", strings.Repeat("x", 2*MaxLineBytes)} {
+		if _, err := Read(bufio.NewReaderSize(strings.NewReader(line), MaxLineBytes)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%.40q: %v", line, err)
 		}
 	}
-	if _, err := Read(bufio.NewReaderSize(strings.NewReader(`{"msg":"rea`), MaxLine)); err == nil {
+	if _, err := Read(bufio.NewReaderSize(strings.NewReader(`{"msg":"rea`), MaxLineBytes)); err == nil {
 		t.Error("half a line read")
 	}
 }
@@ -53,13 +53,13 @@
 		if m.Text != nil {
 			text = *m.Text
 		}
-		m.Figures("load")
+		m.NumberMap("load")
 		m.Cause()
 		b := Append(nil, m.Type, m.ID, []string{"a", m.Attr("a")}, 3, text)
 		if !json.Valid(b) || !utf8.Valid(b) || strings.Count(string(b), "\n") != 1 {
 			t.Fatalf("%q", b)
 		}
-		if len(b) > MaxLine {
+		if len(b) > MaxLineBytes {
 			return
 		}
 		again, err := Parse(b)
@@ -73,12 +73,12 @@
 func TestSplitAtEveryBoundary(t *testing.T) {
 	const text = `{"msg":"ready","sid":"9b","attrs":{"load":"x0:1"},"text":"a\r\n\"ü\""}` + "\n" + `{"msg":"close","sid":"9c","attrs":{},"code":34}` + "\n"
 	for at := 1; at < len(text); at++ {
-		r := bufio.NewReaderSize(io.MultiReader(strings.NewReader(text[:at]), strings.NewReader(text[at:])), MaxLine)
+		r := bufio.NewReaderSize(io.MultiReader(strings.NewReader(text[:at]), strings.NewReader(text[at:])), MaxLineBytes)
 		first, err := Read(r)
-		if err != nil || first.Type != Ready || first.ID != "9b" || first.Text == nil || *first.Text != "a\r\n\"ü\"" {
+		if err != nil || first.Type != TypeReady || first.ID != "9b" || first.Text == nil || *first.Text != "a\r\n\"ü\"" {
 			t.Errorf("split at byte %d: %+v, %v", at, first, err)
 		}
-		if second, err := Read(r); err != nil || second.Type != Close || second.ID != "9c" || second.Cause() != CauseFull {
+		if second, err := Read(r); err != nil || second.Type != TypeClose || second.ID != "9c" || second.Cause() != CauseFull {
 			t.Errorf("split at byte %d: %+v, %v", at, second, err)
 		}
 	}
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -10,9 +10,9 @@
 
 // Results of a try to connect.
 const (
-	Up      DialResult = iota // its machine answers: a process that hangs may go on
-	Refused                   // its machine answers, no process listens
-	Silent                    // nobody answered in the settings' time
+	Connected  DialResult = iota // its machine answers: a process that hangs may go on
+	Refused                      // its machine answers, no process listens
+	NoResponse                   // nobody answered in the settings' time
 )
 
 // Verdict is what a detector asks for.
@@ -27,52 +27,52 @@
 
 // What a detector waits for. A link note is due each period, and a check costs little: it need not be long overdue.
 const (
-	overdueFactor     = 1.2
-	minQuiet          = time.Second
-	quietWithoutNotes = 4 * time.Second        // where no notes come silence says little: checked in time for releases, due in 8 s
-	retryInterval     = 400 * time.Millisecond // between tries while one has failed
-	maxFailedTries    = 2                      // in a row: one lost handshake proves nothing
+	overdueFactor       = 1.2
+	minSilence          = time.Second
+	silenceWithoutNotes = 4 * time.Second        // where no notes come silence says little: checked in time for releases, due in 8 s
+	retryInterval       = 400 * time.Millisecond // between tries while one has failed
+	maxFailedChecks     = 2                      // in a row: one lost handshake proves nothing
 )
 
 // Detector watches one server.
 type Detector struct {
-	lastHeard   time.Duration
-	lastChecked time.Duration
-	failed      int // tries in a row
-	lost        bool
-	checking    bool
-	suspected   bool // a set-up went unanswered since the last heartbeat
+	lastHeartbeat time.Duration
+	lastChecked   time.Duration
+	failedChecks  int // tries in a row
+	lost          bool
+	checking      bool
+	suspected     bool // a set-up went unanswered since the last heartbeat
 }
 
 // New returns a detector for a server that is taken to be alive now.
-func New(now time.Duration) Detector { return Detector{lastHeard: now, lastChecked: now} }
+func New(now time.Duration) Detector { return Detector{lastHeartbeat: now, lastChecked: now} }
 
 // Heartbeat says that something came from the server.
-func (d *Detector) Heartbeat(now time.Duration) {
-	d.lastHeard, d.failed, d.lost, d.suspected = now, 0, false, false
+func (d *Detector) RecordHeartbeat(now time.Duration) {
+	d.lastHeartbeat, d.failedChecks, d.lost, d.suspected = now, 0, false, false
 }
 
 // RequestTimedOut says that a set-up's time ran out: the server is checked without waiting for its notes. A slow one
 // comes to no harm by it.
-func (d *Detector) RequestTimedOut() { d.suspected = true }
+func (d *Detector) RecordSetupTimeout() { d.suspected = true }
 
 // Next tells what to do about a server with sessions whose notes come each period. Open is the number of connections
 // to it; listed tells that the list still has it: one that was removed is checked without waiting for its notes.
-func (d *Detector) Next(now, period time.Duration, open int, listed bool) Verdict {
-	quiet := max(time.Duration(overdueFactor*float64(period)), minQuiet)
+func (d *Detector) Next(now, period time.Duration, openConns int, listed bool) Verdict {
+	silence := max(time.Duration(overdueFactor*float64(period)), minSilence)
 	if period <= 0 {
-		quiet = quietWithoutNotes
+		silence = silenceWithoutNotes
 	}
 	switch {
 	case d.lost:
 		return Lost
 	case d.checking:
 		return Wait
-	case open == 0 || d.failed > 0 || d.suspected || !listed && d.lastHeard > d.lastChecked:
+	case openConns == 0 || d.failedChecks > 0 || d.suspected || !listed && d.lastHeartbeat > d.lastChecked:
 		if now-d.lastChecked < retryInterval {
 			return Wait
 		}
-	case now-max(d.lastHeard, d.lastChecked) < quiet:
+	case now-max(d.lastHeartbeat, d.lastChecked) < silence:
 		return Wait
 	}
 	d.checking = true
@@ -81,7 +81,7 @@
 
 // BeginCheck has a check made for the caller's reasons, unless one is under way or has failed a moment ago.
 func (d *Detector) BeginCheck(now time.Duration) bool {
-	if d.checking || now-d.lastChecked < retryInterval && d.failed > 0 {
+	if d.checking || now-d.lastChecked < retryInterval && d.failedChecks > 0 {
 		return false
 	}
 	d.checking = true
@@ -89,24 +89,24 @@
 }
 
 // Checking tells that a check is under way.
-func (d *Detector) Checking() bool { return d.checking }
+func (d *Detector) CheckInProgress() bool { return d.checking }
 
 // Inconclusive says that a check came to nothing for reasons that are not the server's.
-func (d *Detector) Inconclusive(now time.Duration) { d.lastChecked, d.checking = now, false }
+func (d *Detector) DiscardCheck(now time.Duration) { d.lastChecked, d.checking = now, false }
 
 // Deferred says that a check could not begin: it is asked for again by the next call of Next.
-func (d *Detector) Deferred() { d.checking = false }
+func (d *Detector) DeferCheck() { d.checking = false }
 
 // Dialed says what came of a set-up's own try to connect. It is given less time than a check: that it did not come up
 // has the server checked, and proves nothing (seen: two late ones beside a check, and sessions that played on were
 // released). Refused while connections are open may only mean that the server takes no more of them: the notes will tell.
-func (d *Detector) Dialed(now time.Duration, result DialResult, open int) {
+func (d *Detector) RecordDial(now time.Duration, result DialResult, openConns int) {
 	switch {
-	case result == Up:
-		d.alive(now)
-	case result == Silent:
+	case result == Connected:
+		d.markAlive(now)
+	case result == NoResponse:
 		d.suspected = true
-	case open == 0:
+	case openConns == 0:
 		d.lastChecked, d.lost = now, true
 	}
 }
@@ -114,16 +114,16 @@
 // Checked says what came of a check. Refused while connections are open may also mean that the process ended and left
 // them open and silent (seen: eight seconds until they were reset, sessions over meanwhile), which a further check in
 // the silence tells.
-func (d *Detector) Checked(now time.Duration, result DialResult, open int) {
+func (d *Detector) RecordCheck(now time.Duration, result DialResult, openConns int) {
 	d.lastChecked, d.checking = now, false
-	if result == Up {
-		d.alive(now)
+	if result == Connected {
+		d.markAlive(now)
 		return
 	}
-	d.failed++
-	d.lost = d.failed >= maxFailedTries || result == Refused && open == 0
+	d.failedChecks++
+	d.lost = d.failedChecks >= maxFailedChecks || result == Refused && openConns == 0
 }
 
-func (d *Detector) alive(now time.Duration) {
-	d.lastChecked, d.failed, d.lost, d.suspected = now, 0, false, false
+func (d *Detector) markAlive(now time.Duration) {
+	d.lastChecked, d.failedChecks, d.lost, d.suspected = now, 0, false, false
 }
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -52,7 +52,7 @@
 			return core.Result{Outcome: control.ConnectFailed} // its process ended just behind the accept
 		}
 		var attrs [10]string
-		l.say(jsonlines.Open, a.ID, v.attrs(attrs[:0], p.n.patience(ctx), a.Rung), -1, v.text)
+		l.say(jsonlines.TypeOpen, a.ID, v.attrs(attrs[:0], p.n.patience(ctx), a.Rung), -1, v.text)
 		select {
 		case r := <-l.reply:
 			r.Cleanup = func() { p.free(l) }
@@ -125,10 +125,10 @@
 	l.sid = ""
 	l.answerDue.Store(false)
 	late := errors.Is(ctx.Err(), context.DeadlineExceeded) && !l.gone
-	l.say(jsonlines.Close, a.ID, nil, jsonlines.CauseEnd, "")
+	l.say(jsonlines.TypeClose, a.ID, nil, jsonlines.CauseEnd, "")
 	p.noteGiveUp(l, a.ID)
 	if late {
-		l.s.detector.RequestTimedOut()
+		l.s.detector.RecordSetupTimeout()
 		p.retire(l)
 	}
 	p.mu.Unlock()
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -27,7 +27,7 @@
 			}
 			go func() {
 				defer c.Close()
-				r := bufio.NewReaderSize(c, jsonlines.MaxLine)
+				r := bufio.NewReaderSize(c, jsonlines.MaxLineBytes)
 				var out []byte
 				for {
 					line, err := r.ReadSlice('\n')
@@ -35,7 +35,7 @@
 						return
 					}
 					if i := strings.Index(string(line), `"sid":"`); strings.HasPrefix(string(line), `{"msg":"open"`) {
-						out = jsonlines.Append(out[:0], jsonlines.Ready, string(line[i+7:i+23]), nil, -1, "m=audio\r\n")
+						out = jsonlines.Append(out[:0], jsonlines.TypeReady, string(line[i+7:i+23]), nil, -1, "m=audio\r\n")
 						_, _ = c.Write(out)
 					}
 				}
--- a/internal/node/clocks_test.go
+++ b/internal/node/clocks_test.go
@@ -26,7 +26,7 @@
 // started is a server that came into service a while ago, by the coordinator's clock.
 func (b *box) started(ago time.Duration) coordinator.Entry {
 	e := b.entry("up")
-	e.Started = time.Now().Add(-ago).UnixMilli()
+	e.StartedMillis = time.Now().Add(-ago).UnixMilli()
 	return e
 }
 
--- a/internal/node/closing.go
+++ b/internal/node/closing.go
@@ -36,7 +36,7 @@
 
 // readEnd is why a connection ended whose reading failed.
 func readEnd(err error) closeReason {
-	switch socketerror.Judge(err, socketerror.Transfer) {
+	switch socketerror.Classify(err, socketerror.Transfer) {
 	case socketerror.PeerClosed:
 		return closedByViewer
 	case socketerror.PeerReset:
--- a/internal/node/giveup_test.go
+++ b/internal/node/giveup_test.go
@@ -37,7 +37,7 @@
 	silent := <-tried
 	v.want(idA, 200) // of the other
 	close(reset)
-	if m := silent.next(t, jsonlines.Close); m.ID != idA {
+	if m := silent.next(t, jsonlines.TypeClose); m.ID != idA {
 		t.Errorf("%+v", m.Message)
 	}
 }
@@ -54,10 +54,10 @@
 			t.Parallel()
 			var attempts atomic.Int64
 			b := newBox(t, "s-1", func(m said) {
-				if m.Type == jsonlines.Close && attempts.Load() > 1 {
+				if m.Type == jsonlines.TypeClose && attempts.Load() > 1 {
 					t.Errorf("the session that stands was released: %+v", m.Message)
 				}
-				if m.Type != jsonlines.Open {
+				if m.Type != jsonlines.TypeOpen {
 					return
 				}
 				if attempts.Add(1) > 1 {
@@ -86,11 +86,11 @@
 	var attempts atomic.Int64
 	b := newBox(t, "s-1", func(m said) {
 		switch {
-		case m.Type == jsonlines.Close && attempts.Load() > 1:
+		case m.Type == jsonlines.TypeClose && attempts.Load() > 1:
 			t.Errorf("the session that stands was released: %+v", m.Message)
-		case m.Type == jsonlines.Open && attempts.Add(1) > 1:
+		case m.Type == jsonlines.TypeOpen && attempts.Add(1) > 1:
 			ready(m)
-		case m.Type == jsonlines.Open:
+		case m.Type == jsonlines.TypeOpen:
 			_ = m.on.Conn.(*net.TCPConn).SetLinger(0)
 			_ = m.on.Close()
 		}
@@ -98,9 +98,9 @@
 	n := startNode(t, b)
 	v := n.dial().say(setUp(idA, "free", ""))
 	v.want(idA, 200)
-	stands := b.next(t, jsonlines.Open)
+	stands := b.next(t, jsonlines.TypeOpen)
 	for stands.on == nil || attempts.Load() < 2 {
-		stands = b.next(t, jsonlines.Open)
+		stands = b.next(t, jsonlines.TypeOpen)
 	}
 	b.mu.Lock()
 	last := b.conns[len(b.conns)-1]
@@ -119,7 +119,7 @@
 func TestLateEndSparesSession(t *testing.T) {
 	opened, done := make(chan said, 2), make(chan struct{})
 	b := newBox(t, "s-1", func(m said) {
-		if m.Type != jsonlines.Open {
+		if m.Type != jsonlines.TypeOpen {
 			return
 		}
 		opened <- m
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -155,7 +155,7 @@
 		_ = conn.Close()
 		return nil, errMoved
 	}
-	p.tellDetector(s, liveness.Up, why)
+	p.tellDetector(s, liveness.Connected, why)
 	return p.addLink(s, conn), nil
 }
 
@@ -164,8 +164,8 @@
 func (p *pool) dialFailed(ctx context.Context, s *server, err error, why purpose, began time.Time) error {
 	p.links--
 	p.renew(s, 0)
-	verdict := socketerror.Judge(err, socketerror.Connect)
-	if verdict.Local() {
+	verdict := socketerror.Classify(err, socketerror.Connect)
+	if verdict.IsLocal() {
 		p.n.near.localErrors.Add(1)
 		return fmt.Errorf("%w: %w", errLocal, err)
 	}
@@ -182,10 +182,10 @@
 
 func (p *pool) tellDetector(s *server, result liveness.DialResult, why purpose) {
 	if why == forCheck {
-		s.detector.Checked(p.n.now(), result, len(s.links))
+		s.detector.RecordCheck(p.n.now(), result, len(s.links))
 		return
 	}
-	s.detector.Dialed(p.n.now(), result, len(s.links))
+	s.detector.RecordDial(p.n.now(), result, len(s.links))
 }
 
 // addLink puts a connection that came up into use.
@@ -206,11 +206,11 @@
 }
 
 // dialResult is what a failed connection says of its server, where it is not this machine's own trouble.
-func dialResult(verdict socketerror.Verdict) liveness.DialResult {
+func dialResult(verdict socketerror.Category) liveness.DialResult {
 	if verdict == socketerror.PeerRefused {
 		return liveness.Refused
 	}
-	return liveness.Silent
+	return liveness.NoResponse
 }
 
 // close ends a link that can be read or written no more. InOrder tells that neither side broke it: what was written has
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,7 +17,7 @@
 	"rainpulley/control"
 	"rainpulley/internal/coordinator"
 	"rainpulley/internal/core"
-	"rainpulley/internal/startage"
+	"rainpulley/internal/starttime"
 )
 
 // Node is one running front node.
@@ -50,7 +50,7 @@
 	resendWindow time.Duration // see defaultResendWindow
 
 	agesMu sync.Mutex
-	ages   startage.Translator // of servers, from the coordinator's clock to this node's
+	ages   starttime.Translator // of servers, from the coordinator's clock to this node's
 
 	near   nearMisses
 	clocks clockWatch
@@ -89,7 +89,7 @@
 	n.owner = core.New(core.Options{QueueSize: maxQueued, MaxAttempts: c.Set.MaxAttempts, AnswerSlack: c.Platform.AnswerSlack + socketSlack,
 		Budget: core.Budget{Span: c.Set.BudgetSpan, Share: c.Set.BudgetShare}, Log: log, Decider: d, Executor: n.pool, Now: n.now})
 	n.follow = coordinator.New(c.Coordinator, c.Known.Index, c.Platform.ConnectTimeout, log, n.take)
-	n.follow.Heard = n.coordinatorHeard
+	n.follow.OnResponse = n.coordinatorHeard
 	return n, nil
 }
 
@@ -149,16 +149,16 @@
 func (n *Node) translateStarts(list []control.Server, whole bool) {
 	n.agesMu.Lock()
 	defer n.agesMu.Unlock()
-	starts := make([]startage.Start, len(list))
+	starts := make([]starttime.Start, len(list))
 	state := make(map[string]control.ServerState, len(list))
 	for i, s := range list {
-		starts[i] = startage.Start{ID: s.ID, At: s.Started}
+		starts[i] = starttime.Start{ID: s.ID, RemoteTime: s.Started}
 		state[s.ID] = s.State
 	}
 	for i, local := range n.ages.Translate(starts, n.now()) {
 		list[i].Started = local
 	}
-	n.ages.Forget(func(id string) bool {
+	n.ages.Prune(func(id string) bool {
 		now, told := state[id]
 		return told && now != control.Gone || !told && !whole
 	})
@@ -168,7 +168,7 @@
 func (n *Node) coordinatorHeard() {
 	n.agesMu.Lock()
 	defer n.agesMu.Unlock()
-	n.ages.Contact(n.now())
+	n.ages.RecordContact(n.now())
 }
 
 // Run serves until SIGTERM and what is owed after it.
@@ -245,7 +245,7 @@
 			continue
 		}
 		n.Log.Info("configuration reloaded", "coordinator", c.Coordinator)
-		n.follow.Move(c.Coordinator, c.Known)
+		n.follow.SwitchAddress(c.Coordinator, c.Known)
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -58,7 +58,7 @@
 		t.Run(c.class+c.close, func(t *testing.T) {
 			tries := make(chan string, 10)
 			answer := func(m said) {
-				if m.Type != jsonlines.Open {
+				if m.Type != jsonlines.TypeOpen {
 					return
 				}
 				if tries <- m.ID; len(tries) == 1 {
@@ -84,7 +84,7 @@
 		"noise": func(m said) { m.on.say("\x00\x01 noise") },
 		"half":  func(m said) { m.on.say(`{"msg":"ready","sid":%q,"text":"a`, m.ID) },
 		"endless": func(m said) {
-			m.on.say(`{"msg":"ready","sid":%q,"text":"%s`, m.ID, strings.Repeat("x", 3*jsonlines.MaxLine))
+			m.on.say(`{"msg":"ready","sid":%q,"text":"%s`, m.ID, strings.Repeat("x", 3*jsonlines.MaxLineBytes))
 		},
 		"break":    func(m said) { _, _ = io.WriteString(m.on, `{"msg":"re`); _ = m.on.Close() },
 		"no text":  func(m said) { m.on.say(`{"msg":"ready","sid":%q}`, m.ID) },
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -120,12 +120,12 @@
 	v.want(idA, 200)
 	n.agree(1)
 	v.say(tearDown(idA))
-	first := b.next(t, jsonlines.Close)
+	first := b.next(t, jsonlines.TypeClose)
 	if first.ID != idA || first.Cause() != jsonlines.CauseCancelled {
 		t.Fatalf("%+v", first.Message)
 	}
 	_ = first.on.Close()
-	second := b.next(t, jsonlines.Close)
+	second := b.next(t, jsonlines.TypeClose)
 	if second.ID != idA || second.on == first.on {
 		t.Errorf("%+v", second.Message)
 	}
--- a/internal/node/outbox.go
+++ b/internal/node/outbox.go
@@ -147,8 +147,8 @@
 			return nil
 		}
 		late := time.Since(deadline)
-		switch v := socketerror.Judge(err, socketerror.Transfer); {
-		case v.Local() && late < 0:
+		switch v := socketerror.Classify(err, socketerror.Transfer); {
+		case v.IsLocal() && late < 0:
 		case v == socketerror.DeadlineExceeded && late > promptExpiry: // the process stood still: the peer may have read on
 			deadline = time.Now().Add(writeTimeout)
 		default:
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -136,7 +136,7 @@
 // tidy forgets servers that have gone and run nothing any more.
 func (p *pool) tidy() {
 	for id, s := range p.byID {
-		busy := len(s.standing) > 0 || len(s.held) > 0 || s.releases.HasWaiting() || len(s.idle) < len(s.links) || s.detector.Checking()
+		busy := len(s.standing) > 0 || len(s.held) > 0 || s.releases.HasWaiting() || len(s.idle) < len(s.links) || s.detector.CheckInProgress()
 		if s.state == control.Gone && !busy {
 			for len(s.links) > 0 {
 				p.retire(s.links[0]) // a release may wait on it
@@ -256,7 +256,7 @@
 		return
 	}
 	for _, m := range s.releases.Waiting() {
-		if !l.say(jsonlines.Close, m.Key, nil, jsonlines.CauseCancelled, "") {
+		if !l.say(jsonlines.TypeClose, m.Key, nil, jsonlines.CauseCancelled, "") {
 			return // the connection is ending: what waits goes on the next one
 		}
 		s.releases.MarkSent(m.Key, l.id, p.n.now())
@@ -269,7 +269,7 @@
 	defer p.mu.Unlock()
 	if s := p.byID[a.Server]; s != nil {
 		if l := s.anyLink(); l != nil {
-			l.say(jsonlines.Level, a.ID, []string{"rung", rungAttr(rung)}, -1, "")
+			l.say(jsonlines.TypeLevel, a.ID, []string{"rung", rungAttr(rung)}, -1, "")
 		}
 	}
 }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -41,7 +41,7 @@
 		return false, nil
 	}
 	l.sid, l.probe, l.heard = sid, true, p.n.now()
-	l.say(jsonlines.Probe, sid, nil, 0, "")
+	l.say(jsonlines.TypeProbe, sid, nil, 0, "")
 	p.mu.Unlock()
 	var r core.Result
 	select {
--- a/internal/node/reading.go
+++ b/internal/node/reading.go
@@ -15,13 +15,13 @@
 
 // read takes what a server says on one connection until it ends.
 func (p *pool) read(l *link) {
-	r := bufio.NewReaderSize(&timedReader{conn: l.conn}, jsonlines.MaxLine)
+	r := bufio.NewReaderSize(&timedReader{conn: l.conn}, jsonlines.MaxLineBytes)
 	for {
 		m, err := p.next(l, r)
 		if err != nil {
 			p.n.Log.Debug("connection to server over", "server", l.s.id, "error", err)
-			verdict := socketerror.Judge(err, socketerror.Transfer)
-			p.close(l, verdict == socketerror.ClosedHere || verdict == socketerror.PeerClosed)
+			verdict := socketerror.Classify(err, socketerror.Transfer)
+			p.close(l, verdict == socketerror.ClosedLocally || verdict == socketerror.PeerClosed)
 			return
 		}
 		if p.handle(l, m) {
@@ -44,20 +44,20 @@
 
 // causes of a close ahead of the answer; an unknown one is a reset.
 var causes = map[int]control.Outcome{jsonlines.CauseFull: control.Full, jsonlines.CauseError: control.Failed,
-	jsonlines.CauseMoot: control.NotSent, jsonlines.CauseReset: control.Reset}
+	jsonlines.CauseNotSent: control.NotSent, jsonlines.CauseReset: control.Reset}
 
 // ends are causes of a close after it.
 var ends = map[int]control.Outcome{jsonlines.CauseEnd: control.Served, jsonlines.CauseCancelled: control.Cancelled}
 
 // handle takes one message of a server. It tells whether that ended the set-up on the link.
 func (p *pool) handle(l *link, m *jsonlines.Message) (answered bool) {
-	load := wire.ConvertLoad(m.Figures("load"))
+	load := wire.ConvertLoad(m.NumberMap("load"))
 	p.mu.Lock()
 	l.heard = p.n.now()
-	l.s.detector.Heartbeat(l.heard)
+	l.s.detector.RecordHeartbeat(l.heard)
 	mine := l.sid != "" && l.sid == m.ID
 	switch {
-	case m.Type == jsonlines.Ready && mine && !l.probe:
+	case m.Type == jsonlines.TypeReady && mine && !l.probe:
 		r := core.Result{Outcome: control.Served}
 		if m.Text == nil || *m.Text == "" {
 			r = core.Result{Outcome: control.Failed, Load: load} // it ran, and there is nothing to pass on
@@ -67,26 +67,26 @@
 		}
 		answered = l.deliver(r)
 		p.mu.Unlock()
-	case m.Type == jsonlines.Probed && mine && l.probe:
+	case m.Type == jsonlines.TypeProbed && mine && l.probe:
 		r := core.Result{Outcome: control.Failed, Load: load}
-		if m.Cause() == jsonlines.CausePassed {
+		if m.Cause() == jsonlines.CauseProbePassed {
 			r.Outcome = control.Served
 		}
 		l.deliver(r)
 		p.mu.Unlock()
-	case m.Type == jsonlines.Close && mine:
+	case m.Type == jsonlines.TypeClose && mine:
 		o, ok := causes[m.Cause()]
 		if !ok {
 			o = control.Reset
 		}
 		answered = l.deliver(core.Result{Outcome: o, Load: load})
 		p.mu.Unlock()
-	case m.Type == jsonlines.Close && l.gaveUpOn(m.ID): // of that attempt; a later one may stand
+	case m.Type == jsonlines.TypeClose && l.gaveUpOn(m.ID): // of that attempt; a later one may stand
 		p.mu.Unlock()
-	case m.Type == jsonlines.Close:
+	case m.Type == jsonlines.TypeClose:
 		p.mu.Unlock()
 		p.sessionEnded(l, m, load)
-	case m.Type == jsonlines.Event:
+	case m.Type == jsonlines.TypeEvent:
 		stands := l.s.standing[m.ID]
 		p.mu.Unlock()
 		if kind, v, ok := note(m); ok && stands {
--- a/internal/node/resent_test.go
+++ b/internal/node/resent_test.go
@@ -31,9 +31,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch m.Type {
-	case jsonlines.Open:
+	case jsonlines.TypeOpen:
 		l.opens[m.ID] = append(l.opens[m.ID], m)
-	case jsonlines.Close:
+	case jsonlines.TypeClose:
 		l.closes[m.ID]++
 	}
 }
--- a/internal/node/scripted_test.go
+++ b/internal/node/scripted_test.go
@@ -74,7 +74,7 @@
 
 func (b *box) read(p *peer) {
 	defer p.Close()
-	r := bufio.NewReaderSize(p, jsonlines.MaxLine)
+	r := bufio.NewReaderSize(p, jsonlines.MaxLineBytes)
 	for {
 		m, err := jsonlines.Read(r)
 		if err != nil {
@@ -132,7 +132,7 @@
 
 // ready answers every set-up with a description of its own.
 func ready(m said) {
-	if m.Type == jsonlines.Open {
+	if m.Type == jsonlines.TypeOpen {
 		m.on.say(`{"msg":"ready","sid":%q,"attrs":{},"text":"for %s\r\n\"x\""}`, m.ID, m.ID)
 	}
 }
--- a/internal/node/timedreader.go
+++ b/internal/node/timedreader.go
@@ -46,12 +46,12 @@
 		if n > 0 || err == nil {
 			return n, nil
 		}
-		switch socketerror.Judge(err, socketerror.Transfer) {
+		switch socketerror.Classify(err, socketerror.Transfer) {
 		case socketerror.DeadlineExceeded:
 			if !r.readOn(time.Now()) {
 				return 0, err
 			}
-		case socketerror.LocalMoment, socketerror.LocalDescriptors:
+		case socketerror.LocalTemporary, socketerror.LocalDescriptorLimit:
 			if troubleSince.IsZero() {
 				troubleSince = time.Now()
 			}
--- a/internal/node/trial_servers_test.go
+++ b/internal/node/trial_servers_test.go
@@ -54,9 +54,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch m.Type {
-	case jsonlines.Close:
+	case jsonlines.TypeClose:
 		s.ended[server+" "+m.ID]++
-	case jsonlines.Open:
+	case jsonlines.TypeOpen:
 		h := &heardSetUp{server: server, on: m.on}
 		s.setUps[m.ID] = append(s.setUps[m.ID], h)
 		s.answer(h, m)
--- a/internal/node/viewer.go
+++ b/internal/node/viewer.go
@@ -72,7 +72,7 @@
 	c.in.setDeadline(c.at.Add(firstMessageTimeout))
 	for {
 		waiting := time.Now()
-		if err := d.Wait(); err != nil {
+		if err := d.WaitForMessage(); err != nil {
 			return readEnd(err)
 		}
 		c.messageBegins()
@@ -82,7 +82,7 @@
 		case errors.As(err, &wrong):
 			c.refuse(wrong.Status)
 			return closedUnreadable
-		case socketerror.Judge(err, socketerror.Transfer) == socketerror.DeadlineExceeded:
+		case socketerror.Classify(err, socketerror.Transfer) == socketerror.DeadlineExceeded:
 			c.refuse(408)
 			return closedStalled
 		case err != nil:
--- a/internal/node/viewers.go
+++ b/internal/node/viewers.go
@@ -56,9 +56,9 @@
 			continue
 		case err != nil: // the peer has gone already, or no descriptor is left: then one is freed, or waited for
 			v.n.near.localErrors.Add(1)
-			verdict := socketerror.Judge(err, socketerror.Accept)
+			verdict := socketerror.Classify(err, socketerror.Accept)
 			v.n.Log.Info("connection not accepted", "error", err, "verdict", verdict.String())
-			if verdict == socketerror.LocalDescriptors { // only this one is helped by closing a connection of this process
+			if verdict == socketerror.LocalDescriptorLimit { // only this one is helped by closing a connection of this process
 				v.evict(time.Now())
 			}
 			time.Sleep(acceptPause)
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -63,7 +63,7 @@
 			p.n.start(func() { p.check(ctx, s) })
 			continue
 		}
-		s.detector.Deferred()
+		s.detector.DeferCheck()
 		p.n.near.checksDeferred.Add(1)
 	}
 	p.tidy()
@@ -126,9 +126,9 @@
 	p.n.Log.Debug("no connection", "server", s.id, "error", err)
 	if errors.Is(err, errNoRoom) || errors.Is(err, errLocal) || errors.Is(err, errMoved) || ctx.Err() != nil {
 		p.mu.Lock()
-		s.detector.Inconclusive(p.n.now())
+		s.detector.DiscardCheck(p.n.now())
 		p.mu.Unlock()
 		return true
 	}
-	return socketerror.Judge(err, socketerror.Connect) == socketerror.PeerRefused
+	return socketerror.Classify(err, socketerror.Connect) == socketerror.PeerRefused
 }
--- a/internal/planner/sources.go
+++ b/internal/planner/sources.go
@@ -14,9 +14,9 @@
 
 	"rainpulley/internal/belief"
 	"rainpulley/internal/config"
-	"rainpulley/internal/lastview"
 	"rainpulley/internal/registry"
 	"rainpulley/internal/view"
+	"rainpulley/internal/viewstore"
 )
 
 const (
@@ -35,7 +35,7 @@
 	titles   map[string]bool // that sources told
 	faults   string
 	outcomes map[string]view.Outcome // last counts of an edge instance and box
-	store    *lastview.Store
+	store    *viewstore.Store
 	written  uint64
 }
 
@@ -62,7 +62,7 @@
 	b.believer = belief.New(rules, append(names, fromDisk)...)
 	b.boxes, b.by, b.titles, b.outcomes = map[string]registry.Box{}, map[string]map[string]registry.Box{}, map[string]bool{}, map[string]view.Outcome{}
 	if p.State != "" {
-		b.store = lastview.Open(filepath.Join(p.State, "sources.view"))
+		b.store = viewstore.Open(filepath.Join(p.State, "sources.view"))
 		p.readLast()
 	}
 	return nil
@@ -81,9 +81,9 @@
 	if v == nil || json.Unmarshal(v.Body, &s) != nil {
 		return
 	}
-	p.Log.Info("started from the last word of sources", "file", v.Path, "age", time.Since(v.Written).Round(time.Second), "boxes", len(s.Boxes))
+	p.Log.Info("started from the last word of sources", "file", v.Path, "age", time.Since(v.WrittenAt).Round(time.Second), "boxes", len(s.Boxes))
 	s.Source = fromDisk
-	p.take(s, v.Written.UnixMilli())
+	p.take(s, v.WrittenAt.UnixMilli())
 }
 
 // watchSources follows all sources until ctx ends.
--- a/internal/rtsp/rtsp.go
+++ b/internal/rtsp/rtsp.go
@@ -19,7 +19,7 @@
 // MaxMessage is the size of the largest message, head and body together, in bytes.
 const MaxMessage = 16 << 10
 
-const maxHeaders = 32
+const maxHeaderLines = 32
 
 // Error is a message that cannot be read on; Status is the answer owed (RFC 2326, section 11).
 type Error struct {
@@ -29,7 +29,7 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("rtsp: %s (%d)", e.Reason, e.Status) }
 
-func bad(reason string) error { return &Error{400, reason} }
+func badRequest(reason string) error { return &Error{400, reason} }
 
 // Header is one header line.
 type Header struct{ Name, Value string }
@@ -62,7 +62,7 @@
 func NewReader(r *bufio.Reader) *Reader { return &Reader{r: r} }
 
 // Wait returns when a message has begun or the stream has ended.
-func (d *Reader) Wait() error {
+func (d *Reader) WaitForMessage() error {
 	_, err := d.r.Peek(1)
 	return err
 }
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	m := &Message{}
-	length, err := m.parse(string(d.head))
+	length, err := m.parseHead(string(d.head))
 	if err != nil {
 		return nil, err
 	}
@@ -86,12 +86,12 @@
 	}
 	m.Body = make([]byte, length)
 	if _, err := io.ReadFull(d.r, m.Body); err != nil {
-		return nil, cut(err)
+		return nil, unexpectedEOF(err)
 	}
 	return m, nil
 }
 
-func cut(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -107,11 +107,11 @@
 		case errors.Is(err, bufio.ErrBufferFull) || len(d.head)+len(line) > MaxMessage:
 			return &Error{413, "head too large"}
 		case err != nil && len(d.head)+len(line) > 0:
-			return cut(err)
+			return unexpectedEOF(err)
 		case err != nil:
 			return err
 		case len(line) < 2 || line[len(line)-2] != '\r':
-			return bad("line without CR")
+			return badRequest("line without CR")
 		case len(line) == 2 && len(d.head) == 0:
 			continue // empty lines before a message are skipped
 		case len(line) == 2:
@@ -122,9 +122,9 @@
 }
 
 // parse takes a head apart and returns the body's length.
-func (m *Message) parse(head string) (int, error) {
+func (m *Message) parseHead(head string) (int, error) {
 	line, rest, _ := strings.Cut(head, "\r\n")
-	if err := m.parseStart(line); err != nil {
+	if err := m.parseStartLine(line); err != nil {
 		return 0, err
 	}
 	length := -1
@@ -132,35 +132,35 @@
 	for rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || !isToken(name) || len(m.Headers) >= maxHeaders {
-			return 0, bad("header line malformed")
+		if !ok || !isToken(name) || len(m.Headers) >= maxHeaderLines {
+			return 0, badRequest("header line malformed")
 		}
 		value = strings.Trim(value, " \t")
 		if strings.ContainsAny(value, "\r\x00") {
-			return 0, bad("header value malformed")
+			return 0, badRequest("header value malformed")
 		}
 		if strings.EqualFold(name, "Content-Length") {
 			n, err := strconv.ParseUint(value, 10, 31)
 			if err != nil || length >= 0 || value[0] == '+' {
-				return 0, bad("length malformed")
+				return 0, badRequest("length malformed")
 			}
 			length = int(n)
 		}
 		m.Headers = append(m.Headers, Header{name, value})
 	}
 	if length < 0 {
-		return 0, bad("no length")
+		return 0, badRequest("no length")
 	}
 	return length, nil
 }
 
-func (m *Message) parseStart(line string) error {
+func (m *Message) parseStartLine(line string) error {
 	const version = "RTSP/1.0"
 	if s, ok := strings.CutPrefix(line, version+" "); ok {
 		code, _, _ := strings.Cut(s, " ")
 		n, err := strconv.Atoi(code)
 		if err != nil || len(code) != 3 || n < 100 {
-			return bad("status line malformed")
+			return badRequest("status line malformed")
 		}
 		m.Status = n
 		return nil
@@ -168,7 +168,7 @@
 	method, s, _ := strings.Cut(line, " ")
 	uri, v, ok := strings.Cut(s, " ")
 	if !ok || v != version || !isToken(method) || uri == "" || strings.ContainsFunc(uri, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		return bad("request line malformed")
+		return badRequest("request line malformed")
 	}
 	m.Method, m.URI = method, uri
 	return nil
@@ -185,7 +185,7 @@
 }
 
 // reasons are the status codes' phrases (RFC 2326, section 7.1.1).
-var reasons = map[int]string{100: "Continue", 200: "OK", 400: "Bad Request", 408: "Request Time-out", 413: "Request Entity Too Large",
+var reasonPhrases = map[int]string{100: "Continue", 200: "OK", 400: "Bad Request", 408: "Request Time-out", 413: "Request Entity Too Large",
 	453: "Not Enough Bandwidth", 454: "Session Not Found", 500: "Internal Server Error", 501: "Not Implemented",
 	503: "Service Unavailable", 504: "Gateway Time-out"}
 
@@ -193,17 +193,17 @@
 func AppendResponse(b []byte, status int, headers []string, body []byte) []byte {
 	b = append(b, "RTSP/1.0 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
-	b = append(append(b, ' '), reasons[status]...)
-	return appendRest(b, headers, body)
+	b = append(append(b, ' '), reasonPhrases[status]...)
+	return appendHeadersAndBody(b, headers, body)
 }
 
 // AppendRequest appends a request.
 func AppendRequest(b []byte, method, uri string, headers []string, body []byte) []byte {
 	b = append(append(append(append(b, method...), ' '), uri...), " RTSP/1.0"...)
-	return appendRest(b, headers, body)
+	return appendHeadersAndBody(b, headers, body)
 }
 
-func appendRest(b []byte, headers []string, body []byte) []byte {
+func appendHeadersAndBody(b []byte, headers []string, body []byte) []byte {
 	b = append(b, "\r\n"...)
 	for i := 0; i+1 < len(headers); i += 2 {
 		if headers[i+1] != "" {
--- a/internal/socketerror/socketerror.go
+++ b/internal/socketerror/socketerror.go
@@ -13,12 +13,12 @@
 )
 
 // Verdict is what an error says.
-type Verdict int
+type Category int
 
 // Verdicts.
 const (
 	// Unknown is an error without a verdict: nothing is concluded of the peer, and the connection is not used on.
-	Unknown Verdict = iota
+	Unknown Category = iota
 	// PeerClosed: the peer ended the connection in order.
 	PeerClosed
 	// PeerReset: the connection is broken for good; whether the peer lives is not known.
@@ -26,19 +26,19 @@
 	// PeerRefused: the peer's machine answers, and nobody listens there.
 	PeerRefused
 	// PeerSilent: nobody answered in time.
-	PeerSilent
+	PeerUnreachable
 	// DeadlineExceeded: this side's own time for a call ran out; nothing is wrong with the connection.
 	DeadlineExceeded
 	// ClosedHere: this side closed the connection or gave the call up.
-	ClosedHere
+	ClosedLocally
 	// LocalDescriptors: this process has no descriptor left.
-	LocalDescriptors
+	LocalDescriptorLimit
 	// LocalMoment: this machine cannot for a moment. It says nothing of the peer.
-	LocalMoment
+	LocalTemporary
 )
 
 // String names a verdict for logs.
-func (v Verdict) String() string {
+func (v Category) String() string {
 	names := [...]string{"unknown", "peer closed", "peer reset", "peer refused", "peer silent", "deadline exceeded", "closed here",
 		"no descriptor", "local moment"}
 	if v >= 0 && int(v) < len(names) {
@@ -48,7 +48,7 @@
 }
 
 // Local tells errors of this machine: they say nothing of the peer.
-func (v Verdict) Local() bool { return v == LocalDescriptors || v == LocalMoment }
+func (v Category) IsLocal() bool { return v == LocalDescriptorLimit || v == LocalTemporary }
 
 // Call is the kind of call that failed: some numbers mean different things in different calls.
 type Call int
@@ -61,61 +61,61 @@
 )
 
 // meaning is what a number says in each call.
-type meaning struct{ connect, accept, transfer Verdict }
+type callCategories struct{ connect, accept, transfer Category }
 
 // meanings has each documented number. A number that a call does not document has the verdict of the call that does.
-var meanings = map[syscall.Errno]meaning{
+var errnoCategories = map[syscall.Errno]callCategories{
 	// Of this machine.
-	syscall.EMFILE:        {LocalDescriptors, LocalDescriptors, LocalMoment},
-	syscall.ENFILE:        {LocalMoment, LocalMoment, LocalMoment},
-	syscall.ENOBUFS:       {LocalMoment, LocalMoment, LocalMoment},
-	syscall.ENOMEM:        {LocalMoment, LocalMoment, LocalMoment},
-	syscall.EAGAIN:        {LocalMoment, LocalMoment, LocalMoment}, // connect: no free port or routing cache entry
-	syscall.EINTR:         {LocalMoment, LocalMoment, LocalMoment},
-	syscall.EADDRNOTAVAIL: {LocalMoment, LocalMoment, PeerReset}, // connect: no free port
-	syscall.EADDRINUSE:    {LocalMoment, LocalMoment, PeerReset},
-	syscall.ENETDOWN:      {LocalMoment, LocalMoment, PeerReset},
-	syscall.ENETUNREACH:   {LocalMoment, LocalMoment, PeerReset},   // connect: this machine has no route
-	syscall.EPERM:         {LocalMoment, LocalMoment, LocalMoment}, // a local packet filter
-	syscall.EACCES:        {LocalMoment, LocalMoment, LocalMoment},
-	syscall.ENOSPC:        {LocalMoment, LocalMoment, LocalMoment}, // epoll: too many watches
+	syscall.EMFILE:        {LocalDescriptorLimit, LocalDescriptorLimit, LocalTemporary},
+	syscall.ENFILE:        {LocalTemporary, LocalTemporary, LocalTemporary},
+	syscall.ENOBUFS:       {LocalTemporary, LocalTemporary, LocalTemporary},
+	syscall.ENOMEM:        {LocalTemporary, LocalTemporary, LocalTemporary},
+	syscall.EAGAIN:        {LocalTemporary, LocalTemporary, LocalTemporary}, // connect: no free port or routing cache entry
+	syscall.EINTR:         {LocalTemporary, LocalTemporary, LocalTemporary},
+	syscall.EADDRNOTAVAIL: {LocalTemporary, LocalTemporary, PeerReset}, // connect: no free port
+	syscall.EADDRINUSE:    {LocalTemporary, LocalTemporary, PeerReset},
+	syscall.ENETDOWN:      {LocalTemporary, LocalTemporary, PeerReset},
+	syscall.ENETUNREACH:   {LocalTemporary, LocalTemporary, PeerReset},      // connect: this machine has no route
+	syscall.EPERM:         {LocalTemporary, LocalTemporary, LocalTemporary}, // a local packet filter
+	syscall.EACCES:        {LocalTemporary, LocalTemporary, LocalTemporary},
+	syscall.ENOSPC:        {LocalTemporary, LocalTemporary, LocalTemporary}, // epoll: too many watches
 
 	// Of the peer or the way to it. accept passes on what happened to the new connection.
-	syscall.ECONNREFUSED: {PeerRefused, LocalMoment, PeerReset},
-	syscall.ECONNRESET:   {PeerReset, LocalMoment, PeerReset},
-	syscall.ECONNABORTED: {PeerReset, LocalMoment, PeerReset},
-	syscall.EPIPE:        {PeerReset, LocalMoment, PeerReset},
-	syscall.ENOTCONN:     {PeerReset, LocalMoment, PeerReset},
-	syscall.ETIMEDOUT:    {PeerSilent, LocalMoment, PeerReset},
-	syscall.EHOSTUNREACH: {PeerSilent, LocalMoment, PeerReset},
-	syscall.EHOSTDOWN:    {PeerSilent, LocalMoment, PeerReset},
-	syscall.ENONET:       {LocalMoment, LocalMoment, PeerReset},
-	syscall.EPROTO:       {PeerReset, LocalMoment, PeerReset},
-	syscall.ENOPROTOOPT:  {LocalMoment, LocalMoment, PeerReset},
-	syscall.EOPNOTSUPP:   {LocalMoment, LocalMoment, PeerReset},
+	syscall.ECONNREFUSED: {PeerRefused, LocalTemporary, PeerReset},
+	syscall.ECONNRESET:   {PeerReset, LocalTemporary, PeerReset},
+	syscall.ECONNABORTED: {PeerReset, LocalTemporary, PeerReset},
+	syscall.EPIPE:        {PeerReset, LocalTemporary, PeerReset},
+	syscall.ENOTCONN:     {PeerReset, LocalTemporary, PeerReset},
+	syscall.ETIMEDOUT:    {PeerUnreachable, LocalTemporary, PeerReset},
+	syscall.EHOSTUNREACH: {PeerUnreachable, LocalTemporary, PeerReset},
+	syscall.EHOSTDOWN:    {PeerUnreachable, LocalTemporary, PeerReset},
+	syscall.ENONET:       {LocalTemporary, LocalTemporary, PeerReset},
+	syscall.EPROTO:       {PeerReset, LocalTemporary, PeerReset},
+	syscall.ENOPROTOOPT:  {LocalTemporary, LocalTemporary, PeerReset},
+	syscall.EOPNOTSUPP:   {LocalTemporary, LocalTemporary, PeerReset},
 }
 
 // Judge tells what an error of a call says. Nil has no verdict and is Unknown.
-func Judge(err error, call Call) Verdict {
-	var number syscall.Errno
+func Classify(err error, call Call) Category {
+	var errno syscall.Errno
 	switch {
 	case err == nil:
 		return Unknown
 	case errors.Is(err, net.ErrClosed), errors.Is(err, context.Canceled):
-		return ClosedHere
-	case errors.As(err, &number):
-		return meanings[number].of(call)
+		return ClosedLocally
+	case errors.As(err, &errno):
+		return errnoCategories[errno].forCall(call)
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return PeerClosed
 	case isTimeout(err) && call == Connect:
-		return PeerSilent
+		return PeerUnreachable
 	case isTimeout(err):
 		return DeadlineExceeded
 	}
 	return Unknown
 }
 
-func (m meaning) of(call Call) Verdict {
+func (m callCategories) forCall(call Call) Category {
 	switch call {
 	case Connect:
 		return m.connect
--- a/internal/startage/startage_test.go
+++ b/internal/starttime/startage_test.go
@@ -1,4 +1,4 @@
-package startage
+package starttime
 
 import (
 	"testing"
@@ -18,15 +18,15 @@
 		const day = 24 * time.Hour
 		now, ahead := 100*day, span("ahead", -day, day)
 		var tr Translator
-		tr.Contact(now)
+		tr.RecordContact(now)
 		for i := range rapid.IntRange(1, 20).Draw(t, "messages") {
 			contact := now
-			tr.Contact(contact)
+			tr.RecordContact(contact)
 			now += span("wait", 0, time.Minute)
 			ahead += span("step", -time.Hour, time.Hour)
 			start := contact + span("start", 0, now-contact)
 			id := string(rune('a' + i))
-			told := Start{ID: id, At: start + ahead}
+			told := Start{ID: id, RemoteTime: start + ahead}
 			local := tr.Translate([]Start{told}, now)[0]
 			if local < contact || local > now {
 				t.Fatalf("heard at %v, contact at %v, taken for %v", now, contact, local)
@@ -48,16 +48,16 @@
 		if got[0] != now-90*time.Second || got[1] != 0 || got[2] != now {
 			t.Errorf("ahead %v: %v", ahead, got)
 		}
-		tr.Contact(now + 5*time.Second)
+		tr.RecordContact(now + 5*time.Second)
 		if c := tr.Translate([]Start{{"c", now + 6*time.Second + ahead}}, now+7*time.Second)[0]; c != now+7*time.Second {
 			t.Errorf("ahead %v: a later one is taken for %v", ahead, c)
 		}
 		if again := tr.Translate([]Start{{"a", now + 100*time.Second + ahead}}, now+8*time.Second)[0]; again != now+8*time.Second {
 			t.Errorf("ahead %v: started anew, taken for %v", ahead, again)
 		}
-		tr.Forget(func(id string) bool { return id == "b" })
-		if len(tr.starts) != 1 {
-			t.Errorf("%d starts kept", len(tr.starts))
+		tr.Prune(func(id string) bool { return id == "b" })
+		if len(tr.translations) != 1 {
+			t.Errorf("%d starts kept", len(tr.translations))
 		}
 	}
 }
--- a/internal/lastview/lastview_test.go
+++ b/internal/viewstore/lastview_test.go
@@ -1,4 +1,4 @@
-package lastview
+package viewstore
 
 import (
 	"errors"
@@ -24,7 +24,7 @@
 		}
 	}
 	v, err := s.Read()
-	if err != nil || string(v.Body) != "second" || !v.Written.Equal(at) {
+	if err != nil || string(v.Body) != "second" || !v.WrittenAt.Equal(at) {
 		t.Fatalf("%+v, %v", v, err)
 	}
 	whole, _ := os.ReadFile(s.path)
@@ -38,7 +38,7 @@
 			t.Errorf("%s: %+v, %v", want, v, err)
 		}
 	}
-	_ = os.Remove(s.older())
+	_ = os.Remove(s.previousPath())
 	if v, err := s.Read(); v != nil || err == nil || errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("nothing whole: %+v, %v", v, err)
 	}
@@ -50,7 +50,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := Open(filepath.Join(dir, "v"))
 		old, next := rapid.SliceOf(rapid.Byte()).Draw(t, "old"), rapid.SliceOf(rapid.Byte()).Draw(t, "next")
-		_ = os.Remove(s.older())
+		_ = os.Remove(s.previousPath())
 		if err := s.Write(old, time.UnixMilli(1)); err != nil {
 			t.Fatal(err)
 		}
