--- a/internal/cli/programs.go
+++ b/internal/cli/programs.go
@@ -129,7 +129,7 @@
 		return err
 	}
 	cfg.Listen, cfg.Name = cmp.Or(c.Listen, cfg.Listen), cmp.Or(c.Name, cfg.Name)
-	node.Limits(cfg)
+	node.ApplyLimits(cfg)
 	n, err := node.New(cfg, c.Config, Logging{LogLevel: c.LogLevel}.Logger("node").With("node", cfg.Name))
 	if err != nil {
 		return err
--- a/internal/node/accepted_test.go
+++ b/internal/node/accepted_test.go
@@ -104,11 +104,11 @@
 	first := n.dial().say(setUp(idA, "paid", ""))
 	m := b.next(t, "open")
 	letGo := n.holdOwner() // what leaves is known to its connection only
-	s := n.find(idA)
+	s := n.findSession(idA)
 	first.reset()
-	eventually(t, "the end of its connection seen", func() bool { return s.connection().phase() == phaseOver })
+	eventually(t, "the end of its connection seen", func() bool { return s.currentConn().phase() == phaseClosed })
 	again := n.dial().say(setUp(idA, "paid", ""))
-	eventually(t, "the copy taken", func() bool { return s.connection().phase() == phaseOpen })
+	eventually(t, "the copy taken", func() bool { return s.currentConn().phase() == phaseOpen })
 	letGo()
 	ready(m)
 	again.want(idA, 200)
@@ -119,9 +119,9 @@
 // TestResentTooLate: a set-up comes again when it has been withdrawn, which its attempt does not know yet. It is answered
 // with its id: that it failed, if it was sent to a server, which may have run it; else that it is refused.
 func TestResentTooLate(t *testing.T) {
-	for status, sent := range map[int]bool{statusFailed: true, statusUnavailable: false} {
+	for status, sent := range map[int]bool{statusGatewayTimeout: true, statusServiceUnavailable: false} {
 		b, g := newBox(t, "s-1", nil), newGate()
-		n := startGated(t, func(n *Node) { n.Dial, n.recent.keptFor = gatedDial(g), testFor }, b)
+		n := startGated(t, func(n *Node) { n.Dial, n.recentAnswers.retention = gatedDial(g), testFor }, b)
 		first := n.dial().say(setUp(idA, "paid", ""))
 		g.wait(t)
 		if sent {
@@ -129,9 +129,9 @@
 			b.next(t, "open")
 		}
 		letGo := n.holdOwner()
-		s := n.find(idA)
+		s := n.findSession(idA)
 		first.reset()
-		eventually(t, "withdrawn", s.withdrawn)
+		eventually(t, "withdrawn", s.isWithdrawn)
 		again := n.dial().say(setUp(idA, "paid", ""))
 		again.want(idA, status)
 		letGo()
@@ -147,7 +147,7 @@
 			continue
 		}
 		ready(b.next(t, "open")) // what was never sent may be begun anew
-		again.want(idA, statusPlays)
+		again.want(idA, statusOK)
 	}
 }
 
@@ -176,7 +176,7 @@
 // answers. Nobody is closed for it, and it is answered as soon as one of them is.
 func TestNoRoomIsWaitedFor(t *testing.T) {
 	b := newBox(t, "s-1", nil)
-	n := startGated(t, func(n *Node) { n.viewers.maxConnections, n.viewers.reserve = 2, 1 }, b)
+	n := startGated(t, func(n *Node) { n.viewerConns.maxConnections, n.viewerConns.reserveConnections = 2, 1 }, b)
 	var waiting [3]*dialogue
 	var out [3]said
 	for i := range waiting {
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -15,9 +15,9 @@
 type admission int
 
 const (
-	admitted       admission = iota
-	connectionOver           // the connection is over, and nothing was written on it
-	notWanted                // its viewer has left, its time is up or its server takes no more: it is not sent any more
+	admitted         admission = iota
+	connectionClosed           // the connection is over, and nothing was written on it
+	notWanted                  // its viewer has left, its time is up or its server takes no more: it is not sent any more
 )
 
 // SetUp asks a server to start a session. A connection that was closed while it rested is no attempt: another one is
@@ -25,37 +25,37 @@
 func (p *pool) SetUp(ctx context.Context, a core.Attempt) core.Result {
 	v, ok := a.Listener.(*session)
 	p.mu.Lock()
-	s := p.byID[a.Server]
+	s := p.servers[a.Server]
 	p.mu.Unlock()
 	if !ok || s == nil {
 		return core.Result{Outcome: control.NotSent}
 	}
 	for {
-		l, err := p.takePatiently(ctx, s)
+		l, err := p.acquireWithRetry(ctx, s)
 		if err != nil {
-			p.n.Log.Info("no connection", "session", a.ID, "server", a.Server, "error", err)
-			return core.Result{Outcome: notConnected(ctx, err)}
+			p.node.Log.Info("no connection", "session", a.ID, "server", a.Server, "error", err)
+			return core.Result{Outcome: connectOutcome(ctx, err)}
 		}
-		rested := l.used > 0
-		if p.n.beforeAdmission != nil {
-			p.n.beforeAdmission(a.ID)
+		rested := l.lastUsed > 0
+		if p.node.beforeAdmission != nil {
+			p.node.beforeAdmission(a.ID)
 		}
 		switch p.admit(ctx, l, a.ID, v) {
 		case notWanted:
-			p.n.Log.Info("attempt not sent", "session", a.ID, "server", a.Server, "attempt", a.Number, "wanted", v.mayBegin(), "left", p.n.patience(ctx))
-			p.free(l)
+			p.node.Log.Info("attempt not sent", "session", a.ID, "server", a.Server, "attempt", a.Number, "wanted", v.mayBeginAttempt(), "left", p.node.timeLeft(ctx))
+			p.putBack(l)
 			return core.Result{Outcome: control.NotSent}
-		case connectionOver:
+		case connectionClosed:
 			if rested {
 				continue
 			}
 			return core.Result{Outcome: control.ConnectFailed} // its process ended just behind the accept
 		}
 		var attrs [10]string
-		l.say(jsonlines.TypeOpen, a.ID, v.attrs(attrs[:0], p.n.patience(ctx), a.Rung), -1, v.text)
+		l.send(jsonlines.TypeOpen, a.ID, v.appendSetUpAttrs(attrs[:0], p.node.timeLeft(ctx), a.Rung), -1, v.description)
 		select {
-		case r := <-l.reply:
-			r.Cleanup = func() { p.free(l) }
+		case r := <-l.results:
+			r.Cleanup = func() { p.putBack(l) }
 			return r
 		case <-ctx.Done():
 			return p.giveUp(ctx, l, a)
@@ -65,9 +65,9 @@
 
 // takePatiently takes a link, and tries again for as long as a connection may take to come up where this machine cannot
 // make one for a moment.
-func (p *pool) takePatiently(ctx context.Context, s *server) (*link, error) {
-	for until := time.Now().Add(p.n.Config.Platform.ConnectTimeout); ; {
-		l, err := p.take(ctx, s)
+func (p *pool) acquireWithRetry(ctx context.Context, s *server) (*serverConn, error) {
+	for until := time.Now().Add(p.node.Config.Platform.ConnectTimeout); ; {
+		l, err := p.acquire(ctx, s)
 		if err == nil || !errors.Is(err, errLocal) || time.Now().After(until) {
 			return l, err
 		}
@@ -84,27 +84,27 @@
 
 // admit puts a set-up on a link if it may still go. What waited for its connection may be wanted no more: the
 // viewer's own mark is looked at, since its leave may still be queued for the owner behind hundreds of requests.
-func (p *pool) admit(ctx context.Context, l *link, id string, v *session) admission {
+func (p *pool) admit(ctx context.Context, l *serverConn, id string, v *session) admission {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case ctx.Err() != nil || p.n.patience(ctx) <= 0 || l.s.state != control.Ready || !v.mayBegin():
+	case ctx.Err() != nil || p.node.timeLeft(ctx) <= 0 || l.server.state != control.Ready || !v.mayBeginAttempt():
 		return notWanted
-	case l.gone:
-		return connectionOver
+	case l.detached:
+		return connectionClosed
 	case !v.beginAttempt():
 		return notWanted
 	}
-	l.sid, l.heard = id, p.n.now()
-	l.answerDue.Store(true)
-	l.s.releases.Confirm(id) // of an earlier attempt: said again, it would end this one
+	l.activeID, l.lastActivity = id, p.node.now()
+	l.setUpPending.Store(true)
+	l.server.pendingReleases.Confirm(id) // of an earlier attempt: said again, it would end this one
 	return admitted
 }
 
 // notConnected tells what a connection that did not come up says of its server. Nothing, where the viewer withdrew
 // meanwhile or this node has no descriptor left: hundreds of withdrawn set-ups must not make a healthy server suspect.
-func notConnected(ctx context.Context, err error) control.Outcome {
-	if errors.Is(err, errNoRoom) || errors.Is(err, errLocal) || errors.Is(err, errMoved) || errors.Is(ctx.Err(), context.Canceled) {
+func connectOutcome(ctx context.Context, err error) control.Outcome {
+	if errors.Is(err, errNoSlot) || errors.Is(err, errLocal) || errors.Is(err, errServerChanged) || errors.Is(ctx.Err(), context.Canceled) {
 		return control.NotSent
 	}
 	return control.ConnectFailed
@@ -112,31 +112,31 @@
 
 // giveUp takes a set-up back. A server that kept silent until the time was up gets no further set-up on that
 // connection: late answers would come between.
-func (p *pool) giveUp(ctx context.Context, l *link, a core.Attempt) core.Result {
+func (p *pool) giveUp(ctx context.Context, l *serverConn, a core.Attempt) core.Result {
 	p.mu.Lock()
 	var r core.Result
 	select {
-	case r = <-l.reply: // the answer crossed
+	case r = <-l.results: // the answer crossed
 		p.mu.Unlock()
-		p.free(l)
+		p.putBack(l)
 		return r
 	default:
 	}
-	l.sid = ""
-	l.answerDue.Store(false)
-	late := errors.Is(ctx.Err(), context.DeadlineExceeded) && !l.gone
-	l.say(jsonlines.TypeClose, a.ID, nil, jsonlines.CauseEnd, "")
-	p.noteGiveUp(l, a.ID)
+	l.activeID = ""
+	l.setUpPending.Store(false)
+	late := errors.Is(ctx.Err(), context.DeadlineExceeded) && !l.detached
+	l.send(jsonlines.TypeClose, a.ID, nil, jsonlines.CauseEnd, "")
+	p.recordGiveUp(l, a.ID)
 	if late {
-		l.s.detector.RecordSetupTimeout()
-		p.retire(l)
+		l.server.detector.RecordSetupTimeout()
+		p.retireConn(l)
 	}
 	p.mu.Unlock()
 	if !late {
-		p.free(l)
+		p.putBack(l)
 	}
 	return core.Result{Outcome: control.Reset} // core puts in why it was given up
 }
 
 // rungAttr is a rung as fields are written.
-func rungAttr(rung int) string { return strconv.Itoa(rung) }
+func formatRung(rung int) string { return strconv.Itoa(rung) }
--- a/internal/node/badviewers_test.go
+++ b/internal/node/badviewers_test.go
@@ -71,14 +71,18 @@
 		n.dial()
 	}
 	n.dial().say(setUp(idB, "free", "")).want(idB, 200)
-	n.viewers.mu.Lock()
-	open := len(n.viewers.all)
-	n.viewers.mu.Unlock()
-	if open > n.viewers.maxConnections {
+	n.viewerConns.mu.Lock()
+	open := len(n.viewerConns.conns)
+	n.viewerConns.mu.Unlock()
+	if open > n.viewerConns.maxConnections {
 		t.Errorf("%d connections", open)
 	}
 	v.say(setUp(idC, "free", "")).want(idC, 200) // the first is there still
-	eventually(t, "the silent closed", func() bool { n.viewers.mu.Lock(); defer n.viewers.mu.Unlock(); return len(n.viewers.all) == 2 })
+	eventually(t, "the silent closed", func() bool {
+		n.viewerConns.mu.Lock()
+		defer n.viewerConns.mu.Unlock()
+		return len(n.viewerConns.conns) == 2
+	})
 }
 
 // TestSlowReader: a viewer that reads nothing loses its connection, and nobody else waits for it.
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -51,8 +51,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	n.follow = coordinator.New(listen(b).Addr().String(), 1, n.Config.Platform.ConnectTimeout, n.Log, n.take)
-	n.Listener, n.Arriving = viewerEnd, -n.longest()
+	n.follower = coordinator.New(listen(b).Addr().String(), 1, n.Config.Platform.ConnectTimeout, n.Log, n.handleUpdates)
+	n.Listener, n.ArrivalWindow = viewerEnd, -n.longestDeadline()
 	over := make(chan error, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	go func() { over <- n.Run(ctx) }()
--- a/internal/node/capacity_test.go
+++ b/internal/node/capacity_test.go
@@ -63,7 +63,7 @@
 	n.servesHome(v, b, idB)
 
 	whole := coordinator.Update{Endpoints: &coordinator.Endpoints{Full: true, Servers: list}}
-	n.write(n.Path, n.feed, 256, coordinator.Updates{Index: n.feed.last() + 1, Updates: []coordinator.Update{whole}})
+	n.write(n.ConfigPath, n.feed, 256, coordinator.Updates{Index: n.feed.last() + 1, Updates: []coordinator.Update{whole}})
 	_ = syscall.Kill(syscall.Getpid(), syscall.SIGHUP)
 	eventually(t, "the reload", func() bool { return n.drained() == 0 })
 	n.servesHome(v, b, idC)
@@ -81,7 +81,7 @@
 func (r *rig) drained() (count int) {
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
-	for _, s := range r.pool.byID {
+	for _, s := range r.pool.servers {
 		if s.state == control.Draining {
 			count++
 		}
--- a/internal/node/clocks_test.go
+++ b/internal/node/clocks_test.go
@@ -16,7 +16,7 @@
 func (r *rig) ageOf(id string) (age time.Duration, known bool) {
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
-	s := r.pool.byID[id]
+	s := r.pool.servers[id]
 	if s == nil || s.started == 0 {
 		return 0, false
 	}
@@ -38,7 +38,7 @@
 		t.Run(fmt.Sprint(wrong), func(t *testing.T) {
 			t.Parallel()
 			old, fresh := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
-			n := startGated(t, func(n *Node) { n.wall += wrong }, old)
+			n := startGated(t, func(n *Node) { n.startUnixTime += wrong }, old)
 			told := fresh.started(200 * time.Millisecond)
 			n.feed.push(told)
 			var age time.Duration
@@ -51,7 +51,7 @@
 			eventually(t, "draining", func() bool {
 				n.pool.mu.Lock()
 				defer n.pool.mu.Unlock()
-				return n.pool.byID["s-2"].state == control.Draining
+				return n.pool.servers["s-2"].state == control.Draining
 			})
 			again, _ := n.ageOf("s-2")
 			if again < age || again > age+2*time.Second {
@@ -68,7 +68,7 @@
 		t.Run(fmt.Sprint(wrong), func(t *testing.T) {
 			t.Parallel()
 			a, b := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
-			n := startListed(t, 256, func(n *Node) { n.wall += wrong }, []coordinator.Entry{a.started(time.Minute), b.started(100 * time.Millisecond)})
+			n := startListed(t, 256, func(n *Node) { n.startUnixTime += wrong }, []coordinator.Entry{a.started(time.Minute), b.started(100 * time.Millisecond)})
 			before, _ := n.ageOf("s-1")
 			last, _ := n.ageOf("s-2")
 			if last < 0 || last > time.Second {
--- a/internal/node/clockwatch_test.go
+++ b/internal/node/clockwatch_test.go
@@ -8,7 +8,7 @@
 // TestClockWatch: a pause is told from the monotonic clock, a step from the difference of the two, and neither passes
 // for the other.
 func TestClockWatch(t *testing.T) {
-	const usual = clockInterval
+	const usual = clockSampleInterval
 	for _, c := range []struct{ monotonic, wall, pause, step time.Duration }{
 		{usual, usual, 0, 0},
 		{usual + pauseThreshold - 1, usual + pauseThreshold - 1, 0, 0},
@@ -18,7 +18,7 @@
 		{usual, usual - time.Hour, 0, -time.Hour},
 		{usual + time.Second, usual, time.Second, -time.Second},
 	} {
-		if pause, step := judgeClocks(c.monotonic, c.wall); pause != c.pause || step != c.step {
+		if pause, step := compareClocks(c.monotonic, c.wall); pause != c.pause || step != c.step {
 			t.Errorf("monotonic %v, wall %v: pause %v, step %v", c.monotonic, c.wall, pause, step)
 		}
 	}
@@ -29,8 +29,8 @@
 func TestArrival(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	var w clockWatch
-	if got := w.arrival(at(0), at(5)); !got.Equal(at(5)) {
+	var w clockMonitor
+	if got := w.earliestArrival(at(0), at(5)); !got.Equal(at(5)) {
 		t.Error("ahead of the first sample nothing is known of pauses")
 	}
 	w.sample(at(0))
@@ -43,7 +43,7 @@
 		{"not noticed yet", 90, 2100, 100},
 		{"not noticed yet, reader came later than the last sample", 120, 2100, 120},
 	} {
-		if got := w.arrival(at(c.from), at(c.now)); !got.Equal(at(c.want)) {
+		if got := w.earliestArrival(at(c.from), at(c.now)); !got.Equal(at(c.want)) {
 			t.Errorf("%s: %v, want %d ms", c.name, got.Sub(start), c.want)
 		}
 	}
@@ -54,10 +54,10 @@
 	}{
 		{"noticed", 90, 2110, 100},
 		{"began to wait behind it", 2105, 2110, 2110},
-		{"read long after it", 90, 2100 + int(catchUp.Milliseconds()) + 1, 2601},
+		{"read long after it", 90, 2100 + int(pauseCatchUpTime.Milliseconds()) + 1, 2601},
 	} {
-		w.last = at(c.now) // sampling goes on
-		if got := w.arrival(at(c.from), at(c.now)); !got.Equal(at(c.want)) {
+		w.lastSample = at(c.now) // sampling goes on
+		if got := w.earliestArrival(at(c.from), at(c.now)); !got.Equal(at(c.want)) {
 			t.Errorf("%s: %v, want %d ms", c.name, got.Sub(start), c.want)
 		}
 	}
--- a/internal/node/closing.go
+++ b/internal/node/closing.go
@@ -18,57 +18,57 @@
 type closeReason string
 
 const (
-	closedByViewer   closeReason = "closed by the viewer"
-	resetByViewer    closeReason = "reset by the viewer"
-	brokenByNetwork  closeReason = "network error"
-	closedUnreadable closeReason = "message that cannot be read"
-	closedStalled    closeReason = "message that stalled"
-	closedSilent     closeReason = "no message in time"
-	closedForRoom    closeReason = "closed to make room"
-	closedUnwritable closeReason = "answers cannot be written"
-	closedAtNodeEnd  closeReason = "node ends"
+	closedByViewer         closeReason = "closed by the viewer"
+	closedByReset          closeReason = "reset by the viewer"
+	closedByNetworkError   closeReason = "network error"
+	closedMalformedMessage closeReason = "message that cannot be read"
+	closedMessageTimeout   closeReason = "message that stalled"
+	closedNoFirstMessage   closeReason = "no message in time"
+	closedForCapacity      closeReason = "closed to make room"
+	closedWriteFailed      closeReason = "answers cannot be written"
+	closedAtShutdown       closeReason = "node ends"
 )
 
 // byThisNode tells whether this side ended the connection: requests that were open on it then are lost.
 func (r closeReason) byThisNode() bool {
-	return r != closedByViewer && r != resetByViewer && r != brokenByNetwork
+	return r != closedByViewer && r != closedByReset && r != closedByNetworkError
 }
 
 // readEnd is why a connection ended whose reading failed.
-func readEnd(err error) closeReason {
+func readErrorReason(err error) closeReason {
 	switch socketerror.Classify(err, socketerror.Transfer) {
 	case socketerror.PeerClosed:
 		return closedByViewer
 	case socketerror.PeerReset:
-		return resetByViewer
+		return closedByReset
 	case socketerror.DeadlineExceeded:
-		return closedSilent
+		return closedNoFirstMessage
 	}
-	return brokenByNetwork
+	return closedByNetworkError
 }
 
 // phase is how far a viewer's connection is on its way to its end.
-type phase int
+type connPhase int
 
 const (
-	phaseOpen       phase = iota
-	phaseHalfClosed       // the viewer has shut down its writing half
-	phaseDraining         // nothing more is read, what was taken is answered
-	phaseOver
+	phaseOpen       connPhase = iota
+	phaseHalfClosed           // the viewer has shut down its writing half
+	phaseDraining             // nothing more is read, what was taken is answered
+	phaseClosed
 )
 
-func (p phase) String() string {
+func (p connPhase) String() string {
 	return [...]string{"open", "half closed", "draining", "over"}[p]
 }
 
 // phase is where a connection stands.
-func (c *viewer) phase() phase {
+func (c *viewerConn) phase() connPhase {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.over:
-		return phaseOver
-	case c.halfOpen:
+	case c.closed:
+		return phaseClosed
+	case c.halfClosedByViewer:
 		return phaseHalfClosed
 	case c.draining:
 		return phaseDraining
@@ -79,102 +79,102 @@
 const (
 	// firstProbe is the time between the first two tries to find out whether a viewer that shut down its writing half still
 	// reads: longer than its reset takes. Later tries are further apart.
-	firstProbe   = 20 * time.Millisecond
-	probeGrowth  = 4
-	maxProbeWait = 320 * time.Millisecond
+	firstProbeInterval = 20 * time.Millisecond
+	probeBackoffFactor = 4
+	maxProbeInterval   = 320 * time.Millisecond
 	// mayBeginFor is how long attempts may still begin for a viewer that shut down its writing half and may have gone. The
 	// platform allows 0.1 s.
-	mayBeginFor = 80 * time.Millisecond
+	halfCloseAttemptWindow = 80 * time.Millisecond
 	// maxFlush is how long what is left to write may take once nothing is read any more.
-	maxFlush = writeTimeout
+	maxFlushTime = writeTimeout
 )
 
 // refuse answers what cannot be read on. Nothing behind it is taken.
-func (c *viewer) refuse(status int) {
-	c.n.Log.Info("message refused", "status", status, "connection", uint64(c.id), "from", c.from, "waiting", c.waiting())
-	c.out.put(func(b []byte) []byte { return rtsp.AppendResponse(b, status, nil, nil) })
+func (c *viewerConn) respondError(status int) {
+	c.node.Log.Info("message refused", "status", status, "connection", uint64(c.id), "from", c.remoteHost, "waiting", c.openSetUpCount())
+	c.out.enqueue(func(b []byte) []byte { return rtsp.AppendResponse(b, status, nil, nil) })
 }
 
 // drain has the set-ups that wait answered before the connection ends, where reading ended for a reason that leaves the
 // viewer there. What the viewer still sends is read for a bounded time: closing with unread bytes would reset the
 // connection and could destroy an answer on its way (RFC 9112, section 9.6).
-func (c *viewer) drain(why closeReason) {
+func (c *viewerConn) drain(why closeReason) {
 	switch why {
-	case closedUnreadable, closedStalled:
+	case closedMalformedMessage, closedMessageTimeout:
 		c.beginDrain()
-		discarded, err := io.Copy(io.Discard, io.LimitReader(&c.in, maxDiscarded))
+		discarded, err := io.Copy(io.Discard, io.LimitReader(&c.in, maxDiscardedBytes))
 		switch {
-		case c.waiting() == 0:
+		case c.openSetUpCount() == 0:
 		case err != nil:
 			return // reset
-		case discarded < maxDiscarded:
-			c.halfClosed()
+		case discarded < maxDiscardedBytes:
+			c.handleHalfClose()
 		}
 	case closedByViewer:
-		c.halfClosed()
+		c.handleHalfClose()
 	default:
 		return
 	}
-	c.awaitAnswers()
+	c.awaitDrained()
 }
 
 // beginDrain takes no further message.
-func (c *viewer) beginDrain() {
+func (c *viewerConn) beginDrain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.draining = true
 	c.in.setDeadline(time.Time{})
-	c.endIfDrained()
+	c.finishIfDrained()
 }
 
 // halfClosed notes that the viewer has shut down its writing half. Whether it still reads is not known yet: what is out
 // for its set-ups goes on, and no attempt begins after a short while.
-func (c *viewer) halfClosed() {
+func (c *viewerConn) handleHalfClose() {
 	c.mu.Lock()
-	c.halfOpen = true
-	until := c.n.now() + mayBeginFor
-	waiting := make([]string, 0, len(c.open))
-	for _, s := range c.open {
-		s.holdFrom(until)
+	c.halfClosedByViewer = true
+	until := c.node.now() + halfCloseAttemptWindow
+	waiting := make([]string, 0, len(c.openSetUps))
+	for _, s := range c.openSetUps {
+		s.blockAttemptsFrom(until)
 		waiting = append(waiting, s.id)
 	}
 	c.mu.Unlock()
 	if len(waiting) > 0 {
-		c.n.near.halfClosed.Add(1)
-		c.n.Log.Info("viewer shut down its writing half", "connection", uint64(c.id), "from", c.from, "age", time.Since(c.at), "waiting", waiting)
+		c.node.nearMisses.halfClosed.Add(1)
+		c.node.Log.Info("viewer shut down its writing half", "connection", uint64(c.id), "from", c.remoteHost, "age", time.Since(c.openedAt), "waiting", waiting)
 	}
 	c.beginDrain()
 }
 
 // endIfDrained closes the writing half of a connection that drains and has no set-up open. The caller holds c.mu.
-func (c *viewer) endIfDrained() {
-	if !c.draining || len(c.open) > 0 || isClosed(c.drained) {
+func (c *viewerConn) finishIfDrained() {
+	if !c.draining || len(c.openSetUps) > 0 || isClosed(c.drained) {
 		return
 	}
 	close(c.drained)
-	c.out.finish()
+	c.out.closeAfterFlush()
 	c.in.setDeadline(time.Now().Add(discardTimeout))
 }
 
 // awaitAnswers returns when the connection has drained and what was to be written is written, or when it is over. A viewer
 // that closed both halves answers anything with a reset, and only then is known to have gone: progress, which means
 // nothing to a viewer that reads, finds out.
-func (c *viewer) awaitAnswers() {
-	wait := firstProbe
-	for ; ; wait = min(wait*probeGrowth, maxProbeWait) {
+func (c *viewerConn) awaitDrained() {
+	wait := firstProbeInterval
+	for ; ; wait = min(wait*probeBackoffFactor, maxProbeInterval) {
 		c.mu.Lock()
-		probe := c.halfOpen && !isClosed(c.drained)
-		for _, s := range c.open {
+		probe := c.halfClosedByViewer && !isClosed(c.drained)
+		for _, s := range c.openSetUps {
 			if probe {
-				c.out.put(s.appendReply(reply{status: 100}))
+				c.out.enqueue(s.appendAnswer(finalAnswer{status: 100}))
 			}
 		}
 		c.mu.Unlock()
 		select {
 		case <-c.drained:
-			within(maxFlush, func() bool { return !c.out.busy() })
+			pollUntil(maxFlushTime, func() bool { return !c.out.isWriting() })
 			return
-		case <-c.ended:
+		case <-c.done:
 			return
 		case <-time.After(wait):
 		}
@@ -182,10 +182,10 @@
 }
 
 // writeFailed ends a connection that cannot be written to. A viewer that had shut down its writing half has gone.
-func (c *viewer) writeFailed() {
+func (c *viewerConn) handleWriteError() {
 	c.mu.Lock()
-	why := closedUnwritable
-	if c.halfOpen {
+	why := closedWriteFailed
+	if c.halfClosedByViewer {
 		why = closedByViewer
 	}
 	c.mu.Unlock()
@@ -193,34 +193,34 @@
 }
 
 // close ends a connection at once. The viewers of set-ups on it may send them again on another one.
-func (c *viewer) close(why closeReason) { c.closeUnless(why, func() bool { return c.over }) }
+func (c *viewerConn) close(why closeReason) { c.closeUnless(why, func() bool { return c.closed }) }
 
 // closeIdle ends a connection at once if nothing waits on it. What came on it since it was chosen keeps it open.
-func (c *viewer) closeIdle(why closeReason) bool {
-	return c.closeUnless(why, func() bool { return c.over || c.busy || len(c.open) > 0 })
+func (c *viewerConn) closeIfIdle(why closeReason) bool {
+	return c.closeUnless(why, func() bool { return c.closed || c.handlingMessage || len(c.openSetUps) > 0 })
 }
 
 // closeUnless ends a connection unless something holds, which is asked under its lock.
-func (c *viewer) closeUnless(why closeReason, holds func() bool) (closed bool) {
+func (c *viewerConn) closeUnless(why closeReason, holds func() bool) (closed bool) {
 	c.mu.Lock()
 	if holds() {
 		c.mu.Unlock()
 		return false
 	}
-	c.over = true
-	gone := make([]*session, 0, len(c.open))
-	for _, s := range c.open {
+	c.closed = true
+	gone := make([]*session, 0, len(c.openSetUps))
+	for _, s := range c.openSetUps {
 		gone = append(gone, s)
 	}
-	clear(c.open)
+	clear(c.openSetUps)
 	c.mu.Unlock()
-	c.n.awaitResend(c, gone) // first of all: an attempt may be about to begin
-	close(c.ended)
-	c.out.stop()
+	c.node.awaitResend(c, gone) // first of all: an attempt may be about to begin
+	close(c.done)
+	c.out.abort()
 	_ = c.conn.Close()
-	v := c.n.viewers
+	v := c.node.viewerConns
 	v.mu.Lock()
-	delete(v.all, c)
+	delete(v.conns, c)
 	v.resendNotices(c)
 	v.mu.Unlock()
 	c.logClose(why, gone)
@@ -229,32 +229,32 @@
 
 // logClose tells why a connection ended, and which requests got no answer by it. Where this side ended it, they are
 // lost.
-func (c *viewer) logClose(why closeReason, unanswered []*session) {
+func (c *viewerConn) logClose(why closeReason, unanswered []*session) {
 	level := slog.LevelDebug
 	switch {
 	case len(unanswered) > 0 && why.byThisNode():
 		level = slog.LevelWarn
-		c.n.near.closedUnanswered.Add(int64(len(unanswered)))
-	case len(unanswered) > 0 || why == closedForRoom:
+		c.node.nearMisses.closedUnanswered.Add(int64(len(unanswered)))
+	case len(unanswered) > 0 || why == closedForCapacity:
 		level = slog.LevelInfo
 	}
 	if !why.byThisNode() {
-		c.n.near.leftUnanswered.Add(int64(len(unanswered)))
+		c.node.nearMisses.leftUnanswered.Add(int64(len(unanswered)))
 	}
-	if !c.n.Log.Enabled(context.Background(), level) {
+	if !c.node.Log.Enabled(context.Background(), level) {
 		return
 	}
 	ids := make([]string, 0, len(unanswered))
 	for _, s := range unanswered {
 		ids = append(ids, s.id)
 	}
-	c.n.Log.Log(context.Background(), level, "viewer connection over", "why", string(why), "connection", uint64(c.id), "from", c.from,
-		"age", time.Since(c.at), "unanswered", ids)
+	c.node.Log.Log(context.Background(), level, "viewer connection over", "why", string(why), "connection", uint64(c.id), "from", c.remoteHost,
+		"age", time.Since(c.openedAt), "unanswered", ids)
 }
 
 // refuseConnection closes a connection that was accepted and will not be served.
-func (c *viewer) refuseConnection(why closeReason) {
-	c.n.near.viewersRefused.Add(1)
-	c.n.Log.Warn("viewer connection not served", "why", string(why), "from", c.conn.RemoteAddr().String())
+func (c *viewerConn) refuseConnection(why closeReason) {
+	c.node.nearMisses.viewersRefused.Add(1)
+	c.node.Log.Warn("viewer connection not served", "why", string(why), "from", c.conn.RemoteAddr().String())
 	_ = c.conn.Close()
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -58,7 +58,7 @@
 		Settings json.RawMessage
 	}
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return nil, place(raw, err)
+		return nil, withPosition(raw, err)
 	}
 	c := &Config{Name: f.Name, Listen: f.Listen, Coordinator: f.Coordinator, Cores: f.Limits.Cores,
 		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: f.Known}
@@ -98,7 +98,7 @@
 }
 
 // place names the line and field of a mistake.
-func place(raw []byte, err error) error {
+func withPosition(raw []byte, err error) error {
 	at := int64(-1)
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
@@ -121,14 +121,14 @@
 }
 
 // errNoEntryUsable tells a list of which nothing can be used: the one before it stays.
-var errNoEntryUsable = errors.New("no entry of the list can be used")
+var errNoUsableEntry = errors.New("no entry of the list can be used")
 
 // servers translates an update's entries. One that names an unknown zone, kind or state, or no id or address, is left
 // out alone: what it says of its server is not known, and the others' drains must not wait for it.
-func (c *Config) servers(entries []coordinator.Entry) (usable []control.Server, unusable []error) {
+func (c *Config) parseServers(entries []coordinator.Entry) (usable []control.Server, unusable []error) {
 	usable = make([]control.Server, 0, len(entries))
 	for i, e := range entries {
-		s, err := c.server(e)
+		s, err := c.parseServer(e)
 		if err != nil {
 			unusable = append(unusable, fmt.Errorf("servers[%d]: %w", i, err))
 			continue
@@ -139,7 +139,7 @@
 }
 
 // server translates one entry.
-func (c *Config) server(e coordinator.Entry) (control.Server, error) {
+func (c *Config) parseServer(e coordinator.Entry) (control.Server, error) {
 	states := map[string]control.ServerState{"up": control.Ready, "draining": control.Draining, "removed": control.Gone}
 	state, known := states[e.State]
 	if e.ID == "" || !known {
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -47,14 +47,14 @@
 		n := startNode(t, newBox(t, "s-1", ready))
 		first := n.dial().say(setUp(idB, "free", ""))
 		first.want(idB, 200)
-		n.viewers.mu.Lock() // accept is stuck with one connection, two more wait behind it
+		n.viewerConns.mu.Lock() // accept is stuck with one connection, two more wait behind it
 		a, b, c := n.dial(), n.dial(), n.dial()
 		b.say(setUp(idA, "free", ""))
 		c.say(setUp(idC, "paid", ""))
 		n.stop()
-		eventually(t, "the node leaving", n.viewers.leaving.Load)
-		time.Sleep(2 * backlogQuiet) // a core that is busy elsewhere: the first look's time passes
-		n.viewers.mu.Unlock()
+		eventually(t, "the node leaving", n.viewerConns.shuttingDown.Load)
+		time.Sleep(2 * backlogIdleTimeout) // a core that is busy elsewhere: the first look's time passes
+		n.viewerConns.mu.Unlock()
 		if got := b.oneAnswer(idA); got != 503 {
 			t.Errorf("answered %d", got)
 		}
@@ -81,9 +81,13 @@
 		n := startNode(t, newBox(t, "s-1", ready))
 		letGo := n.holdOwner()
 		v := n.dial().say(setUp(idA, "free", "")[:70])
-		eventually(t, "begun", func() bool { n.viewers.mu.Lock(); defer n.viewers.mu.Unlock(); return len(n.viewers.all) == 1 })
+		eventually(t, "begun", func() bool {
+			n.viewerConns.mu.Lock()
+			defer n.viewerConns.mu.Unlock()
+			return len(n.viewerConns.conns) == 1
+		})
 		n.stop()
-		eventually(t, "the node leaving", n.viewers.leaving.Load)
+		eventually(t, "the node leaving", n.viewerConns.shuttingDown.Load)
 		v.say(setUp(idA, "free", "")[70:])
 		if m := v.next(); m.Status != 503 || m.Get("Session") != idA {
 			t.Errorf("answer %+v", m)
@@ -97,7 +101,7 @@
 		v := n.dial().say(setUp(idA, "paid", ""))
 		eventually(t, "queued", func() bool { return n.owner.QueueLen() == 1 })
 		n.stop()
-		eventually(t, "the node leaving", n.viewers.leaving.Load)
+		eventually(t, "the node leaving", n.viewerConns.shuttingDown.Load)
 		letGo()
 		v.oneAnswer(idA)
 		n.ends()
@@ -131,13 +135,13 @@
 		n := startNode(t, b)
 		v := n.dial().say(setUp(idA, "paid", ""))
 		m := b.next(t, "open")
-		c := n.find(idA).conn
+		c := n.findSession(idA).conn
 		c.out.mu.Lock() // the writer waits for it
 		answered := make(chan struct{})
 		go func() { defer close(answered); ready(m); v.say(setUp(idB, "free", "")[:50]) }()
 		<-answered
 		n.stop()
-		eventually(t, "the node leaving", n.viewers.leaving.Load)
+		eventually(t, "the node leaving", n.viewerConns.shuttingDown.Load)
 		c.out.mu.Unlock()
 		if got := v.next(); got.Get("Session") != idA {
 			t.Errorf("answer %+v", got)
@@ -204,16 +208,16 @@
 func TestSignalsCross(t *testing.T) {
 	a, b := newBox(t, "s-1", nil), newBox(t, "s-2", nil)
 	n := startNode(t, a)
-	n.Arriving = killMargin // and the longest deadline on top, 1 s
+	n.ArrivalWindow = killMargin // and the longest deadline on top, 1 s
 	v := n.dial().say(setUp(idA, "paid", ""))
 	m := a.next(t, "open")
 	n.stop() // what SIGTERM does
 	other := newFeed(t, n.feed.all)
 	known := coordinator.Updates{Index: 2, Updates: append(n.feed.all,
 		coordinator.Update{Endpoints: &coordinator.Endpoints{Servers: []coordinator.Entry{a.entry("draining"), b.entry("up")}}})}
-	_ = os.WriteFile(n.Path, []byte("{"), 0o600)
+	_ = os.WriteFile(n.ConfigPath, []byte("{"), 0o600)
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	n.write(n.Path, other, 256, known)
+	n.write(n.ConfigPath, other, 256, known)
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
 		_ = syscall.Kill(os.Getpid(), s)
 	}
@@ -274,18 +278,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := newViewers(n.Node, 8)
-	c := newViewer(n.Node, conn, time.Now())
-	v.all[c] = struct{}{}
+	v := newViewerConns(n.Node, 8)
+	c := newViewerConn(n.Node, conn, time.Now())
+	v.conns[c] = struct{}{}
 	const unread = "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\n"
 	_, _ = io.WriteString(client, unread) // nobody reads it yet
-	c.out.put(func(b []byte) []byte { return append(b, "the answer"...) })
+	c.out.enqueue(func(b []byte) []byte { return append(b, "the answer"...) })
 	closed := make(chan struct{})
 	go func() { defer close(closed); v.closeAll() }()
-	eventually(t, "the answer written", func() bool { v.mu.Lock(); over := v.over; v.mu.Unlock(); return over && !c.out.busy() })
+	eventually(t, "the answer written", func() bool { v.mu.Lock(); over := v.closed; v.mu.Unlock(); return over && !c.out.isWriting() })
 	_, _ = io.CopyN(io.Discard, conn, int64(len(unread))) // the reader's turn
 	v.mu.Lock()
-	delete(v.all, c)
+	delete(v.conns, c)
 	v.mu.Unlock()
 	<-closed
 	if b, err := io.ReadAll(client); err != nil || string(b) != "the answer" {
@@ -350,10 +354,10 @@
 func TestStaysUntilLastArrival(t *testing.T) {
 	const lastArrival = 600 * time.Millisecond
 	for _, deadline := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 350 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second} {
-		n := &Node{Config: &Config{}, Arriving: arrivalWindow}
+		n := &Node{Config: &Config{}, ArrivalWindow: defaultArrivalWindow}
 		n.Config.Set.Classes = []control.Class{{Deadline: deadline / 2}, {Deadline: deadline}}
-		kill := arrivalWindow + min(deadline, 3*time.Second)
-		if stays := n.staysFor(); stays <= lastArrival || stays >= kill {
+		kill := defaultArrivalWindow + min(deadline, 3*time.Second)
+		if stays := n.shutdownDelay(); stays <= lastArrival || stays >= kill {
 			t.Errorf("longest deadline %v: stays %v, the last request comes after %v, the kill after %v", deadline, stays, lastArrival, kill)
 		}
 	}
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -12,14 +12,14 @@
 	n := startNode(t, b)
 	v := n.dial().say(ping)
 	v.want("", 200)
-	var chosen *viewer // the answer is written ahead of the connection's rest
-	eventually(t, "a connection at rest", func() bool { chosen = n.viewers.evictionCandidate(time.Now()); return chosen != nil })
+	var chosen *viewerConn // the answer is written ahead of the connection's rest
+	eventually(t, "a connection at rest", func() bool { chosen = n.viewerConns.evictionCandidate(time.Now()); return chosen != nil })
 	v.say(setUp(idA, "paid", ""))
 	m := b.next(t, "open")
-	if chosen.closeIdle(closedForRoom) {
+	if chosen.closeIfIdle(closedForCapacity) {
 		t.Error("closed under a request")
 	}
 	ready(m)
-	v.want(idA, statusPlays)
+	v.want(idA, statusOK)
 	n.agree(1)
 }
--- a/internal/node/link_test.go
+++ b/internal/node/link_test.go
@@ -14,16 +14,16 @@
 func (r *rig) warm(b *box) {
 	r.t.Helper()
 	r.pool.mu.Lock()
-	s := r.pool.byID[b.id]
+	s := r.pool.servers[b.id]
 	r.pool.mu.Unlock()
-	if !r.pool.reserveFree() {
+	if !r.pool.reserveFreeSlot() {
 		r.t.Fatal("no place for a connection")
 	}
-	l, err := r.pool.dial(context.Background(), s, testFor, forSetUp)
+	l, err := r.pool.dial(context.Background(), s, testFor, dialForSetUp)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.pool.free(l)
+	r.pool.putBack(l)
 }
 
 // TestServerClosesAsSetUpComes: a server closes an idle connection. Ahead of the set-up's first byte nothing was sent:
@@ -42,7 +42,7 @@
 			}, b)
 			n.warm(b)
 			n.pool.mu.Lock()
-			l := n.pool.byID["s-1"].idle[0]
+			l := n.pool.servers["s-1"].idleConns[0]
 			n.pool.mu.Unlock()
 			v := n.dial().say(setUp(idA, class, ""))
 			g.wait(t)
@@ -50,7 +50,7 @@
 			b.mu.Lock()
 			_ = b.conns[0].Close()
 			b.mu.Unlock()
-			eventually(t, "the close seen", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return l.gone })
+			eventually(t, "the close seen", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return l.detached })
 			close(g.open)
 			ready(b.next(t, "open"))
 			v.want(idA, 200)
@@ -82,14 +82,14 @@
 	g.wait(t)
 	first, other := a, b
 	n.pool.mu.Lock()
-	if len(n.pool.byID["s-2"].links) > 0 {
+	if len(n.pool.servers["s-2"].conns) > 0 {
 		first, other = b, a
 	}
-	l := n.pool.byID[first.id].links[0]
+	l := n.pool.servers[first.id].conns[0]
 	n.pool.mu.Unlock()
 	eventually(t, "accepted", func() bool { return first.accepted() == 1 })
 	first.die()
-	eventually(t, "the end seen", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return l.gone })
+	eventually(t, "the end seen", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return l.detached })
 	close(g.open)
 	m := other.next(t, "open")
 	if m.ID != idA || len(first.heard) > 0 {
@@ -116,14 +116,14 @@
 	g.wait(t)
 	b := newBox(t, "s-2", ready)
 	n.feed.push(coordinator.Entry{ID: "s-1", State: "removed"}, b.entry("up"))
-	eventually(t, "removed", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.byID["s-1"] == nil })
+	eventually(t, "removed", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-1"] == nil })
 	close(g.open)
 	v.want(idA, 200)
 	n.agree(1)
 	n.pool.mu.Lock()
 	defer n.pool.mu.Unlock()
-	if len(a.heard) > 0 || n.pool.links != len(n.pool.byID["s-2"].links) {
-		t.Errorf("the removed server heard %d lines; %d connections counted", len(a.heard), n.pool.links)
+	if len(a.heard) > 0 || n.pool.connCount != len(n.pool.servers["s-2"].conns) {
+		t.Errorf("the removed server heard %d lines; %d connections counted", len(a.heard), n.pool.connCount)
 	}
 }
 
@@ -160,11 +160,11 @@
 	v.want(idA, 200)
 	n.agree(1)
 	n.pool.mu.Lock()
-	s := n.pool.byID["s-1"]
-	l := s.anyLink()
-	l.say("close", idA, nil, 31, "")
-	n.pool.retire(l)
-	links, left := n.pool.links, len(s.links)
+	s := n.pool.servers["s-1"]
+	l := s.anyConn()
+	l.send("close", idA, nil, 31, "")
+	n.pool.retireConn(l)
+	links, left := n.pool.connCount, len(s.conns)
 	n.pool.mu.Unlock()
 	if c := b.next(t, "close"); c.ID != idA {
 		t.Errorf("%+v", c.Message)
@@ -182,8 +182,8 @@
 	n.warm(b)
 	idle := n.Config.Platform.ConnIdle
 	n.pool.mu.Lock()
-	old := n.pool.byID["s-1"].idle[0]
-	old.heard = n.now() - time.Duration(float64(idle)*0.81)
+	old := n.pool.servers["s-1"].idleConns[0]
+	old.lastActivity = n.now() - time.Duration(float64(idle)*0.81)
 	n.pool.mu.Unlock()
 	n.dial().say(setUp(idA, "free", "")).want(idA, 200)
 	if m := b.next(t, "open"); b.accepted() != 2 {
@@ -238,7 +238,7 @@
 		"by this side": func(n *rig, _ *peer) {
 			n.pool.mu.Lock()
 			defer n.pool.mu.Unlock()
-			n.pool.retire(n.pool.byID["s-1"].idle[0])
+			n.pool.retireConn(n.pool.servers["s-1"].idleConns[0])
 		},
 		"by the server": func(_ *rig, on *peer) { _ = on.Close() },
 	} {
@@ -253,7 +253,7 @@
 			n.agree(1)
 			eventually(t, "two connections", func() bool { return b.accepted() == 2 })
 			end(n, first.on)
-			eventually(t, "the end seen", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.byID["s-1"].renewAt > 0 })
+			eventually(t, "the end seen", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-1"].reconnectAt > 0 })
 			n.warm(b) // one that is opened as the other ends may be there before the server has seen the end
 			eventually(t, "a connection opened at once, and another one later", func() bool { return b.accepted() == 4 })
 			b.mu.Lock()
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -28,7 +28,7 @@
 	g.wait(t)
 	drained, other := a, b
 	n.pool.mu.Lock()
-	if len(n.pool.byID["s-2"].links) > 0 {
+	if len(n.pool.servers["s-2"].conns) > 0 {
 		drained, other = b, a
 	}
 	n.pool.mu.Unlock()
@@ -36,7 +36,7 @@
 	eventually(t, "told", func() bool {
 		n.pool.mu.Lock()
 		defer n.pool.mu.Unlock()
-		return n.pool.byID[drained.id].state == control.Draining
+		return n.pool.servers[drained.id].state == control.Draining
 	})
 	close(g.open)
 	v.want(idA, 200)
@@ -56,12 +56,12 @@
 	close(n.feed.more)
 	n.feed.more = make(chan struct{})
 	n.feed.mu.Unlock()
-	eventually(t, "told", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.byID["s-2"] != nil })
+	eventually(t, "told", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-2"] != nil })
 	n.dial().say(setUp(idA, "paid", "")).want(idA, 200)
 	if m := b.next(t, "open"); m.ID != idA || len(a.heard) > 0 {
 		t.Errorf("%+v; the one left out heard %d lines", m.Message, len(a.heard))
 	}
-	if r := n.pool.SetUp(context.Background(), core.Attempt{ID: idB, Server: "s-1", Listener: &session{n: n.Node}}); r.Outcome != control.NotSent {
+	if r := n.pool.SetUp(context.Background(), core.Attempt{ID: idB, Server: "s-1", Listener: &session{node: n.Node}}); r.Outcome != control.NotSent {
 		t.Errorf("to a server that has gone: %v", core.OutcomeName(r.Outcome))
 	}
 }
@@ -77,7 +77,11 @@
 	on := b.conns[0]
 	b.mu.Unlock()
 	on.say(`{"msg":"close","sid":%q,"code":16}`, idA)
-	eventually(t, "the end heard", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return len(n.pool.byID["s-1"].earlyEnds) == 1 })
+	eventually(t, "the end heard", func() bool {
+		n.pool.mu.Lock()
+		defer n.pool.mu.Unlock()
+		return len(n.pool.servers["s-1"].earlyEnds) == 1
+	})
 	v := n.dial().say(setUp(idA, "free", ";at:s-1"))
 	v.wantRelease(idA, "cause=16")
 	v.say(setUp(idB, "free", ";at:s-1"))
@@ -101,7 +105,7 @@
 	n.pool.mu.Unlock()
 	eventually(t, "a connection", func() bool { return late.accepted() > 0 })
 	v.silent()
-	if n.owner.Stats.Open.Load() != 1 || n.find(idB) == nil {
+	if n.owner.Stats.Open.Load() != 1 || n.findSession(idB) == nil {
 		t.Error("the session at the server that was listed late is gone")
 	}
 }
@@ -114,7 +118,7 @@
 	v.want(idA, 200)
 	n.feed.push(a.entry("draining"), b.entry("up"))
 	a.next(t, "open")
-	eventually(t, "told", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.byID["s-2"] != nil })
+	eventually(t, "told", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-2"] != nil })
 	v.say(setUp(idB, "paid", "")).want(idB, 200)
 	if m := b.next(t, "open"); m.ID != idB {
 		t.Errorf("%+v", m.Message)
@@ -136,15 +140,15 @@
 	nowhere := b.entry("up")
 	nowhere.ID, nowhere.Addr = "s-5", "nowhere"
 	n.feed.push(coordinator.Entry{ID: "s-4", State: "strange"}, a.entry("draining"), coordinator.Entry{State: "up"}, nowhere, b.entry("up"))
-	eventually(t, "told", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.byID["s-2"] != nil })
+	eventually(t, "told", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-2"] != nil })
 	v := n.dial().say(setUp(idA, "paid", "")).want(idA, 200)
 	if v.Status != 200 || b.next(t, "open").ID != idA || len(a.heard) > 0 {
 		t.Error("the drain beside an entry that cannot be used was not followed")
 	}
 	n.pool.mu.Lock()
 	defer n.pool.mu.Unlock()
-	if len(n.pool.byID) != 2 {
-		t.Errorf("%d servers", len(n.pool.byID))
+	if len(n.pool.servers) != 2 {
+		t.Errorf("%d servers", len(n.pool.servers))
 	}
 }
 
@@ -154,9 +158,9 @@
 	other := newFeed(t, n.feed.all)
 	v := n.dial().say(setUp(idA, "free", ""))
 	v.want(idA, 200) // it serves, so it hears signals
-	_ = os.WriteFile(n.Path, []byte("{"), 0o600)
+	_ = os.WriteFile(n.ConfigPath, []byte("{"), 0o600)
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	n.write(n.Path, other, 256, coordinator.Updates{Index: 1, Updates: n.feed.all})
+	n.write(n.ConfigPath, other, 256, coordinator.Updates{Index: 1, Updates: n.feed.all})
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	select {
 	case q := <-other.polls:
--- a/internal/node/localtrouble_test.go
+++ b/internal/node/localtrouble_test.go
@@ -120,8 +120,12 @@
 		short := make(chan error, 8)
 		n := startGated(t, func(n *Node) { n.Listener = &shortListener{n.Listener, short} }, newBox(t, "s-1", ready))
 		silent := n.dial()
-		eventually(t, "taken", func() bool { n.viewers.mu.Lock(); defer n.viewers.mu.Unlock(); return len(n.viewers.all) == 1 })
-		time.Sleep(youngTime) // it may be closed for room from now on
+		eventually(t, "taken", func() bool {
+			n.viewerConns.mu.Lock()
+			defer n.viewerConns.mu.Unlock()
+			return len(n.viewerConns.conns) == 1
+		})
+		time.Sleep(newConnectionGrace) // it may be closed for room from now on
 		for range 3 {
 			short <- &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", number)}
 		}
@@ -180,23 +184,23 @@
 	whole := rtsp.AppendResponse(nil, 200, []string{"CSeq", "1", "Session", idA}, []byte("a description"))
 	reading := &troubledConn{numbers: trouble}
 	reading.in.Write(whole)
-	got, err := io.ReadAll(&timedReader{conn: reading})
+	got, err := io.ReadAll(&deadlineReader{conn: reading})
 	if err != nil || !bytes.Equal(got, whole) {
 		t.Errorf("read %q, %v", got, err)
 	}
 	writing := &troubledConn{numbers: trouble}
 	failed := make(chan struct{})
-	out := &outbox{conn: writing, fail: func() { close(failed) }}
-	out.put(func(b []byte) []byte { return append(b, whole...) })
-	eventually(t, "all written", func() bool { return !out.busy() })
+	out := &writeQueue{conn: writing, onError: func() { close(failed) }}
+	out.enqueue(func(b []byte) []byte { return append(b, whole...) })
+	eventually(t, "all written", func() bool { return !out.isWriting() })
 	if !bytes.Equal(writing.out.Bytes(), whole) {
 		t.Errorf("written %q", writing.out.Bytes())
 	}
 	broken := &troubledConn{numbers: []syscall.Errno{syscall.EPIPE}}
-	out = &outbox{conn: broken, fail: func() { close(failed) }}
-	out.put(func(b []byte) []byte { return append(b, whole...) })
+	out = &writeQueue{conn: broken, onError: func() { close(failed) }}
+	out.enqueue(func(b []byte) []byte { return append(b, whole...) })
 	<-failed
-	if _, err := (&timedReader{conn: &troubledConn{numbers: []syscall.Errno{syscall.ECONNRESET}}}).Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+	if _, err := (&deadlineReader{conn: &troubledConn{numbers: []syscall.Errno{syscall.ECONNRESET}}}).Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a reset reads as %v", err)
 	}
 }
--- a/internal/node/nearmiss.go
+++ b/internal/node/nearmiss.go
@@ -7,7 +7,7 @@
 
 // nearMisses counts what came close to a request or a release that is lost or late. All of them are zero on a day on
 // which nothing was short.
-type nearMisses struct {
+type nearMissCounters struct {
 	answersUnsent    atomic.Int64 // their connection was over, and no viewer was known to have left
 	closedUnanswered atomic.Int64 // requests open on connections that this side closed
 	leftUnanswered   atomic.Int64 // requests open on connections that their viewers or the network ended
@@ -31,13 +31,13 @@
 }
 
 // nearMissCounter is one counter and its name in logs.
-type nearMissCounter struct {
+type namedCounter struct {
 	name  string
 	count *atomic.Int64
 }
 
-func (m *nearMisses) counters() []nearMissCounter {
-	return []nearMissCounter{
+func (m *nearMissCounters) counters() []namedCounter {
+	return []namedCounter{
 		{"answers_unsent", &m.answersUnsent},
 		{"closed_unanswered", &m.closedUnanswered},
 		{"left_unanswered", &m.leftUnanswered},
@@ -62,7 +62,7 @@
 }
 
 // LogValue lists the counters.
-func (m *nearMisses) LogValue() slog.Value {
+func (m *nearMissCounters) LogValue() slog.Value {
 	var values []slog.Attr
 	for _, c := range m.counters() {
 		values = append(values, slog.Int64(c.name, c.count.Load()))
@@ -71,7 +71,7 @@
 }
 
 // sum changes with every near miss.
-func (m *nearMisses) sum() (sum int64) {
+func (m *nearMissCounters) total() (sum int64) {
 	for _, c := range m.counters() {
 		sum += c.count.Load()
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,115 +22,117 @@
 
 // Node is one running front node.
 type Node struct {
-	Config *Config
-	Path   string // of the configuration, read again at SIGHUP
-	Log    *slog.Logger
+	Config     *Config
+	ConfigPath string // of the configuration, read again at SIGHUP
+	Log        *slog.Logger
 	// Listener takes viewers; nil: where the configuration says.
 	Listener net.Listener
 	// Arriving is how long after SIGTERM requests still come.
-	Arriving time.Duration
+	ArrivalWindow time.Duration
 	// Dial opens a connection to a server.
 	Dial            func(ctx context.Context, addr string, within time.Duration) (net.Conn, error)
 	beforeAdmission func(id string)     // if set, called ahead of the admission of a set-up's first byte
-	giveWay         func()              // lets other goroutines go first
-	module          *control.Controller // touched on the owner's goroutine only
+	yieldProcessor  func()              // lets other goroutines go first
+	controller      *control.Controller // touched on the owner's goroutine only
 	owner           *core.Orchestrator
 	pool            *pool
-	viewers         *viewers
-	follow          *coordinator.Follower
-	serving         context.Context // ends with the service of the node
-	base            time.Time
-	wall            time.Duration
-	work            sync.WaitGroup
+	viewerConns     *viewerConns
+	follower        *coordinator.Follower
+	serveCtx        context.Context // ends with the service of the node
+	startedAt       time.Time
+	startUnixTime   time.Duration
+	goroutines      sync.WaitGroup
 
-	mu       sync.Mutex
-	sessions map[string]*session // that wait or stand, by id
-	recent   answers             // given a short time ago
+	mu            sync.Mutex
+	sessions      map[string]*session // that wait or stand, by id
+	recentAnswers answerCache         // given a short time ago
 
 	resendWindow time.Duration // see defaultResendWindow
 
-	agesMu sync.Mutex
-	ages   starttime.Translator // of servers, from the coordinator's clock to this node's
+	startTranslatorMu sync.Mutex
+	startTranslator   starttime.Translator // of servers, from the coordinator's clock to this node's
 
-	near   nearMisses
-	clocks clockWatch
+	nearMisses nearMissCounters
+	clocks     clockMonitor
 }
 
 const (
-	minSockets    = 64
-	socketSlack   = 50 * time.Millisecond  // every time limit is so much longer on sockets
-	arrivalWindow = 700 * time.Millisecond // after SIGTERM requests still come so long
-	killMargin    = 350 * time.Millisecond // the node begins to end so long before the earliest kill
+	minSockets           = 64
+	socketSlack          = 50 * time.Millisecond  // every time limit is so much longer on sockets
+	defaultArrivalWindow = 700 * time.Millisecond // after SIGTERM requests still come so long
+	killMargin           = 350 * time.Millisecond // the node begins to end so long before the earliest kill
 
 	// afterLastArrival is the part of Arriving in which no request comes any more: the platform sends the last ones 0.6 s
 	// after SIGTERM at most.
-	afterLastArrival = 50 * time.Millisecond
+	lastArrivalMargin = 50 * time.Millisecond
 
-	flushTimeout   = 100 * time.Millisecond
-	backlogTimeout = 100 * time.Millisecond // connections that keep coming while the node ends are taken so long
-	maxQueued      = 1024
+	flushTimeout      = 100 * time.Millisecond
+	backlogTimeout    = 100 * time.Millisecond // connections that keep coming while the node ends are taken so long
+	maxQueuedRequests = 1024
 )
 
 // New makes a front node.
 func New(c *Config, path string, log *slog.Logger) (*Node, error) {
-	n := &Node{Config: c, Path: path, Log: log, Arriving: arrivalWindow, Dial: dialTCP, giveWay: runtime.Gosched, base: time.Now(), sessions: map[string]*session{},
-		resendWindow: defaultResendWindow,
-		recent:       answers{keptFor: defaultAnswerMemory, byID: map[string]*session{}}}
-	n.wall = time.Duration(n.base.UnixNano())
+	n := &Node{Config: c, ConfigPath: path, Log: log, ArrivalWindow: defaultArrivalWindow, Dial: dialTCP, yieldProcessor: runtime.Gosched, startedAt: time.Now(), sessions: map[string]*session{},
+		resendWindow:  defaultResendWindow,
+		recentAnswers: answerCache{retention: defaultAnswerRetention, byID: map[string]*session{}}}
+	n.startUnixTime = time.Duration(n.startedAt.UnixNano())
 	set := c.Set
 	set.AllowPeerMessages = false // nothing tells where they are
 	d, err := control.New(set, c.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	n.module = d
+	n.controller = d
 	n.pool = newPool(n, c.Sockets*3/8)
-	n.viewers = newViewers(n, c.Sockets/2)
-	n.owner = core.New(core.Options{QueueSize: maxQueued, MaxAttempts: c.Set.MaxAttempts, AnswerSlack: c.Platform.AnswerSlack + socketSlack,
+	n.viewerConns = newViewerConns(n, c.Sockets/2)
+	n.owner = core.New(core.Options{QueueSize: maxQueuedRequests, MaxAttempts: c.Set.MaxAttempts, AnswerSlack: c.Platform.AnswerSlack + socketSlack,
 		Budget: core.Budget{Span: c.Set.BudgetSpan, Share: c.Set.BudgetShare}, Log: log, Decider: d, Executor: n.pool, Now: n.now})
-	n.follow = coordinator.New(c.Coordinator, c.Known.Index, c.Platform.ConnectTimeout, log, n.take)
-	n.follow.OnResponse = n.coordinatorHeard
+	n.follower = coordinator.New(c.Coordinator, c.Known.Index, c.Platform.ConnectTimeout, log, n.handleUpdates)
+	n.follower.OnResponse = n.recordCoordinatorContact
 	return n, nil
 }
 
 // Limits has the runtime keep to a front node's limits.
-func Limits(c *Config) {
+func ApplyLimits(c *Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
 	debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 6 / 10)
 }
 
 // now is Unix time that never steps back while the node runs.
-func (n *Node) now() time.Duration { return n.wall + time.Since(n.base) }
+func (n *Node) now() time.Duration { return n.startUnixTime + time.Since(n.startedAt) }
 
 // at is the same of a moment that is known.
-func (n *Node) at(t time.Time) time.Duration { return n.wall + t.Sub(n.base) }
+func (n *Node) unixTime(t time.Time) time.Duration { return n.startUnixTime + t.Sub(n.startedAt) }
 
 // patience is what a context leaves.
-func (n *Node) patience(ctx context.Context) time.Duration {
+func (n *Node) timeLeft(ctx context.Context) time.Duration {
 	if d, ok := ctx.Deadline(); ok {
 		return time.Until(d)
 	}
 	return 0
 }
 
-func (n *Node) start(f func()) {
-	n.work.Go(f)
+func (n *Node) startGoroutine(f func()) {
+	n.goroutines.Go(f)
 }
 
 // take brings updates of the list to pool and module.
-func (n *Node) take(updates []coordinator.Update) error { return n.update(updates, false) }
+func (n *Node) handleUpdates(updates []coordinator.Update) error {
+	return n.applyUpdates(updates, false)
+}
 
-func (n *Node) update(updates []coordinator.Update, cached bool) error {
+func (n *Node) applyUpdates(updates []coordinator.Update, cached bool) error {
 	entries, whole := coordinator.Merge(updates)
-	list, unusable := n.Config.servers(entries)
-	n.translateStarts(list, whole)
+	list, unusable := n.Config.parseServers(entries)
+	n.translateStartTimes(list, whole)
 	for _, err := range unusable {
 		n.Log.Warn("entry of the server list not used", "error", err)
 	}
 	switch {
 	case len(list) > 0:
 	case len(unusable) > 0:
-		return errNoEntryUsable
+		return errNoUsableEntry
 	case !whole:
 		return nil
 	}
@@ -140,35 +142,35 @@
 	}
 	// The module first: a set-up that the pool holds back for a drain ends behind it, and is placed anew.
 	n.owner.AddEvent(control.ListUpdate{Whole: whole || cached, Cached: cached, Servers: list})
-	n.pool.update(list, addr, whole)
+	n.pool.applyList(list, addr, whole)
 	n.Log.Debug("list", "whole", whole, "servers", len(list))
 	return nil
 }
 
 // translateStarts puts the servers' starts into this node's time: they are told by another machine's clock.
-func (n *Node) translateStarts(list []control.Server, whole bool) {
-	n.agesMu.Lock()
-	defer n.agesMu.Unlock()
+func (n *Node) translateStartTimes(list []control.Server, whole bool) {
+	n.startTranslatorMu.Lock()
+	defer n.startTranslatorMu.Unlock()
 	starts := make([]starttime.Start, len(list))
 	state := make(map[string]control.ServerState, len(list))
 	for i, s := range list {
 		starts[i] = starttime.Start{ID: s.ID, RemoteTime: s.Started}
 		state[s.ID] = s.State
 	}
-	for i, local := range n.ages.Translate(starts, n.now()) {
+	for i, local := range n.startTranslator.Translate(starts, n.now()) {
 		list[i].Started = local
 	}
-	n.ages.Prune(func(id string) bool {
+	n.startTranslator.Prune(func(id string) bool {
 		now, told := state[id]
 		return told && now != control.Gone || !told && !whole
 	})
 }
 
 // coordinatorHeard notes that the coordinator has told all that it had to tell.
-func (n *Node) coordinatorHeard() {
-	n.agesMu.Lock()
-	defer n.agesMu.Unlock()
-	n.ages.RecordContact(n.now())
+func (n *Node) recordCoordinatorContact() {
+	n.startTranslatorMu.Lock()
+	defer n.startTranslatorMu.Unlock()
+	n.startTranslator.RecordContact(n.now())
 }
 
 // Run serves until SIGTERM and what is owed after it.
@@ -180,8 +182,8 @@
 	defer signal.Stop(hangup)
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
-	n.serving = inner
-	if err := n.update(n.Config.Known.Updates, true); err != nil {
+	n.serveCtx = inner
+	if err := n.applyUpdates(n.Config.Known.Updates, true); err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
 	ownerOver := make(chan struct{})
@@ -194,63 +196,63 @@
 			return fmt.Errorf("listen: %w", err)
 		}
 	}
-	n.start(func() { n.follow.Run(inner) })
-	n.start(func() { every(inner, watchInterval, func() { n.pool.watch(inner) }) })
-	n.start(func() { n.watchClocks(inner) })
-	n.start(func() { every(inner, noticeExpiryInterval, n.expire) })
-	n.start(func() { n.reloads(inner, hangup) })
+	n.startGoroutine(func() { n.follower.Run(inner) })
+	n.startGoroutine(func() { runEvery(inner, watchInterval, func() { n.pool.checkServers(inner) }) })
+	n.startGoroutine(func() { n.monitorClocks(inner) })
+	n.startGoroutine(func() { runEvery(inner, noticeExpiryInterval, n.expireNoticesAndAnswers) })
+	n.startGoroutine(func() { n.reloadOnHangup(inner, hangup) })
 	if log := n.Log; log.Enabled(inner, slog.LevelDebug) {
-		n.start(func() { every(inner, compareInterval, n.compare) })
+		n.startGoroutine(func() { runEvery(inner, compareCountsInterval, n.compareSessionCounts) })
 	}
 	listening := make(chan struct{})
-	n.start(func() { defer close(listening); n.viewers.serve(l) })
+	n.startGoroutine(func() { defer close(listening); n.viewerConns.serve(l) })
 	n.Log.Info("ready", "name", n.Config.Name, "listen", n.Config.Listen)
 	<-term.Done()
-	n.leave()
+	n.waitBeforeShutdown()
 	n.shutDown(l, listening, stop, ownerOver)
 	return nil
 }
 
 // expire lets go of notices and answers that are too old to be of use.
-func (n *Node) expire() {
-	n.viewers.expireNotices()
+func (n *Node) expireNoticesAndAnswers() {
+	n.viewerConns.expireNotices()
 	n.expireAnswers()
 }
 
-const compareInterval = 2 * time.Second
+const compareCountsInterval = 2 * time.Second
 
 // compare logs where the module's count of own sessions at a server is not that on the sockets. For a moment
 // they may differ, while a set-up is out or a release on its way.
-func (n *Node) compare() {
+func (n *Node) compareSessionCounts() {
 	n.owner.Inspect(func() {
-		for id, b := range n.pool.believed(n.module.OwnSessionCount) {
-			if b.module != b.sockets {
-				n.Log.Debug("belief", "server", id, "module", b.module, "sockets", b.sockets)
+		for id, b := range n.pool.countSessions(n.controller.OwnSessionCount) {
+			if b.controller != b.sockets {
+				n.Log.Debug("belief", "server", id, "module", b.controller, "sockets", b.sockets)
 			}
 		}
 	})
 }
 
 // reloads takes a new coordinator's address at SIGHUP. A file that cannot be read changes nothing.
-func (n *Node) reloads(ctx context.Context, hangup <-chan os.Signal) {
+func (n *Node) reloadOnHangup(ctx context.Context, hangup <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup:
 		}
-		c, err := ReadConfig(n.Path)
+		c, err := ReadConfig(n.ConfigPath)
 		if err != nil {
 			n.Log.Error("configuration not reloaded, the one before stays", "error", err)
 			continue
 		}
 		n.Log.Info("configuration reloaded", "coordinator", c.Coordinator)
-		n.follow.SwitchAddress(c.Coordinator, c.Known)
+		n.follower.SwitchAddress(c.Coordinator, c.Known)
 	}
 }
 
 // begin enters a set-up, or returns the one that is open under its id.
-func (n *Node) begin(s *session) (open *session) {
+func (n *Node) register(s *session) (open *session) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if open = n.sessions[s.id]; open != nil {
@@ -260,19 +262,19 @@
 	return nil
 }
 
-func (n *Node) find(id string) *session {
+func (n *Node) findSession(id string) *session {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sessions[id]
 }
 
 // waits tells whether a request under an id still waits for its answer.
-func (n *Node) waits(id string) bool {
-	s := n.find(id)
-	return s != nil && s.waits()
+func (n *Node) awaitsAnswer(id string) bool {
+	s := n.findSession(id)
+	return s != nil && s.awaitsAnswer()
 }
 
-func (n *Node) forget(s *session) {
+func (n *Node) unregister(s *session) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.sessions[s.id] == s {
@@ -282,11 +284,11 @@
 
 // adopt takes over a session that plays already; one that is held stays as it is.
 func (n *Node) adopt(r control.Request, s *session) {
-	if n.begin(s) != nil {
+	if n.register(s) != nil {
 		return
 	}
 	end, over := n.pool.adopt(r.ID, r.Server)
-	s.conn.stand(1)
+	s.conn.addSessions(1)
 	n.owner.Adopt(r, -1, s)
 	if over {
 		n.owner.EndedByServer(r.ID, r.Server, end.outcome, end.load)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -104,7 +104,7 @@
 			eventually(t, "a connection, accepted", func() bool {
 				n.pool.mu.Lock()
 				defer n.pool.mu.Unlock()
-				return n.pool.byID["s-1"].anyLink() != nil && (b.accepted() > before || name == "no text")
+				return n.pool.servers["s-1"].anyConn() != nil && (b.accepted() > before || name == "no text")
 			})
 			b.mu.Lock()
 			last := b.conns[len(b.conns)-1]
@@ -169,9 +169,9 @@
 		ctx  context.Context
 		err  error
 		want control.Outcome
-	}{{gone, context.Canceled, control.NotSent}, {context.Background(), errNoRoom, control.NotSent},
+	}{{gone, context.Canceled, control.NotSent}, {context.Background(), errNoSlot, control.NotSent},
 		{late, context.DeadlineExceeded, control.ConnectFailed}, {context.Background(), syscall.ECONNREFUSED, control.ConnectFailed}} {
-		if got := notConnected(c.ctx, c.err); got != c.want {
+		if got := connectOutcome(c.ctx, c.err); got != c.want {
 			t.Errorf("%v: %v, want %v", c.err, got, c.want)
 		}
 	}
@@ -209,22 +209,22 @@
 	eventually(t, "a connection at rest", func() bool {
 		n.pool.mu.Lock()
 		defer n.pool.mu.Unlock()
-		s := n.pool.byID["s-1"]
-		return s != nil && len(s.idle) > 0
+		s := n.pool.servers["s-1"]
+		return s != nil && len(s.idleConns) > 0
 	})
 	long, stop := context.WithTimeout(context.Background(), testFor)
 	defer stop()
 	withdrawn, withdraw := context.WithCancel(long)
 	withdraw()
-	try := core.Attempt{ID: idA, Server: "s-1", Listener: &session{n: n.Node}}
+	try := core.Attempt{ID: idA, Server: "s-1", Listener: &session{node: n.Node}}
 	if r := n.pool.SetUp(withdrawn, try); r.Outcome != control.NotSent {
 		t.Errorf("withdrawn: %v", core.OutcomeName(r.Outcome))
 	}
-	n.pool.update([]control.Server{{ID: "s-1", State: control.Draining}}, nil, false)
+	n.pool.applyList([]control.Server{{ID: "s-1", State: control.Draining}}, nil, false)
 	if r := n.pool.SetUp(long, try); r.Outcome != control.NotSent {
 		t.Errorf("drained: %v", core.OutcomeName(r.Outcome))
 	}
-	n.pool.update([]control.Server{{ID: "s-1", State: control.Ready}}, nil, false)
+	n.pool.applyList([]control.Server{{ID: "s-1", State: control.Ready}}, nil, false)
 	n.dial().say(setUp(idB, "free", ""))
 	if m := b.next(t, "open"); m.ID != idB {
 		t.Errorf("sent all the same: %+v", m.Message)
@@ -238,7 +238,7 @@
 	n := startNode(t, b)
 	v := n.dial()
 	var opens []said
-	for i := range 12 * keptIdle {
+	for i := range 12 * maxKeptIdle {
 		v.say(setUp(fmt.Sprintf("%016x", i+1), "free", ""))
 		opens = append(opens, b.next(t, "open"))
 	}
@@ -249,12 +249,12 @@
 	eventually(t, "all rest", func() bool {
 		n.pool.mu.Lock()
 		defer n.pool.mu.Unlock()
-		return len(n.pool.byID["s-1"].idle) >= len(opens)
+		return len(n.pool.servers["s-1"].idleConns) >= len(opens)
 	})
 	n.pool.mu.Lock()
-	s, now := n.pool.byID["s-1"], n.now()
-	n.pool.closeSurplus(s, now+2*surplusTimeout)
-	standing := len(s.links) // a release may be on its way on any
+	s, now := n.pool.servers["s-1"], n.now()
+	n.pool.closeSurplus(s, now+2*surplusIdleTimeout)
+	standing := len(s.conns) // a release may be on its way on any
 	n.pool.mu.Unlock()
 	for _, m := range opens {
 		v.say(tearDown(m.ID))
@@ -262,15 +262,15 @@
 	n.agree(0)
 	n.pool.mu.Lock()
 	now = n.now()
-	for _, l := range s.idle {
-		l.used = now
+	for _, l := range s.idleConns {
+		l.lastUsed = now
 	}
-	n.pool.closeSurplus(s, now+surplusTimeout/2)
-	early := len(s.links)
-	n.pool.closeSurplus(s, now+2*surplusTimeout)
-	late := len(s.links)
+	n.pool.closeSurplus(s, now+surplusIdleTimeout/2)
+	early := len(s.conns)
+	n.pool.closeSurplus(s, now+2*surplusIdleTimeout)
+	late := len(s.conns)
 	n.pool.mu.Unlock()
-	if standing < len(opens) || early < len(opens) || late != keptIdle {
+	if standing < len(opens) || early < len(opens) || late != maxKeptIdle {
 		t.Errorf("%d connections for %d set-ups that play, %d when they have ended, later %d", standing, len(opens), early, late)
 	}
 }
@@ -279,7 +279,7 @@
 func TestLeaves(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
-	n.Arriving = killMargin
+	n.ArrivalWindow = killMargin
 	v := n.dial().say(setUp(idA, "paid", ""))
 	m := b.next(t, "open")
 	n.stop()
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -11,23 +11,23 @@
 
 const (
 	// noticeDue is how long after its server's release a session has to be released towards its viewer.
-	noticeDue = time.Second
+	maxNoticeDelay = time.Second
 	// noticeLifetime is how long after its end a session has to be released towards its viewer.
 	noticeLifetime = 8 * time.Second
 	// noticeDoubt is how long a notice may be on its way: a connection that ends within it may have lost the notice.
-	noticeDoubt = writeTimeout + time.Second
+	noticeDeliveryWindow = writeTimeout + time.Second
 	// noticeExpiryInterval is the time between two looks for notices that are too old.
 	noticeExpiryInterval = time.Second
 )
 
 // notice tells a viewer that its session is over.
 type notice struct {
-	origin *viewer // the connection that the session began on
-	id     string
-	uri    string
-	ended  time.Duration // when the session was over
-	moved  bool          // the viewer is asked to come again
-	cause  int           // of the release, unless moved
+	origin  *viewerConn // the connection that the session began on
+	id      string
+	uri     string
+	endedAt time.Duration // when the session was over
+	moved   bool          // the viewer is asked to come again
+	cause   int           // of the release, unless moved
 }
 
 func (m *notice) appendTo(b []byte) []byte {
@@ -48,63 +48,63 @@
 
 // notify tells a viewer that its session is over. A session is tied to no connection: a notice whose connection ends
 // before the viewer confirmed it is sent again on another one from the same address, or on the next one that comes.
-func (v *viewers) notify(m *notice) {
+func (v *viewerConns) notify(m *notice) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.over {
+	if v.closed {
 		return
 	}
-	address := m.origin.from
-	pending := v.notices[address]
+	address := m.origin.remoteHost
+	pending := v.pendingNotices[address]
 	if pending == nil {
-		pending = delivery.New[*notice](noticeLifetime, noticeDoubt)
-		v.notices[address] = pending
+		pending = delivery.New[*notice](noticeLifetime, noticeDeliveryWindow)
+		v.pendingNotices[address] = pending
 	}
-	m.ended = v.n.now()
-	pending.Add(m.id, m, m.ended)
+	m.endedAt = v.node.now()
+	pending.Add(m.id, m, m.endedAt)
 	v.sendNotices(address)
 }
 
 // sendNotices hands what waits for the viewers of an address to their connections. The caller holds the lock.
-func (v *viewers) sendNotices(address string) {
-	pending := v.notices[address]
+func (v *viewerConns) sendNotices(address string) {
+	pending := v.pendingNotices[address]
 	if pending == nil || !pending.HasWaiting() {
 		return
 	}
 	for _, message := range pending.Waiting() {
 		m := message.Value
 		on := m.origin
-		if !on.out.put(m.appendTo) {
-			on = v.connectionFrom(address)
-			if on == nil || !on.out.put(m.appendTo) {
-				v.n.Log.Debug("no connection for a notice, it waits", "session", m.id, "from", address)
+		if !on.out.enqueue(m.appendTo) {
+			on = v.bestConnFrom(address)
+			if on == nil || !on.out.enqueue(m.appendTo) {
+				v.node.Log.Debug("no connection for a notice, it waits", "session", m.id, "from", address)
 				continue
 			}
 		}
-		now := v.n.now()
+		now := v.node.now()
 		pending.MarkSent(message.Key, on.id, now)
-		if now-m.ended > noticeDue {
-			v.n.near.noticesLate.Add(1)
+		if now-m.endedAt > maxNoticeDelay {
+			v.node.nearMisses.noticesLate.Add(1)
 		}
 	}
 }
 
 // firstMessage sends a viewer that has come back what it was not told meanwhile.
-func (v *viewers) firstMessage(c *viewer) {
+func (v *viewerConns) sendNoticesTo(c *viewerConn) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.sendNotices(c.from)
+	v.sendNotices(c.remoteHost)
 }
 
 // connectionFrom is the connection from an address on which a notice is most likely read; nil if there is none. One that
 // has not sent a whole message yet may belong to anybody.
-func (v *viewers) connectionFrom(address string) (best *viewer) {
-	rank, now := silentConnection, time.Now()
-	for c := range v.all {
-		if c.from != address {
+func (v *viewerConns) bestConnFrom(address string) (best *viewerConn) {
+	rank, now := rankSilent, time.Now()
+	for c := range v.conns {
+		if c.remoteHost != address {
 			continue
 		}
-		if r, _ := c.evictionRank(now); r > rank && r != youngConnection {
+		if r, _ := c.rankForEviction(now); r > rank && r != rankNew {
 			best, rank = c, r
 		}
 	}
@@ -112,43 +112,43 @@
 }
 
 // confirmNotice forgets a notice that its viewer has answered.
-func (v *viewers) confirmNotice(address, id string) {
+func (v *viewerConns) confirmNotice(address, id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if pending := v.notices[address]; pending != nil {
+	if pending := v.pendingNotices[address]; pending != nil {
 		pending.Confirm(id)
 		v.dropEmptyNotices(address)
 	}
 }
 
 // resendNotices sends again what may have been lost with a connection. The caller holds the lock.
-func (v *viewers) resendNotices(ended *viewer) {
-	pending := v.notices[ended.from]
-	if pending == nil || v.over {
+func (v *viewerConns) resendNotices(ended *viewerConn) {
+	pending := v.pendingNotices[ended.remoteHost]
+	if pending == nil || v.closed {
 		return
 	}
-	if again := pending.ConnectionEnded(ended.id, v.n.now()); again > 0 {
-		v.n.near.noticesResent.Add(int64(again))
-		v.n.Log.Debug("notices lost with their connection", "from", ended.from, "notices", again)
-		v.sendNotices(ended.from)
+	if again := pending.ConnectionEnded(ended.id, v.node.now()); again > 0 {
+		v.node.nearMisses.noticesResent.Add(int64(again))
+		v.node.Log.Debug("notices lost with their connection", "from", ended.remoteHost, "notices", again)
+		v.sendNotices(ended.remoteHost)
 	}
-	v.dropEmptyNotices(ended.from)
+	v.dropEmptyNotices(ended.remoteHost)
 }
 
-func (v *viewers) dropEmptyNotices(address string) {
-	if v.notices[address].Len() == 0 {
-		delete(v.notices, address)
+func (v *viewerConns) dropEmptyNotices(address string) {
+	if v.pendingNotices[address].Len() == 0 {
+		delete(v.pendingNotices, address)
 	}
 }
 
 // expireNotices forgets notices that are too old to be of use.
-func (v *viewers) expireNotices() {
+func (v *viewerConns) expireNotices() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for address, pending := range v.notices {
-		for _, id := range pending.Expire(v.n.now()) {
-			v.n.near.noticesExpired.Add(1)
-			v.n.Log.Warn("viewer not told of its session's end: it opened no connection", "session", id, "from", address)
+	for address, pending := range v.pendingNotices {
+		for _, id := range pending.Expire(v.node.now()) {
+			v.node.nearMisses.noticesExpired.Add(1)
+			v.node.Log.Warn("viewer not told of its session's end: it opened no connection", "session", id, "from", address)
 		}
 		v.dropEmptyNotices(address)
 	}
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -20,9 +20,9 @@
 
 // heldNotices is how many notices the node holds for all viewers.
 func (r *rig) heldNotices() (held int) {
-	r.viewers.mu.Lock()
-	defer r.viewers.mu.Unlock()
-	for _, pending := range r.viewers.notices {
+	r.viewerConns.mu.Lock()
+	defer r.viewerConns.mu.Unlock()
+	for _, pending := range r.viewerConns.pendingNotices {
 		held += pending.Len()
 	}
 	return held
@@ -38,7 +38,11 @@
 	v.want(idA, 200)
 	n.agree(1)
 	_ = v.Close()
-	eventually(t, "the connection over", func() bool { n.viewers.mu.Lock(); defer n.viewers.mu.Unlock(); return len(n.viewers.all) == 0 })
+	eventually(t, "the connection over", func() bool {
+		n.viewerConns.mu.Lock()
+		defer n.viewerConns.mu.Unlock()
+		return len(n.viewerConns.conns) == 0
+	})
 	open.endServed()
 	n.agree(0)
 	back := n.dial().say(ping)
@@ -81,33 +85,33 @@
 	n := startNode(t, newBox(t, "s-1", ready))
 	v := n.dial().say(ping)
 	v.want("", 200)
-	var c *viewer
-	n.viewers.mu.Lock()
-	for o := range n.viewers.all {
+	var c *viewerConn
+	n.viewerConns.mu.Lock()
+	for o := range n.viewerConns.conns {
 		c = o
 	}
-	n.viewers.mu.Unlock()
-	eventually(t, "all written", func() bool { return !c.out.busy() })
-	if rank, _ := c.evictionRank(c.at.Add(testFor)); rank != unusedConnection {
+	n.viewerConns.mu.Unlock()
+	eventually(t, "all written", func() bool { return !c.out.isWriting() })
+	if rank, _ := c.rankForEviction(c.openedAt.Add(testFor)); rank != rankUnused {
 		t.Errorf("rank %d of a connection without use", rank)
 	}
 	c.out.mu.Lock()
 	c.out.writing = true // its writer has not come to it
 	c.out.mu.Unlock()
-	if rank, _ := c.evictionRank(c.at.Add(testFor)); rank != waitingConnection {
+	if rank, _ := c.rankForEviction(c.openedAt.Add(testFor)); rank != rankAwaitingAnswer {
 		t.Errorf("rank %d of a connection with an unwritten answer", rank)
 	}
 	c.out.mu.Lock()
 	c.out.writing = false
 	c.out.mu.Unlock()
 	c.mu.Lock()
-	c.busy = true // its reader has a message in hand
+	c.handlingMessage = true // its reader has a message in hand
 	c.mu.Unlock()
-	if rank, _ := c.evictionRank(c.at.Add(testFor)); rank != waitingConnection {
+	if rank, _ := c.rankForEviction(c.openedAt.Add(testFor)); rank != rankAwaitingAnswer {
 		t.Errorf("rank %d of a connection with a message that is being handled", rank)
 	}
 	c.mu.Lock()
-	c.busy = false
+	c.handlingMessage = false
 	c.mu.Unlock()
 }
 
--- a/internal/node/outbox.go
+++ b/internal/node/outbox.go
@@ -11,60 +11,60 @@
 
 // outbox is the one writer of a connection. Whoever has something to say appends it and never waits; a
 // goroutine writes while there is something to write. A peer that reads too slowly loses its connection.
-type outbox struct {
-	conn net.Conn
-	fail func() // once, when the connection cannot be written to any more
+type writeQueue struct {
+	conn    net.Conn
+	onError func() // once, when the connection cannot be written to any more
 
 	mu      sync.Mutex
 	pending []byte
 	spare   []byte
 	writing bool
 	closing bool // after what is pending
-	dead    bool
+	closed  bool
 }
 
 const (
-	maxPending   = 256 << 10
-	writeTimeout = 2 * time.Second
+	maxPendingBytes = 256 << 10
+	writeTimeout    = 2 * time.Second
 )
 
 // put queues what add appends; false if the connection is over.
-func (o *outbox) put(add func([]byte) []byte) bool {
-	return o.queue(add, false)
+func (o *writeQueue) enqueue(add func([]byte) []byte) bool {
+	return o.append(add, false)
 }
 
 // putNow does the same, and writes at once what the socket takes without waiting: a final answer must not wait for a
 // goroutine's turn.
-func (o *outbox) putNow(add func([]byte) []byte) bool {
-	return o.queue(add, true)
+func (o *writeQueue) enqueueAndWrite(add func([]byte) []byte) bool {
+	return o.append(add, true)
 }
 
-func (o *outbox) queue(add func([]byte) []byte, now bool) bool {
+func (o *writeQueue) append(add func([]byte) []byte, now bool) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.dead || o.closing {
+	if o.closed || o.closing {
 		return false
 	}
 	o.pending = add(o.pending)
 	if now && !o.writing {
-		written := writeAvailable(o.conn, o.pending)
+		written := writeNonblocking(o.conn, o.pending)
 		o.pending = append(o.pending[:0], o.pending[written:]...)
 		if len(o.pending) == 0 {
 			return true
 		}
 	}
-	if len(o.pending) > maxPending {
-		o.dead = true
-		go o.fail()
+	if len(o.pending) > maxPendingBytes {
+		o.closed = true
+		go o.onError()
 		return false
 	}
-	o.start()
+	o.startWriter()
 	return true
 }
 
 // writeAvailable writes what a connection takes without waiting, and returns how many bytes that was. An error is left to
 // the next write, which meets it again.
-func writeAvailable(conn net.Conn, b []byte) (written int) {
+func writeNonblocking(conn net.Conn, b []byte) (written int) {
 	s, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -83,35 +83,35 @@
 }
 
 // busy tells that something is still to be written.
-func (o *outbox) busy() bool {
+func (o *writeQueue) isWriting() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.writing
 }
 
-func (o *outbox) start() {
+func (o *writeQueue) startWriter() {
 	if !o.writing {
 		o.writing = true
-		go o.write()
+		go o.writeLoop()
 	}
 }
 
 // finish has the writing half closed after what is pending.
-func (o *outbox) finish() {
+func (o *writeQueue) closeAfterFlush() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.closing && !o.dead {
+	if !o.closing && !o.closed {
 		o.closing = true
-		o.start()
+		o.startWriter()
 	}
 }
 
-func (o *outbox) write() {
+func (o *writeQueue) writeLoop() {
 	for {
 		o.mu.Lock()
-		if o.dead || len(o.pending) == 0 {
+		if o.closed || len(o.pending) == 0 {
 			o.writing = false
-			if o.closing && !o.dead {
+			if o.closing && !o.closed {
 				if t, ok := o.conn.(*net.TCPConn); ok {
 					_ = t.CloseWrite()
 				}
@@ -127,9 +127,9 @@
 		if cap(b) <= 32<<10 {
 			o.spare = b[:0]
 		}
-		if err != nil && !o.dead {
-			o.dead = true
-			go o.fail()
+		if err != nil && !o.closed {
+			o.closed = true
+			go o.onError()
 		}
 		o.mu.Unlock()
 	}
@@ -139,7 +139,7 @@
 // themselves cost the peer nothing: what is left is written when they are over.
 func writeAll(conn net.Conn, b []byte) error {
 	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }() // an expired one would keep writeAvailable from writing
-	for deadline := time.Now().Add(writeTimeout); ; time.Sleep(retryPause) {
+	for deadline := time.Now().Add(writeTimeout); ; time.Sleep(localRetryDelay) {
 		_ = conn.SetWriteDeadline(deadline)
 		n, err := conn.Write(b)
 		b = b[n:]
@@ -149,7 +149,7 @@
 		late := time.Since(deadline)
 		switch v := socketerror.Classify(err, socketerror.Transfer); {
 		case v.IsLocal() && late < 0:
-		case v == socketerror.DeadlineExceeded && late > promptExpiry: // the process stood still: the peer may have read on
+		case v == socketerror.DeadlineExceeded && late > maxExpiryDelay: // the process stood still: the peer may have read on
 			deadline = time.Now().Add(writeTimeout)
 		default:
 			return err
@@ -158,8 +158,8 @@
 }
 
 // stop ends the outbox without a word.
-func (o *outbox) stop() {
+func (o *writeQueue) abort() {
 	o.mu.Lock()
-	o.dead = true
+	o.closed = true
 	o.mu.Unlock()
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -17,16 +17,16 @@
 // set-up needs it: hundreds of front nodes that all keep one to every server would use up what servers accept. Where
 // more servers have sessions than connections may be open, they take turns (see reserve.go).
 type pool struct {
-	n        *Node
-	maxLinks int // connections to all servers
+	node     *Node
+	maxConns int // connections to all servers
 
-	mu      sync.Mutex
-	byID    map[string]*server
-	links   int                   // open, on their way up, and retired ones until their descriptor is free
-	opened  delivery.ConnectionID // the last connection's
-	retired map[*link]struct{}    // out of use, to be closed when what was written is on its way
-	probes  uint64                // sent so far
-	over    bool                  // no connection is opened any more
+	mu         sync.Mutex
+	servers    map[string]*server
+	connCount  int                      // open, on their way up, and retired ones until their descriptor is free
+	lastConnID delivery.ConnectionID    // the last connection's
+	retired    map[*serverConn]struct{} // out of use, to be closed when what was written is on its way
+	probeCount uint64                   // sent so far
+	closed     bool                     // no connection is opened any more
 
 	readers sync.WaitGroup
 }
@@ -36,24 +36,24 @@
 	id, addr         string
 	state            control.ServerState
 	started          time.Duration
-	links            []*link // open
-	idle             []*link // of them, those without a set-up; the last was used last
+	conns            []*serverConn // open
+	idleConns        []*serverConn // of them, those without a set-up; the last was used last
 	unconnectedSince time.Duration
-	standing         map[string]bool
-	abandoned        map[string]bool // set-ups whose connection broke: they may run, and nobody wants them
-	held             map[string]bool // of them, or given up, those whose request is still open: see holdRelease
+	activeSessions   map[string]bool
+	abandonedSetUps  map[string]bool // set-ups whose connection broke: they may run, and nobody wants them
+	heldReleases     map[string]bool // of them, or given up, those whose request is still open: see holdRelease
 	detector         liveness.Detector
-	releases         *delivery.Pending[struct{}] // of sessions that the server need not run any more
+	pendingReleases  *delivery.Pending[struct{}] // of sessions that the server need not run any more
 	earlyEnds        map[string]earlyEnd         // of sessions that this node does not know yet
-	renewAt          time.Duration               // a connection ended, maybe with a release on it: from then on another one tells it again
+	reconnectAt      time.Duration               // a connection ended, maybe with a release on it: from then on another one tells it again
 }
 
 // earlyEnd is a server's word that a session is over, ahead of the session itself: after a restart it may come on a
 // connection that was opened for another one, and it is said once.
 type earlyEnd struct {
-	outcome control.Outcome
-	load    *control.LoadReport
-	at      time.Duration
+	outcome    control.Outcome
+	load       *control.LoadReport
+	receivedAt time.Duration
 }
 
 const (
@@ -61,61 +61,61 @@
 	// likely ended by itself.
 	releaseLifetime = 30 * time.Second
 	// releaseDoubt is how long a release may be on its way: a connection that ends within it may have lost it.
-	releaseDoubt = writeTimeout + time.Second
+	releaseDeliveryWindow = writeTimeout + time.Second
 
 	maxEarlyEnds    = 4096 // of one server; each is kept for a short time only
 	earlyEndTimeout = 5 * time.Second
 )
 
 func newPool(n *Node, maxLinks int) *pool {
-	return &pool{n: n, maxLinks: maxLinks, byID: map[string]*server{}, retired: map[*link]struct{}{}}
+	return &pool{node: n, maxConns: maxLinks, servers: map[string]*server{}, retired: map[*serverConn]struct{}{}}
 }
 
 // update takes a change of the list. Under a new address an id is another server; so is one that has started anew.
-func (p *pool) update(entries []control.Server, addr map[string]string, whole bool) {
+func (p *pool) applyList(entries []control.Server, addr map[string]string, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if whole {
-		for _, s := range p.byID {
+		for _, s := range p.servers {
 			s.state = control.Gone
 		}
 	}
-	now := p.n.now()
+	now := p.node.now()
 	for _, e := range entries {
-		s := p.byID[e.ID]
+		s := p.servers[e.ID]
 		if s == nil {
 			if e.State == control.Gone {
 				continue
 			}
-			s = p.add(e.ID, now)
+			s = p.addServer(e.ID, now)
 		}
 		s.state = e.State
 		if a := addr[e.ID]; a != "" && a != s.addr {
 			if s.addr != "" {
-				p.lose(s, "new address")
+				p.loseSessions(s, "new address")
 			}
 			s.addr = a
 		}
 		if e.Started > s.started && s.started > 0 {
-			p.lose(s, "started anew")
+			p.loseSessions(s, "started anew")
 		}
 		s.started = max(s.started, e.Started)
 	}
-	p.loseReplaced()
-	p.tidy()
+	p.loseReplacedServers()
+	p.removeGoneServers()
 }
 
-func (p *pool) add(id string, now time.Duration) *server {
-	s := &server{id: id, unconnectedSince: now, standing: map[string]bool{}, abandoned: map[string]bool{}, held: map[string]bool{}, detector: liveness.New(now),
-		releases: delivery.New[struct{}](releaseLifetime, releaseDoubt), earlyEnds: map[string]earlyEnd{}}
-	p.byID[id] = s
+func (p *pool) addServer(id string, now time.Duration) *server {
+	s := &server{id: id, unconnectedSince: now, activeSessions: map[string]bool{}, abandonedSetUps: map[string]bool{}, heldReleases: map[string]bool{}, detector: liveness.New(now),
+		pendingReleases: delivery.New[struct{}](releaseLifetime, releaseDeliveryWindow), earlyEnds: map[string]earlyEnd{}}
+	p.servers[id] = s
 	return s
 }
 
 // loseReplaced ends the sessions of servers that have gone and whose address another listed server has got.
-func (p *pool) loseReplaced() {
+func (p *pool) loseReplacedServers() {
 	gone := map[string][]*server{} // by address; few, where a list may be long
-	for _, s := range p.byID {
+	for _, s := range p.servers {
 		if s.state == control.Gone {
 			gone[s.addr] = append(gone[s.addr], s)
 		}
@@ -123,63 +123,63 @@
 	if len(gone) == 0 {
 		return
 	}
-	for _, s := range p.byID {
+	for _, s := range p.servers {
 		if s.state == control.Gone {
 			continue
 		}
 		for _, replaced := range gone[s.addr] {
-			p.lose(replaced, "its address is another's")
+			p.loseSessions(replaced, "its address is another's")
 		}
 	}
 }
 
 // tidy forgets servers that have gone and run nothing any more.
-func (p *pool) tidy() {
-	for id, s := range p.byID {
-		busy := len(s.standing) > 0 || len(s.held) > 0 || s.releases.HasWaiting() || len(s.idle) < len(s.links) || s.detector.CheckInProgress()
+func (p *pool) removeGoneServers() {
+	for id, s := range p.servers {
+		busy := len(s.activeSessions) > 0 || len(s.heldReleases) > 0 || s.pendingReleases.HasWaiting() || len(s.idleConns) < len(s.conns) || s.detector.CheckInProgress()
 		if s.state == control.Gone && !busy {
-			for len(s.links) > 0 {
-				p.retire(s.links[0]) // a release may wait on it
+			for len(s.conns) > 0 {
+				p.retireConn(s.conns[0]) // a release may wait on it
 			}
-			delete(p.byID, id)
+			delete(p.servers, id)
 		}
 	}
 }
 
-func (p *pool) closeAll(s *server) {
-	for len(s.links) > 0 {
-		p.drop(s.links[0])
+func (p *pool) closeServerConns(s *server) {
+	for len(s.conns) > 0 {
+		p.dropConn(s.conns[0])
 	}
 }
 
 // lose ends all sessions of a server that no longer runs them.
-func (p *pool) lose(s *server, why string) {
-	p.closeAll(s)
-	s.releases = delivery.New[struct{}](releaseLifetime, releaseDoubt) // nothing runs there that could be released
-	s.renewAt = 0
-	clear(s.held)
-	if len(s.standing) == 0 {
+func (p *pool) loseSessions(s *server, why string) {
+	p.closeServerConns(s)
+	s.pendingReleases = delivery.New[struct{}](releaseLifetime, releaseDeliveryWindow) // nothing runs there that could be released
+	s.reconnectAt = 0
+	clear(s.heldReleases)
+	if len(s.activeSessions) == 0 {
 		return
 	}
-	ids := make([]string, 0, len(s.standing))
-	for id := range s.standing {
+	ids := make([]string, 0, len(s.activeSessions))
+	for id := range s.activeSessions {
 		ids = append(ids, id)
 	}
-	clear(s.standing)
-	p.n.Log.Info("sessions lost", "server", s.id, "sessions", len(ids), "why", why)
-	go p.n.owner.SessionsLost(s.id, ids) // not under the lock: the owner's goroutine takes it too
+	clear(s.activeSessions)
+	p.node.Log.Info("sessions lost", "server", s.id, "sessions", len(ids), "why", why)
+	go p.node.owner.SessionsLost(s.id, ids) // not under the lock: the owner's goroutine takes it too
 }
 
 // belief is how many sessions run at a server, set-ups too.
-type belief struct{ module, sockets int }
+type sessionCounts struct{ controller, sockets int }
 
 // believed compares for each server what the module believes with what was opened on the sockets.
-func (p *pool) believed(own func(string) int) map[string]belief {
+func (p *pool) countSessions(own func(string) int) map[string]sessionCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[string]belief, len(p.byID))
-	for id, s := range p.byID {
-		out[id] = belief{own(id), len(s.standing) + len(s.links) - len(s.idle)}
+	out := make(map[string]sessionCounts, len(p.servers))
+	for id, s := range p.servers {
+		out[id] = sessionCounts{own(id), len(s.activeSessions) + len(s.conns) - len(s.idleConns)}
 	}
 	return out
 }
@@ -189,16 +189,16 @@
 func (p *pool) adopt(id, srv string) (end earlyEnd, over bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.byID[srv]
+	s := p.servers[srv]
 	if s == nil {
-		s = p.add(srv, p.n.now()) // gone, without an address
-		p.n.Log.Debug("session at an unknown server", "session", id, "server", srv)
+		s = p.addServer(srv, p.node.now()) // gone, without an address
+		p.node.Log.Debug("session at an unknown server", "session", id, "server", srv)
 	}
 	if end, over = s.earlyEnds[id]; over {
 		delete(s.earlyEnds, id)
 		return end, true
 	}
-	s.standing[id] = true
+	s.activeSessions[id] = true
 	return earlyEnd{}, false
 }
 
@@ -207,40 +207,40 @@
 func (p *pool) Release(id, srv string, _ int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.byID[srv]
+	s := p.servers[srv]
 	if s == nil {
 		return
 	}
-	stood := s.standing[id]
-	if !stood && !s.abandoned[id] {
+	stood := s.activeSessions[id]
+	if !stood && !s.abandonedSetUps[id] {
 		return // the set-up was given up or refused: nothing of it runs
 	}
-	delete(s.standing, id)
-	delete(s.abandoned, id)
+	delete(s.activeSessions, id)
+	delete(s.abandonedSetUps, id)
 	if !stood {
 		p.holdRelease(s, id)
 		return
 	}
-	s.releases.Add(id, struct{}{}, p.n.now())
+	s.pendingReleases.Add(id, struct{}{}, p.node.now())
 	p.sendReleases(s)
 }
 
 // holdRelease has a server told to give an attempt up once the request is over. All attempts of a request have one id, and
 // a later one may go to the same server: a release that comes behind it, on another connection, would end its session.
 func (p *pool) holdRelease(s *server, id string) {
-	s.held[id] = true
-	p.releaseHeld(s)
+	s.heldReleases[id] = true
+	p.queueHeldReleases(s)
 }
 
 // releaseHeld says the releases that are held no longer: their requests are over, and nothing of them runs at the server.
-func (p *pool) releaseHeld(s *server) {
-	for id := range s.held {
-		if p.n.waits(id) {
+func (p *pool) queueHeldReleases(s *server) {
+	for id := range s.heldReleases {
+		if p.node.awaitsAnswer(id) {
 			continue
 		}
-		delete(s.held, id)
-		if !s.runs(id) {
-			s.releases.Add(id, struct{}{}, p.n.now())
+		delete(s.heldReleases, id)
+		if !s.runsSession(id) {
+			s.pendingReleases.Add(id, struct{}{}, p.node.now())
 		}
 	}
 	p.sendReleases(s)
@@ -248,18 +248,18 @@
 
 // sendReleases hands what waits for a server to one of its connections. Without one, watch has one opened.
 func (p *pool) sendReleases(s *server) {
-	if !s.releases.HasWaiting() {
+	if !s.pendingReleases.HasWaiting() {
 		return
 	}
-	l := s.anyLink()
+	l := s.anyConn()
 	if l == nil {
 		return
 	}
-	for _, m := range s.releases.Waiting() {
-		if !l.say(jsonlines.TypeClose, m.Key, nil, jsonlines.CauseCancelled, "") {
+	for _, m := range s.pendingReleases.Waiting() {
+		if !l.send(jsonlines.TypeClose, m.Key, nil, jsonlines.CauseCancelled, "") {
 			return // the connection is ending: what waits goes on the next one
 		}
-		s.releases.MarkSent(m.Key, l.id, p.n.now())
+		s.pendingReleases.MarkSent(m.Key, l.id, p.node.now())
 	}
 }
 
@@ -267,9 +267,9 @@
 func (p *pool) SetRung(a core.Attempt, rung int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s := p.byID[a.Server]; s != nil {
-		if l := s.anyLink(); l != nil {
-			l.say(jsonlines.TypeLevel, a.ID, []string{"rung", rungAttr(rung)}, -1, "")
+	if s := p.servers[a.Server]; s != nil {
+		if l := s.anyConn(); l != nil {
+			l.send(jsonlines.TypeLevel, a.ID, []string{"rung", formatRung(rung)}, -1, "")
 		}
 	}
 }
--- a/internal/node/priority_test.go
+++ b/internal/node/priority_test.go
@@ -6,7 +6,7 @@
 // reader of a connection with a set-up out gives way to nobody.
 func TestAnswerAheadOfNotes(t *testing.T) {
 	b, g := newBox(t, "s-1", nil), newGate()
-	n := startGated(t, func(n *Node) { n.giveWay = func() { g.pass("a reader") } }, b)
+	n := startGated(t, func(n *Node) { n.yieldProcessor = func() { g.pass("a reader") } }, b)
 	v := n.dial().say(setUp(idA, "paid", "") + setUp(idB, "paid", ""))
 	first, second := b.next(t, "open"), b.next(t, "open")
 	ready(first) // its reader does not stop at the gate
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -14,48 +14,48 @@
 // its connection: one at a time, given up after as long as a connection may take to come up.
 func (p *pool) Probe(id string) {
 	p.mu.Lock()
-	s := p.byID[id]
-	p.probes++
-	sid := fmt.Sprintf("%016x", p.n.Config.Seed+p.probes)
+	s := p.servers[id]
+	p.probeCount++
+	sid := fmt.Sprintf("%016x", p.node.Config.Seed+p.probeCount)
 	p.mu.Unlock()
-	p.n.start(func() {
+	p.node.startGoroutine(func() {
 		result := control.ProbeResult{Server: id}
 		if s != nil {
-			result.OK, result.Load = p.probe(s, sid)
+			result.OK, result.Load = p.runProbe(s, sid)
 		}
-		p.n.owner.AddEvent(result)
+		p.node.owner.AddEvent(result)
 	})
 }
 
-func (p *pool) probe(s *server, sid string) (bool, *control.LoadReport) {
-	ctx, stop := context.WithTimeout(p.n.serving, p.n.Config.Platform.ConnectTimeout+probeTimeout)
+func (p *pool) runProbe(s *server, sid string) (bool, *control.LoadReport) {
+	ctx, stop := context.WithTimeout(p.node.serveCtx, p.node.Config.Platform.ConnectTimeout+probeTimeout)
 	defer stop()
-	l, err := p.take(ctx, s)
+	l, err := p.acquire(ctx, s)
 	if err != nil {
 		return false, nil
 	}
 	p.mu.Lock()
-	if l.gone || s.state == control.Gone {
+	if l.detached || s.state == control.Gone {
 		p.mu.Unlock()
-		p.free(l)
+		p.putBack(l)
 		return false, nil
 	}
-	l.sid, l.probe, l.heard = sid, true, p.n.now()
-	l.say(jsonlines.TypeProbe, sid, nil, 0, "")
+	l.activeID, l.isProbe, l.lastActivity = sid, true, p.node.now()
+	l.send(jsonlines.TypeProbe, sid, nil, 0, "")
 	p.mu.Unlock()
 	var r core.Result
 	select {
-	case r = <-l.reply:
-		p.free(l)
+	case r = <-l.results:
+		p.putBack(l)
 	case <-ctx.Done():
 		p.mu.Lock()
 		select {
-		case r = <-l.reply: // the answer crossed
+		case r = <-l.results: // the answer crossed
 		default:
 			r.Outcome = control.TimedOut
-			l.sid, l.probe = "", false
+			l.activeID, l.isProbe = "", false
 		}
-		p.retire(l) // a late answer finds nobody
+		p.retireConn(l) // a late answer finds nobody
 		p.mu.Unlock()
 	}
 	return r.Outcome == control.Served, r.Load
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -14,22 +14,26 @@
 	n.warm(b)
 	n.pool.Probe("s-1")
 	m := b.next(t, "probe")
-	if m.Cause() != 0 || !isID(m.ID) {
+	if m.Cause() != 0 || !isSessionID(m.ID) {
 		t.Errorf("%+v", m.Message)
 	}
 	m.on.say(`{"msg":"ready","sid":%q,"text":"no session"}`, m.ID)
 	m.on.say(`{"msg":"probed","sid":%q,"attrs":{"load":"rif:3;x0:0.5"},"code":1}`, m.ID)
-	idle := func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return len(n.pool.byID["s-1"].idle) == 1 }
+	idle := func() bool {
+		n.pool.mu.Lock()
+		defer n.pool.mu.Unlock()
+		return len(n.pool.servers["s-1"].idleConns) == 1
+	}
 	eventually(t, "the connection back", idle)
 	n.pool.Probe("s-1")
 	m = b.next(t, "probe")
-	eventually(t, "the test given up", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return len(n.pool.byID["s-1"].links) == 0 })
+	eventually(t, "the test given up", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return len(n.pool.servers["s-1"].conns) == 0 })
 	m.on.say(`{"msg":"probed","sid":%q,"code":1}`, m.ID)
 	v := n.dial().say(setUp(idA, "paid", ""))
 	ready(b.next(t, "open"))
 	v.want(idA, 200)
 	n.agree(1)
-	s := n.pool.byID["s-1"]
+	s := n.pool.servers["s-1"]
 	if ok, l := n.probeAnswered(b, s, 0); ok || l != nil {
 		t.Errorf("failed test: %v, %+v", ok, l)
 	}
@@ -48,7 +52,7 @@
 		load *control.LoadReport
 	}
 	got := make(chan result, 1)
-	go func() { ok, l := r.pool.probe(s, idC); got <- result{ok, l} }()
+	go func() { ok, l := r.pool.runProbe(s, idC); got <- result{ok, l} }()
 	m := b.next(r.t, "probe")
 	load := ""
 	if cause == 1 {
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -40,7 +40,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	Limits(c)
+	ApplyLimits(c)
 	level := slog.LevelWarn
 	if os.Getenv(helperLogs) != "" {
 		level = slog.LevelDebug
@@ -48,7 +48,7 @@
 	n, err := New(c, path, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
 	if err == nil {
 		if os.Getenv(helperStays) == "" {
-			n.Arriving = -n.longest()
+			n.ArrivalWindow = -n.longestDeadline()
 		}
 		if os.Getenv(helperWaits) != "" {
 			waitForCopies(n)
--- a/internal/node/reading.go
+++ b/internal/node/reading.go
@@ -14,17 +14,17 @@
 )
 
 // read takes what a server says on one connection until it ends.
-func (p *pool) read(l *link) {
-	r := bufio.NewReaderSize(&timedReader{conn: l.conn}, jsonlines.MaxLineBytes)
+func (p *pool) readConn(l *serverConn) {
+	r := bufio.NewReaderSize(&deadlineReader{conn: l.conn}, jsonlines.MaxLineBytes)
 	for {
-		m, err := p.next(l, r)
+		m, err := p.nextMessage(l, r)
 		if err != nil {
-			p.n.Log.Debug("connection to server over", "server", l.s.id, "error", err)
+			p.node.Log.Debug("connection to server over", "server", l.server.id, "error", err)
 			verdict := socketerror.Classify(err, socketerror.Transfer)
-			p.close(l, verdict == socketerror.ClosedLocally || verdict == socketerror.PeerClosed)
+			p.closeConn(l, verdict == socketerror.ClosedLocally || verdict == socketerror.PeerClosed)
 			return
 		}
-		if p.handle(l, m) {
+		if p.handleMessage(l, m) {
 			runtime.Gosched() // the answer goes on its way first, the next read of this socket can wait
 		}
 	}
@@ -32,68 +32,68 @@
 
 // next waits for a message and reads it. Where no set-up is out on the connection, whoever reads an answer on another one
 // goes first: a viewer may leave while its answer waits for notes.
-func (p *pool) next(l *link, r *bufio.Reader) (*jsonlines.Message, error) {
+func (p *pool) nextMessage(l *serverConn, r *bufio.Reader) (*jsonlines.Message, error) {
 	if _, err := r.Peek(1); err != nil { // a reset is told once only
 		return nil, err
 	}
-	if !l.answerDue.Load() {
-		p.n.giveWay()
+	if !l.setUpPending.Load() {
+		p.node.yieldProcessor()
 	}
 	return jsonlines.Read(r)
 }
 
 // causes of a close ahead of the answer; an unknown one is a reset.
-var causes = map[int]control.Outcome{jsonlines.CauseFull: control.Full, jsonlines.CauseError: control.Failed,
+var closeOutcomes = map[int]control.Outcome{jsonlines.CauseFull: control.Full, jsonlines.CauseError: control.Failed,
 	jsonlines.CauseNotSent: control.NotSent, jsonlines.CauseReset: control.Reset}
 
 // ends are causes of a close after it.
-var ends = map[int]control.Outcome{jsonlines.CauseEnd: control.Served, jsonlines.CauseCancelled: control.Cancelled}
+var endOutcomes = map[int]control.Outcome{jsonlines.CauseEnd: control.Served, jsonlines.CauseCancelled: control.Cancelled}
 
 // handle takes one message of a server. It tells whether that ended the set-up on the link.
-func (p *pool) handle(l *link, m *jsonlines.Message) (answered bool) {
+func (p *pool) handleMessage(l *serverConn, m *jsonlines.Message) (answered bool) {
 	load := wire.ConvertLoad(m.NumberMap("load"))
 	p.mu.Lock()
-	l.heard = p.n.now()
-	l.s.detector.RecordHeartbeat(l.heard)
-	mine := l.sid != "" && l.sid == m.ID
+	l.lastActivity = p.node.now()
+	l.server.detector.RecordHeartbeat(l.lastActivity)
+	mine := l.activeID != "" && l.activeID == m.ID
 	switch {
-	case m.Type == jsonlines.TypeReady && mine && !l.probe:
+	case m.Type == jsonlines.TypeReady && mine && !l.isProbe:
 		r := core.Result{Outcome: control.Served}
 		if m.Text == nil || *m.Text == "" {
 			r = core.Result{Outcome: control.Failed, Load: load} // it ran, and there is nothing to pass on
 		} else {
 			r.Setup = *m.Text
-			l.s.standing[m.ID] = true
+			l.server.activeSessions[m.ID] = true
 		}
-		answered = l.deliver(r)
+		answered = l.deliverResult(r)
 		p.mu.Unlock()
-	case m.Type == jsonlines.TypeProbed && mine && l.probe:
+	case m.Type == jsonlines.TypeProbed && mine && l.isProbe:
 		r := core.Result{Outcome: control.Failed, Load: load}
 		if m.Cause() == jsonlines.CauseProbePassed {
 			r.Outcome = control.Served
 		}
-		l.deliver(r)
+		l.deliverResult(r)
 		p.mu.Unlock()
 	case m.Type == jsonlines.TypeClose && mine:
-		o, ok := causes[m.Cause()]
+		o, ok := closeOutcomes[m.Cause()]
 		if !ok {
 			o = control.Reset
 		}
-		answered = l.deliver(core.Result{Outcome: o, Load: load})
+		answered = l.deliverResult(core.Result{Outcome: o, Load: load})
 		p.mu.Unlock()
-	case m.Type == jsonlines.TypeClose && l.gaveUpOn(m.ID): // of that attempt; a later one may stand
+	case m.Type == jsonlines.TypeClose && l.wasGivenUp(m.ID): // of that attempt; a later one may stand
 		p.mu.Unlock()
 	case m.Type == jsonlines.TypeClose:
 		p.mu.Unlock()
-		p.sessionEnded(l, m, load)
+		p.handleSessionEnd(l, m, load)
 	case m.Type == jsonlines.TypeEvent:
-		stands := l.s.standing[m.ID]
+		stands := l.server.activeSessions[m.ID]
 		p.mu.Unlock()
-		if kind, v, ok := note(m); ok && stands {
-			if p.n.Log.Enabled(context.Background(), slog.LevelDebug) {
-				p.n.Log.Debug("note", "session", m.ID, "server", l.s.id, "note", m.Attr("note"), "value", v)
+		if kind, v, ok := parseNote(m); ok && stands {
+			if p.node.Log.Enabled(context.Background(), slog.LevelDebug) {
+				p.node.Log.Debug("note", "session", m.ID, "server", l.server.id, "note", m.Attr("note"), "value", v)
 			}
-			p.n.owner.AddNote(control.Note{ID: m.ID, Server: l.s.id, Kind: kind, Value: v})
+			p.node.owner.AddNote(control.Note{ID: m.ID, Server: l.server.id, Kind: kind, Value: v})
 		}
 	default:
 		p.mu.Unlock()
@@ -102,36 +102,36 @@
 }
 
 // sessionEnded takes a server's release of a session that stands, or that this node does not know yet.
-func (p *pool) sessionEnded(l *link, m *jsonlines.Message, load *control.LoadReport) {
-	outcome, ok := ends[m.Cause()]
+func (p *pool) handleSessionEnd(l *serverConn, m *jsonlines.Message, load *control.LoadReport) {
+	outcome, ok := endOutcomes[m.Cause()]
 	if !ok {
 		outcome = control.Reset
 	}
 	p.mu.Lock()
-	stood := l.s.standing[m.ID]
-	delete(l.s.standing, m.ID)
+	stood := l.server.activeSessions[m.ID]
+	delete(l.server.activeSessions, m.ID)
 	if !stood {
-		p.keepEarlyEnd(l.s, m.ID, earlyEnd{outcome, load, p.n.now()})
+		p.storeEarlyEnd(l.server, m.ID, earlyEnd{outcome, load, p.node.now()})
 	}
 	p.mu.Unlock()
-	p.n.Log.Debug("released by server", "session", m.ID, "server", l.s.id, "cause", m.Cause(), "stood", stood)
+	p.node.Log.Debug("released by server", "session", m.ID, "server", l.server.id, "cause", m.Cause(), "stood", stood)
 	if stood {
-		p.n.owner.EndedByServer(m.ID, l.s.id, outcome, load)
+		p.node.owner.EndedByServer(m.ID, l.server.id, outcome, load)
 	}
 }
 
 // keepEarlyEnd keeps the end of a session that may be named later.
-func (p *pool) keepEarlyEnd(s *server, id string, end earlyEnd) {
+func (p *pool) storeEarlyEnd(s *server, id string, end earlyEnd) {
 	if len(s.earlyEnds) >= maxEarlyEnds {
-		p.n.near.endsDropped.Add(1)
-		p.n.Log.Warn("end of an unknown session not kept: too many", "session", id, "server", s.id)
+		p.node.nearMisses.endsDropped.Add(1)
+		p.node.Log.Warn("end of an unknown session not kept: too many", "session", id, "server", s.id)
 		return
 	}
 	s.earlyEnds[id] = end
 }
 
 // note reads a note on a session that stands.
-func note(m *jsonlines.Message) (control.NoteKind, float64, bool) {
+func parseNote(m *jsonlines.Message) (control.NoteKind, float64, bool) {
 	kinds := map[string]control.NoteKind{"delivered": control.NoteShare, "rung": control.NoteRung,
 		"link": control.NoteLink, "uplink": control.NoteUplink}
 	k, ok := kinds[m.Attr("note")]
--- a/internal/node/resend.go
+++ b/internal/node/resend.go
@@ -13,137 +13,137 @@
 	// terms, and as much for the ways of both. Until it is over the request is not withdrawn.
 	defaultResendWindow = 100 * time.Millisecond
 	// defaultAnswerMemory is how long an answer is kept for a viewer that asks again.
-	defaultAnswerMemory = time.Second
+	defaultAnswerRetention = time.Second
 	// maxRememberedAnswers bounds the answers that are kept.
-	maxRememberedAnswers = 4096
+	maxCachedAnswers = 4096
 )
 
 // reply is a final answer to a set-up.
-type reply struct {
-	status int
-	after  string // advice when to come back
-	body   []byte
+type finalAnswer struct {
+	status     int
+	retryAfter string // advice when to come back
+	body       []byte
 }
 
 // claim gives a request its final answer, where it has none yet. From then on its session stands, if it plays.
-func (s *session) claim(r reply) (on *viewer, orphaned, first bool) {
+func (s *session) claimAnswer(r finalAnswer) (on *viewerConn, orphaned, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.said || s.left {
-		return s.conn, s.orphaned, false
+	if s.answered || s.withdrawn {
+		return s.conn, s.connLost, false
 	}
-	s.said, s.reply, s.stands = true, &r, r.status == statusPlays
-	return s.conn, s.orphaned, true
+	s.answered, s.answer, s.playing = true, &r, r.status == statusOK
+	return s.conn, s.connLost, true
 }
 
 // answerElsewhere gives a request that its viewer ends on another connection its final answer, where it has none yet.
-func (s *session) answerElsewhere(r reply) bool {
-	_, _, first := s.claim(r)
+func (s *session) claimAnswerOnTearDown(r finalAnswer) bool {
+	_, _, first := s.claimAnswer(r)
 	return first
 }
 
 // orphan marks that its connection ended under it. False if it has moved to another one, or needs none.
-func (s *session) orphan(ended *viewer, now time.Duration) bool {
+func (s *session) markConnLost(ended *viewerConn, now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.conn != ended || s.left || s.adopted {
+	if s.conn != ended || s.withdrawn || s.adopted {
 		return false
 	}
-	s.orphaned = true
-	if s.held == 0 || now < s.held {
-		s.held = now
+	s.connLost = true
+	if s.attemptsBlockedFrom == 0 || now < s.attemptsBlockedFrom {
+		s.attemptsBlockedFrom = now
 	}
 	return true
 }
 
 // abandon withdraws a request that was not sent again since its connection ended.
-func (s *session) abandon(ended *viewer) bool {
+func (s *session) withdrawIfNotResent(ended *viewerConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.conn != ended || s.left || !s.orphaned {
+	if s.conn != ended || s.withdrawn || !s.connLost {
 		return false
 	}
-	s.left = true
+	s.withdrawn = true
 	return true
 }
 
 // withdrawalReply answers a set-up that comes again when it is too late. What was sent to a server may have run there, and
 // then nobody may be told that it did not.
-func (s *session) withdrawalReply() *reply {
-	if s.sent {
-		return &reply{status: statusFailed}
+func (s *session) withdrawalAnswer() *finalAnswer {
+	if s.attemptSent {
+		return &finalAnswer{status: statusGatewayTimeout}
 	}
-	return &reply{status: statusUnavailable}
+	return &finalAnswer{status: statusServiceUnavailable}
 }
 
 // resumption is what a set-up that came again found.
-type resumption struct {
-	from   *viewer // the connection that it was on
-	reply  *reply  // that it was given already; nil: it still waits
-	stands bool    // its session stands
+type resumedSetUp struct {
+	previousConn *viewerConn  // the connection that it was on
+	answer       *finalAnswer // that it was given already; nil: it still waits
+	playing      bool         // its session stands
 }
 
 // resume moves a request to the connection on which its viewer sent it again.
-func (s *session) resume(on *viewer, cseq string) resumption {
+func (s *session) moveTo(on *viewerConn, cseq string) resumedSetUp {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cseq = cseq
-	if s.left || s.said && s.reply == nil { // too late: it was withdrawn, or its answer is not kept any more
-		return resumption{from: s.conn, reply: s.withdrawalReply()}
+	if s.withdrawn || s.answered && s.answer == nil { // too late: it was withdrawn, or its answer is not kept any more
+		return resumedSetUp{previousConn: s.conn, answer: s.withdrawalAnswer()}
 	}
-	r := resumption{from: s.conn, reply: s.reply, stands: s.stands}
-	s.conn, s.orphaned, s.held = on, false, 0
+	r := resumedSetUp{previousConn: s.conn, answer: s.answer, playing: s.playing}
+	s.conn, s.connLost, s.attemptsBlockedFrom = on, false, 0
 	return r
 }
 
 // sameRequest tells whether a set-up under the same id asks for the same.
-func (s *session) sameRequest(other *session) bool {
-	return s.uri == other.uri && s.className == other.className && s.text == other.text && s.dedupe == other.dedupe
+func (s *session) isSameRequest(other *session) bool {
+	return s.uri == other.uri && s.className == other.className && s.description == other.description && s.dedupeKey == other.dedupeKey
 }
 
 // takeResent takes a set-up under an id that is known from another connection. It tells whether it was that set-up, sent
 // again.
-func (c *viewer) takeResent(again, s *session) bool {
-	if s.adopted || s.connection() == c || !s.sameRequest(again) {
+func (c *viewerConn) handleResent(again, s *session) bool {
+	if s.adopted || s.currentConn() == c || !s.isSameRequest(again) {
 		return false
 	}
-	if last := s.connection(); last.id > c.id && last.phase() == phaseOpen {
-		c.n.Log.Info("set-up read behind its copy", "session", s.id, "connection", uint64(c.id), "copy on", uint64(last.id))
+	if last := s.currentConn(); last.id > c.id && last.phase() == phaseOpen {
+		c.node.Log.Info("set-up read behind its copy", "session", s.id, "connection", uint64(c.id), "copy on", uint64(last.id))
 		return true // the viewer waits on the connection that it opened last
 	}
 	c.mu.Lock()
-	c.open[s.id] = s
+	c.openSetUps[s.id] = s
 	c.mu.Unlock()
-	found := s.resume(c, again.cseq)
-	found.from.answered(s)
-	c.n.near.resumed.Add(1)
-	c.n.Log.Info("set-up sent again", "session", s.id, "connection", uint64(c.id), "first", uint64(found.from.id),
-		"first is", found.from.phase().String(), "after", c.n.now()-s.began, "answered", found.reply != nil, "stands", found.stands)
-	if found.reply != nil {
-		if found.stands {
-			found.from.stand(-1)
-			c.stand(1)
+	found := s.moveTo(c, again.cseq)
+	found.previousConn.removeSetUp(s)
+	c.node.nearMisses.resumed.Add(1)
+	c.node.Log.Info("set-up sent again", "session", s.id, "connection", uint64(c.id), "first", uint64(found.previousConn.id),
+		"first is", found.previousConn.phase().String(), "after", c.node.now()-s.receivedAt, "answered", found.answer != nil, "stands", found.playing)
+	if found.answer != nil {
+		if found.playing {
+			found.previousConn.addSessions(-1)
+			c.addSessions(1)
 		}
-		told := c.out.putNow(s.appendReply(*found.reply))
-		c.answered(s)
+		told := c.out.enqueueAndWrite(s.appendAnswer(*found.answer))
+		c.removeSetUp(s)
 		if !told {
-			c.n.awaitResend(c, []*session{s})
+			c.node.awaitResend(c, []*session{s})
 		}
 		return true
 	}
-	if c.phase() == phaseOver { // it ended meanwhile, and may not have seen the request
-		c.n.awaitResend(c, []*session{s})
+	if c.phase() == phaseClosed { // it ended meanwhile, and may not have seen the request
+		c.node.awaitResend(c, []*session{s})
 	}
 	return true
 }
 
 // awaitResend keeps requests whose connection ended for as long as their viewers may send them again, and then withdraws
 // them. What is out for them goes on; no further attempt begins meanwhile, since their viewers may have gone.
-func (n *Node) awaitResend(ended *viewer, open []*session) {
+func (n *Node) awaitResend(ended *viewerConn, open []*session) {
 	now := n.now()
 	orphans := make([]*session, 0, len(open))
 	for _, s := range open {
-		if s.orphan(ended, now) {
+		if s.markConnLost(ended, now) {
 			orphans = append(orphans, s)
 		}
 	}
@@ -152,8 +152,8 @@
 	}
 	time.AfterFunc(n.resendWindow, func() {
 		for _, s := range orphans {
-			if s.abandon(ended) {
-				n.remember(s)
+			if s.withdrawIfNotResent(ended) {
+				n.cacheAnswer(s)
 				n.owner.ViewerLeft(s.id, s)
 			}
 		}
@@ -161,82 +161,82 @@
 }
 
 // remembered is a request whose answer is kept.
-type remembered struct {
+type cachedAnswer struct {
 	s  *session
 	at time.Duration
 }
 
 // answers are the requests that were answered a short time ago, the oldest first.
-type answers struct {
-	keptFor time.Duration
-	byID    map[string]*session
-	order   []remembered
+type answerCache struct {
+	retention time.Duration
+	byID      map[string]*session
+	order     []cachedAnswer
 }
 
 // add keeps a request, and lets go of those that are too old or too many.
-func (a *answers) add(s *session, now time.Duration) {
+func (a *answerCache) add(s *session, now time.Duration) {
 	a.byID[s.id] = s
-	a.order = append(a.order, remembered{s, now})
+	a.order = append(a.order, cachedAnswer{s, now})
 	a.expire(now)
 }
 
 // expire lets go of what is too old or too many.
-func (a *answers) expire(now time.Duration) {
-	for len(a.order) > 0 && (len(a.order) > maxRememberedAnswers || now-a.order[0].at > a.keptFor) {
+func (a *answerCache) expire(now time.Duration) {
+	for len(a.order) > 0 && (len(a.order) > maxCachedAnswers || now-a.order[0].at > a.retention) {
 		s := a.order[0].s
-		a.order[0] = remembered{}
+		a.order[0] = cachedAnswer{}
 		a.order = a.order[1:]
 		if a.byID[s.id] == s {
 			delete(a.byID, s.id)
 		}
-		s.forgetReply()
+		s.dropAnswer()
 	}
 }
 
 // find is the request that was answered under an id a short time ago.
-func (a *answers) find(id string, now time.Duration) *session {
+func (a *answerCache) find(id string, now time.Duration) *session {
 	a.expire(now)
 	return a.byID[id]
 }
 
 // remember keeps the answer to a request for a short time.
-func (n *Node) remember(s *session) {
+func (n *Node) cacheAnswer(s *session) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.recent.add(s, n.now())
+	n.recentAnswers.add(s, n.now())
 }
 
 // answeredLately is the request that was answered under an id a short time ago; nil if there is none.
-func (n *Node) answeredLately(id string) *session {
+func (n *Node) recentlyAnswered(id string) *session {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.recent.find(id, n.now())
+	return n.recentAnswers.find(id, n.now())
 }
 
 // takeResentAnswered takes a set-up under the id of a request that was answered a short time ago. It tells whether it was
 // that one, sent again. Where nothing of that one went to a server it may be begun anew, unless its viewer has asked again
 // since this copy was sent.
-func (c *viewer) takeResentAnswered(s *session) bool {
-	answered := c.n.answeredLately(s.id)
-	return answered != nil && (answered.wasSent() || answered.connection().id > c.id) && c.takeResent(s, answered)
+func (c *viewerConn) handleResentAnswered(s *session) bool {
+	answered := c.node.recentlyAnswered(s.id)
+	return answered != nil && (answered.wasAttemptSent() || answered.currentConn().id > c.id) && c.handleResent(s, answered)
 }
 
 // expireAnswers lets go of answers that no viewer asks for any more.
 func (n *Node) expireAnswers() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.recent.expire(n.now())
+	n.recentAnswers.expire(n.now())
 }
 
 // wasSent tells whether an attempt of it went to a server.
-func (s *session) wasSent() bool {
+func (s *session) wasAttemptSent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sent
+	return s.attemptSent
 }
 
-func (s *session) forgetReply() {
+func (s *session) dropAnswer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reply = nil
+	s.answer = nil
 }
--- a/internal/node/resent_test.go
+++ b/internal/node/resent_test.go
@@ -16,7 +16,7 @@
 // viewer that waits on the new connection is owed the one answer.
 
 // waitForCopies has a node wait for set-ups that come again, and keep answers, for as long as a test takes.
-func waitForCopies(n *Node) { n.resendWindow, n.recent.keptFor = testFor, testFor }
+func waitForCopies(n *Node) { n.resendWindow, n.recentAnswers.retention = testFor, testFor }
 
 // ledger is what a server heard, by session.
 type ledger struct {
@@ -109,19 +109,19 @@
 		n := startGated(t, waitForCopies, b)
 		text := setUp(idA, "paid", "")
 		first := n.dial().say(ping)
-		first.want("", statusPlays)
+		first.want("", statusOK)
 		second := n.dial().say(text)
 		m := b.next(t, "open")
 		if answered {
 			ready(m)
-			second.want(idA, statusPlays)
+			second.want(idA, statusOK)
 		}
 		first.say(text + ping)
-		first.want("", statusPlays) // read by now
+		first.want("", statusOK) // read by now
 		_ = first.Conn.(*net.TCPConn).CloseWrite()
 		if !answered {
 			ready(m)
-			second.want(idA, statusPlays)
+			second.want(idA, statusOK)
 		}
 		second.silent()
 		n.agree(1)
@@ -134,12 +134,12 @@
 	b := newBox(t, "s-1", nil)
 	n := startGated(t, waitForCopies, b)
 	first := n.dial().say(ping)
-	first.want("", statusPlays)
+	first.want("", statusOK)
 	_ = b.l.Close() // no connection comes up
 	second := n.dial().say(setUp(idA, "paid", ""))
-	second.want(idA, statusRefused)
+	second.want(idA, statusNotEnoughBandwidth)
 	first.say(setUp(idA, "paid", "") + ping)
-	first.want("", statusPlays)
+	first.want("", statusOK)
 	second.silent()
 	if attempts := n.owner.Stats.Requests.Load(); attempts != 1 {
 		t.Errorf("%d requests begun", attempts)
@@ -169,7 +169,7 @@
 		second.say(c.setUp())
 	}
 	if !c.answered {
-		time.Sleep(3 * firstProbe) // whatever the node makes of the end, it has made by now
+		time.Sleep(3 * firstProbeInterval) // whatever the node makes of the end, it has made by now
 		ready(opens[0])
 	}
 	if m := second.want(c.id, 200); string(m.Body) != "for "+c.id+"\r\n\"x\"" {
--- a/internal/node/reserve_test.go
+++ b/internal/node/reserve_test.go
@@ -39,8 +39,8 @@
 			n.agree(manyServers / 2)
 			n.pool.mu.Lock()
 			defer n.pool.mu.Unlock()
-			if limit := sockets * 3 / 8; n.pool.maxLinks != limit || n.pool.links > limit {
-				t.Errorf("%d connections where %d may be open", n.pool.links, limit)
+			if limit := sockets * 3 / 8; n.pool.maxConns != limit || n.pool.connCount > limit {
+				t.Errorf("%d connections where %d may be open", n.pool.connCount, limit)
 			}
 		})
 	}
@@ -54,7 +54,7 @@
 	for i := range boxes {
 		boxes[i] = newBox(t, fmt.Sprintf("s-%d", i), nil)
 	}
-	n := startAs(t, 256, func(n *Node) { n.pool.maxLinks = places }, boxes...)
+	n := startAs(t, 256, func(n *Node) { n.pool.maxConns = places }, boxes...)
 	v := n.dial()
 	for i, b := range boxes {
 		v.adoptAt(fmt.Sprintf("%016x", i+1), b.id)
@@ -66,7 +66,7 @@
 	unconnected := -1
 	n.pool.mu.Lock()
 	for i, b := range boxes {
-		if len(n.pool.byID[b.id].links) == 0 {
+		if len(n.pool.servers[b.id].conns) == 0 {
 			unconnected = i
 		}
 	}
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -90,7 +90,7 @@
 	if r.Node, err = New(c, path, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	r.Node.Listener, r.Node.Arriving = l, -r.longest()
+	r.Node.Listener, r.Node.ArrivalWindow = l, -r.longestDeadline()
 	change(r.Node)
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
@@ -98,7 +98,7 @@
 	defer eventually(t, "the first list", func() bool {
 		r.pool.mu.Lock()
 		defer r.pool.mu.Unlock()
-		return len(r.pool.byID) == len(list)
+		return len(r.pool.servers) == len(list)
 	})
 	t.Cleanup(func() {
 		stop()
@@ -226,8 +226,8 @@
 		same := make(chan bool, 1)
 		r.owner.Inspect(func() {
 			sum, ok := 0, true
-			for _, b := range r.pool.believed(r.module.OwnSessionCount) {
-				sum, ok = sum+b.module, ok && b.module == b.sockets
+			for _, b := range r.pool.countSessions(r.controller.OwnSessionCount) {
+				sum, ok = sum+b.controller, ok && b.controller == b.sockets
 			}
 			same <- ok && sum == n
 		})
--- a/internal/node/setup.go
+++ b/internal/node/setup.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	addresses = "rtsp://media/"
-	maxTimer  = 10 * time.Minute
-	maxGuess  = 24 * time.Hour
+	titleURIPrefix = "rtsp://media/"
+	maxTimeout     = 10 * time.Minute
+	maxLengthHint  = 24 * time.Hour
 
-	maxDedupe = 256 // bytes of a viewer's key of repeats
+	maxDedupeKeyBytes = 256 // bytes of a viewer's key of repeats
 )
 
 // isID tells 16 hex digits.
-func isID(s string) bool {
+func isSessionID(s string) bool {
 	if len(s) != 16 {
 		return false
 	}
@@ -34,19 +34,19 @@
 }
 
 // hexNumber is a number of up to 16 hex digits.
-func hexNumber(s string) (uint64, bool) {
+func parseHex(s string) (uint64, bool) {
 	v, err := strconv.ParseUint(s, 16, 64)
 	return v, err == nil && len(s) <= 16
 }
 
 // whole is a decimal from least to most.
-func whole(s string, least, most int) (int, bool) {
+func parseIntInRange(s string, least, most int) (int, bool) {
 	v, err := strconv.Atoi(s)
 	return v, err == nil && v >= least && v <= most
 }
 
 // millis is a number of milliseconds from 0 to a longest time. Checked before any arithmetic: NaN is no number.
-func millis(s string, longest time.Duration) (time.Duration, bool) {
+func parseMillis(s string, longest time.Duration) (time.Duration, bool) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(v) || v < 0 || v > float64(longest.Milliseconds()) {
 		return 0, false
@@ -55,16 +55,16 @@
 }
 
 // readSetUp reads a set-up that came at a time, or says what is wrong with it. Whatever an arithmetic rests on is bounded here.
-func (n *Node) readSetUp(m *rtsp.Message, arrived time.Time) (r control.Request, s *session, wrong string) {
-	s = &session{n: n, id: m.Get("Session"), uri: m.URI, cseq: m.Get("CSeq"), className: m.Get("X-Cos"), text: string(m.Body), began: n.now()}
-	title, ok := strings.CutPrefix(m.URI, addresses)
-	if !ok || !isID(s.id) {
+func (n *Node) parseSetUp(m *rtsp.Message, arrived time.Time) (r control.Request, s *session, wrong string) {
+	s = &session{node: n, id: m.Get("Session"), uri: m.URI, cseq: m.Get("CSeq"), className: m.Get("X-Cos"), description: string(m.Body), receivedAt: n.now()}
+	title, ok := strings.CutPrefix(m.URI, titleURIPrefix)
+	if !ok || !isSessionID(s.id) {
 		return r, nil, "no id or title"
 	}
-	if r.Title, ok = hexNumber(title); !ok {
+	if r.Title, ok = parseHex(title); !ok {
 		return r, nil, "title"
 	}
-	s.key = title
+	s.titleKey = title
 	r.ID, r.Class, r.Tenant = s.id, -1, -1
 	for i := range n.Config.Set.Classes {
 		if n.Config.Set.Classes[i].Name == s.className {
@@ -79,49 +79,49 @@
 			return r, nil, "tenant"
 		}
 	}
-	if s.dedupe = m.Get("X-Dedupe"); len(s.dedupe) > maxDedupe || !utf8.ValidString(s.dedupe) {
+	if s.dedupeKey = m.Get("X-Dedupe"); len(s.dedupeKey) > maxDedupeKeyBytes || !utf8.ValidString(s.dedupeKey) {
 		return r, nil, "dedupe"
 	}
-	if !utf8.ValidString(s.text) {
+	if !utf8.ValidString(s.description) {
 		return r, nil, "description"
 	}
-	if wrong := n.readFields(m, arrived, &r, s); wrong != "" {
+	if wrong := n.parseHeaders(m, arrived, &r, s); wrong != "" {
 		return r, nil, wrong
 	}
 	return r, s, ""
 }
 
-func (n *Node) readFields(m *rtsp.Message, arrived time.Time, r *control.Request, s *session) string {
+func (n *Node) parseHeaders(m *rtsp.Message, arrived time.Time, r *control.Request, s *session) string {
 	if again := m.Get("X-Reattempt"); again != "" && again != "0" {
 		r.Repeat = true
 	}
 	if g := m.Get("X-Guess"); g != "" {
-		length, ok := millis(g, maxGuess)
+		length, ok := parseMillis(g, maxLengthHint)
 		if !ok {
 			return "hint"
 		}
 		r.ExpectedLength = length
 	}
-	if wrong := n.readLegs(m.Get("X-Legs"), r); wrong != "" {
+	if wrong := n.parseLegs(m.Get("X-Legs"), r); wrong != "" {
 		return wrong
 	}
 	s.adopted = r.Server != ""
-	s.stands = s.adopted
+	s.playing = s.adopted
 	if s.adopted {
 		return ""
 	}
-	timer, ok := millis(m.Get("X-Timer-Ms"), maxTimer)
+	timer, ok := parseMillis(m.Get("X-Timer-Ms"), maxTimeout)
 	if !ok || timer <= 0 {
 		return "timer"
 	}
-	s.timer = timer
-	s.due = n.at(arrived) + timer
-	r.GiveUpAt = s.due
+	s.timeout = timer
+	s.deadline = n.unixTime(arrived) + timer
+	r.GiveUpAt = s.deadline
 	return ""
 }
 
 // readLegs reads the figures of a request; keys that are not known are skipped.
-func (n *Node) readLegs(legs string, r *control.Request) string {
+func (n *Node) parseLegs(legs string, r *control.Request) string {
 	set := &n.Config.Set
 	seen := 0
 	for part := range strings.SplitSeq(legs, ";") {
@@ -129,16 +129,16 @@
 		ok := true
 		switch name {
 		case "home":
-			r.HomeCell, ok = whole(v, 0, max(set.Cells-1, 0))
+			r.HomeCell, ok = parseIntInRange(v, 0, max(set.Cells-1, 0))
 			seen |= 1
 		case "copies":
-			r.CellSpan, ok = whole(v, 1, max(set.Cells, 1))
+			r.CellSpan, ok = parseIntInRange(v, 1, max(set.Cells, 1))
 			seen |= 2
 		case "top":
-			r.BestRung, ok = whole(v, 0, len(set.Ladder)-1)
+			r.BestRung, ok = parseIntInRange(v, 0, len(set.Ladder)-1)
 			seen |= 4
 		case "viewer":
-			r.Viewer, ok = hexNumber(v)
+			r.Viewer, ok = parseHex(v)
 		case "again":
 			r.Returned = v == "1"
 		case "at":
--- a/internal/node/setup_test.go
+++ b/internal/node/setup_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, _, wrong := n.readSetUp(m, time.Now()); r.Tenant != 1 || wrong != "" {
+	if r, _, wrong := n.parseSetUp(m, time.Now()); r.Tenant != 1 || wrong != "" {
 		t.Errorf("tenant %d, %s", r.Tenant, wrong)
 	}
 	v.say(setUp(idC, "free", "")).want(idC, 200)
--- a/internal/node/shortage_test.go
+++ b/internal/node/shortage_test.go
@@ -42,7 +42,11 @@
 	v := n.dial().say(setUp(idA, "paid", ""))
 	m := b.next(t, "open")
 	silent := n.dial()
-	eventually(t, "taken", func() bool { n.viewers.mu.Lock(); defer n.viewers.mu.Unlock(); return len(n.viewers.all) == 2 })
+	eventually(t, "taken", func() bool {
+		n.viewerConns.mu.Lock()
+		defer n.viewerConns.mu.Unlock()
+		return len(n.viewerConns.conns) == 2
+	})
 	for range 3 {
 		short <- &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -18,23 +18,23 @@
 
 // leave ends a front node's service. What still arrives is served, and sessions play on: they end with the node
 // that holds them. It goes shortly before it may be killed, and then only what is not answered by its deadline fails.
-func (n *Node) leave() {
+func (n *Node) waitBeforeShutdown() {
 	n.Log.Info("leaving")
-	time.Sleep(n.staysFor())
+	time.Sleep(n.shutdownDelay())
 }
 
 // staysFor is how long after SIGTERM the node stays: most of what arrives has its deadline by then, and the earliest
 // kill is not near. Where all deadlines are short it stays until the last requests have come: one that found nobody
 // listening would be lost.
-func (n *Node) staysFor() time.Duration {
-	return max(n.Arriving+n.longest()-killMargin, n.Arriving-afterLastArrival)
+func (n *Node) shutdownDelay() time.Duration {
+	return max(n.ArrivalWindow+n.longestDeadline()-killMargin, n.ArrivalWindow-lastArrivalMargin)
 }
 
 // maxCountedDeadline is what the platform takes for a longer deadline when it says when a node may be killed.
 const maxCountedDeadline = 3 * time.Second
 
 // longest is the longest deadline of a class, as the platform counts it.
-func (n *Node) longest() (d time.Duration) {
+func (n *Node) longestDeadline() (d time.Duration) {
 	for _, k := range n.Config.Set.Classes {
 		d = max(d, k.Deadline)
 	}
@@ -43,18 +43,18 @@
 
 // shutDown ends everything in the order in which nothing that is owed is lost: requests, servers, the owner, viewers.
 func (n *Node) shutDown(l net.Listener, listening <-chan struct{}, stopOwner context.CancelFunc, ownerOver <-chan struct{}) {
-	n.viewers.leaving.Store(true)
-	n.viewers.stopListening(l)
+	n.viewerConns.shuttingDown.Store(true)
+	n.viewerConns.stopListening(l)
 	n.owner.FinishRequests()
-	within(backlogTimeout, func() bool { return isClosed(listening) })
+	pollUntil(backlogTimeout, func() bool { return isClosed(listening) })
 	_ = l.Close()
 	<-listening
 	// Servers first: what they have said is passed on, what they say from now on they keep for the next instance. With the
 	// owner stopped first, releases that came in the last moments were heard and told nobody (seen: 35 sessions in 279 restarts).
-	n.pool.closeEverything()
+	n.pool.shutDown()
 	stopOwner()
 	<-ownerOver
-	n.viewers.closeAll()
-	n.work.Wait()
-	n.Log.Info("ended", "sessions", n.owner.Stats.Open.Load(), "near", &n.near)
+	n.viewerConns.closeAll()
+	n.goroutines.Wait()
+	n.Log.Info("ended", "sessions", n.owner.Stats.Open.Load(), "near", &n.nearMisses)
 }
--- a/internal/node/trial_ending_test.go
+++ b/internal/node/trial_ending_test.go
@@ -17,7 +17,7 @@
 	endingTimer       = 800 * time.Millisecond
 	// earliestKill is how long after SIGTERM the node may be killed: its longest deadline, a second by the settings of the
 	// tests, and the time in which requests still arrive.
-	earliestKill = time.Second + arrivalWindow
+	earliestKill = time.Second + defaultArrivalWindow
 )
 
 // TestDenseEnding: a node in a process of its own is told to end while servers err, hang and reset. Clients go on asking, on
@@ -37,7 +37,7 @@
 	var resting [endingConnections]*dialogue
 	for i := range resting {
 		resting[i] = p.dial().say(ping)
-		resting[i].want("", statusPlays)
+		resting[i].want("", statusOK)
 	}
 	var clients sync.WaitGroup
 	var told time.Time
--- a/internal/node/trial_servers_test.go
+++ b/internal/node/trial_servers_test.go
@@ -106,10 +106,10 @@
 	if class == "paid" && ran > 1 {
 		wrong = append(wrong, fmt.Sprintf("%d paid set-ups that may have run", ran))
 	}
-	if answer.Status == statusPlays && (len(answer.Body) == 0 || !strings.Contains(text, string(answer.Body))) {
+	if answer.Status == statusOK && (len(answer.Body) == 0 || !strings.Contains(text, string(answer.Body))) {
 		wrong = append(wrong, fmt.Sprintf("description %q, servers said %q", answer.Body, text))
 	}
-	if class == "paid" && ran > 0 && (answer.Status == statusRefused || answer.Status == statusUnavailable) {
+	if class == "paid" && ran > 0 && (answer.Status == statusNotEnoughBandwidth || answer.Status == statusServiceUnavailable) {
 		wrong = append(wrong, fmt.Sprintf("refused with %d, and it may have run", answer.Status))
 	}
 	return wrong
--- a/internal/node/trial_test.go
+++ b/internal/node/trial_test.go
@@ -67,7 +67,7 @@
 	list := servers.start(t)
 	f := newFeed(t, []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: list}}})
 	p := startChild(t, childOptions{sockets: trialSockets, settings: defaultSettings}, f.Listener.Addr().String(), f.all)
-	p.dial().say(ping).want("", statusPlays)
+	p.dial().say(ping).want("", statusOK)
 	r := newRelay(t, p.addr)
 	var viewers sync.WaitGroup
 	for i := range trialRequests {
@@ -103,7 +103,7 @@
 func (q trialRequest) play(t *testing.T, r *relay, servers *trialServers) {
 	text := strings.Replace(setUp(q.id, q.class, ""), "X-Timer-Ms: 3000", fmt.Sprintf("X-Timer-Ms: %d", trialTimer.Milliseconds()), 1)
 	v, x := r.dial(t)
-	v.say(ping).want("", statusPlays)
+	v.say(ping).want("", statusOK)
 	time.Sleep(q.rests)
 	v.write(text[:q.split])
 	v.write(text[q.split:])
--- a/internal/node/viewers.go
+++ b/internal/node/viewers.go
@@ -14,34 +14,34 @@
 )
 
 // viewers are the connections that viewers opened.
-type viewers struct {
-	n              *Node
-	maxConnections int // beyond it the connection least missed is closed for each new one
-	reserve        int // so many more may be open where all wait for their answers
+type viewerConns struct {
+	node               *Node
+	maxConnections     int // beyond it the connection least missed is closed for each new one
+	reserveConnections int // so many more may be open where all wait for their answers
 
-	mu      sync.Mutex
-	all     map[*viewer]struct{}
-	opened  delivery.ConnectionID                 // the last connection's
-	notices map[string]*delivery.Pending[*notice] // that viewers may not have been told, by their address
-	over    bool
+	mu             sync.Mutex
+	conns          map[*viewerConn]struct{}
+	lastConnID     delivery.ConnectionID                 // the last connection's
+	pendingNotices map[string]*delivery.Pending[*notice] // that viewers may not have been told, by their address
+	closed         bool
 
-	leaving atomic.Bool // no further set-up is taken: its answer is a refusal at once
+	shuttingDown atomic.Bool // no further set-up is taken: its answer is a refusal at once
 }
 
 const (
-	reserveShare    = 8                     // of the budget of connections: an eighth
-	acceptPause     = 5 * time.Millisecond  // after a connection that could not be taken
-	backlogQuiet    = 20 * time.Millisecond // connections that are up already when the node stops listening are taken
-	lastReadTimeout = 60 * time.Millisecond // viewers' last words are read so long: unread bytes at a close destroy answers
+	reserveDivisor     = 8                     // of the budget of connections: an eighth
+	acceptRetryDelay   = 5 * time.Millisecond  // after a connection that could not be taken
+	backlogIdleTimeout = 20 * time.Millisecond // connections that are up already when the node stops listening are taken
+	finalReadTimeout   = 60 * time.Millisecond // viewers' last words are read so long: unread bytes at a close destroy answers
 )
 
-func newViewers(n *Node, maxConnections int) *viewers {
-	return &viewers{n: n, maxConnections: maxConnections, reserve: maxConnections / reserveShare, all: map[*viewer]struct{}{}, notices: map[string]*delivery.Pending[*notice]{}}
+func newViewerConns(n *Node, maxConnections int) *viewerConns {
+	return &viewerConns{node: n, maxConnections: maxConnections, reserveConnections: maxConnections / reserveDivisor, conns: map[*viewerConn]struct{}{}, pendingNotices: map[string]*delivery.Pending[*notice]{}}
 }
 
 // serve takes connections until the listener closes, or until none has come for a while when the node leaves: a
 // connection that is up already has been taken by this machine, and what it asks is owed an answer.
-func (v *viewers) serve(l net.Listener) {
+func (v *viewerConns) serve(l net.Listener) {
 	quiet := false
 	for {
 		conn, err := l.Accept()
@@ -52,33 +52,33 @@
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded): // from now on each accept takes its time, on a busy core too
 			quiet = true
-			_ = setDeadline(l, backlogQuiet)
+			_ = setAcceptDeadline(l, backlogIdleTimeout)
 			continue
 		case err != nil: // the peer has gone already, or no descriptor is left: then one is freed, or waited for
-			v.n.near.localErrors.Add(1)
+			v.node.nearMisses.localErrors.Add(1)
 			verdict := socketerror.Classify(err, socketerror.Accept)
-			v.n.Log.Info("connection not accepted", "error", err, "verdict", verdict.String())
+			v.node.Log.Info("connection not accepted", "error", err, "verdict", verdict.String())
 			if verdict == socketerror.LocalDescriptorLimit { // only this one is helped by closing a connection of this process
 				v.evict(time.Now())
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		v.take(conn)
-		if v.leaving.Load() {
-			_ = setDeadline(l, backlogQuiet)
+		v.serveConn(conn)
+		if v.shuttingDown.Load() {
+			_ = setAcceptDeadline(l, backlogIdleTimeout)
 		}
 	}
 }
 
 // stopListening has serve end. A listener that knows no deadlines closes at once.
-func (v *viewers) stopListening(l net.Listener) {
-	if setDeadline(l, 0) != nil {
+func (v *viewerConns) stopListening(l net.Listener) {
+	if setAcceptDeadline(l, 0) != nil {
 		_ = l.Close()
 	}
 }
 
-func setDeadline(l net.Listener, in time.Duration) error {
+func setAcceptDeadline(l net.Listener, in time.Duration) error {
 	t, ok := l.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return errors.ErrUnsupported
@@ -90,67 +90,67 @@
 // nothing for a while, then who waits for nothing, the oldest first. Harm: who connects and speaks late is closed
 // in a crowd. A connection that has just come up is spared as long as there is another: its request is on the way,
 // and would fail with it (seen on days when viewers hold their connections for good).
-func (v *viewers) take(conn net.Conn) {
+func (v *viewerConns) serveConn(conn net.Conn) {
 	now := time.Now()
-	c := newViewer(v.n, conn, now)
+	c := newViewerConn(v.node, conn, now)
 	v.mu.Lock()
-	if v.over {
+	if v.closed {
 		v.mu.Unlock()
-		c.refuseConnection(closedAtNodeEnd)
+		c.refuseConnection(closedAtShutdown)
 		return
 	}
 	v.mu.Unlock()
-	v.makeRoom()
+	v.awaitCapacity()
 	v.mu.Lock()
-	v.opened++
-	c.id = v.opened
-	v.all[c] = struct{}{}
+	v.lastConnID++
+	c.id = v.lastConnID
+	v.conns[c] = struct{}{}
 	v.mu.Unlock()
-	v.n.start(c.read)
+	v.node.startGoroutine(c.serve)
 }
 
 // makeRoom returns when one more connection may be open. Where all others wait for their answers it may be one beyond the
 // budget, and beyond the reserve it waits for an answer: requests whose connections are not taken yet wait in the backlog
 // meanwhile, which loses none of them. At the end of the node it does not wait: all are answered then.
-func (v *viewers) makeRoom() {
+func (v *viewerConns) awaitCapacity() {
 	waitFor := func() bool {
 		v.mu.Lock()
-		open := len(v.all)
+		open := len(v.conns)
 		v.mu.Unlock()
-		return open < v.maxConnections || v.evict(time.Now()) || open < v.maxConnections+v.reserve
+		return open < v.maxConnections || v.evict(time.Now()) || open < v.maxConnections+v.reserveConnections
 	}
 	for !waitFor() {
-		v.n.near.viewersDelayed.Add(1)
-		time.Sleep(acceptPause)
+		v.node.nearMisses.viewersDelayed.Add(1)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
 // closeAll ends all connections and takes no further one. Writing halves go first, and what viewers still send is read
 // for a moment: closing with unread bytes resets the connection, and an answer just written could be lost with it.
-func (v *viewers) closeAll() {
+func (v *viewerConns) closeAll() {
 	v.mu.Lock()
-	v.over = true
-	all := make([]*viewer, 0, len(v.all))
-	for c := range v.all {
+	v.closed = true
+	all := make([]*viewerConn, 0, len(v.conns))
+	for c := range v.conns {
 		all = append(all, c)
 	}
 	v.mu.Unlock()
 	for _, c := range all {
-		c.out.finish()
+		c.out.closeAfterFlush()
 	}
-	within(flushTimeout, func() bool { return !slices.ContainsFunc(all, func(c *viewer) bool { return c.out.busy() }) })
-	within(lastReadTimeout, func() bool {
+	pollUntil(flushTimeout, func() bool { return !slices.ContainsFunc(all, func(c *viewerConn) bool { return c.out.isWriting() }) })
+	pollUntil(finalReadTimeout, func() bool {
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		return len(v.all) == 0
+		return len(v.conns) == 0
 	})
 	for _, c := range all {
-		c.close(closedAtNodeEnd)
+		c.close(closedAtShutdown)
 	}
 }
 
 // within waits until something holds, for a time at most.
-func within(most time.Duration, holds func() bool) {
+func pollUntil(most time.Duration, holds func() bool) {
 	for deadline := time.Now().Add(most); time.Now().Before(deadline) && !holds(); {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -19,7 +19,7 @@
 )
 
 // every calls do at once and then at each interval, until ctx ends.
-func every(ctx context.Context, interval time.Duration, do func()) {
+func runEvery(ctx context.Context, interval time.Duration, do func()) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
@@ -33,46 +33,46 @@
 }
 
 // watch holds one connection to each server with sessions: it looks at all servers once. Those that need a connection get one in the order in which they lost their last.
-func (p *pool) watch(ctx context.Context) {
+func (p *pool) checkServers(ctx context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over { // what a server said on a connection that nobody reads would be lost for the next instance
+	if p.closed { // what a server said on a connection that nobody reads would be lost for the next instance
 		return
 	}
-	now := p.n.now()
+	now := p.node.now()
 	var due []*server
-	for _, s := range p.byID {
+	for _, s := range p.servers {
 		p.closeSurplus(s, now)
 		p.expire(s, now)
-		p.releaseHeld(s)
-		if len(s.standing) == 0 && !s.releases.HasWaiting() {
+		p.queueHeldReleases(s)
+		if len(s.activeSessions) == 0 && !s.pendingReleases.HasWaiting() {
 			continue
 		}
-		switch p.verdict(s, now) {
+		switch p.nextVerdict(s, now) {
 		case liveness.Check:
 			due = append(due, s)
 		case liveness.Lost:
-			p.lose(s, "no connection comes up")
+			p.loseSessions(s, "no connection comes up")
 		}
 	}
 	slices.SortFunc(due, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(len(a.links), len(b.links)), cmp.Compare(a.unconnectedSince, b.unconnectedSince), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(len(a.conns), len(b.conns)), cmp.Compare(a.unconnectedSince, b.unconnectedSince), cmp.Compare(a.id, b.id))
 	})
 	for _, s := range due {
-		if p.reserveForCheck(s, now) {
-			p.n.start(func() { p.check(ctx, s) })
+		if p.reserveSlotForCheck(s, now) {
+			p.node.startGoroutine(func() { p.checkServer(ctx, s) })
 			continue
 		}
 		s.detector.DeferCheck()
-		p.n.near.checksDeferred.Add(1)
+		p.node.nearMisses.checksDeferred.Add(1)
 	}
-	p.tidy()
+	p.removeGoneServers()
 }
 
 // verdict asks the failure detector of a server with sessions. One whose connection ended has another opened anyway.
-func (p *pool) verdict(s *server, now time.Duration) liveness.Verdict {
-	verdict := s.detector.Next(now, p.n.Config.Set.LinkNoteInterval, len(s.links), s.state != control.Gone)
-	if verdict == liveness.Wait && s.renewAt > 0 && now >= s.renewAt && s.detector.BeginCheck(now) {
+func (p *pool) nextVerdict(s *server, now time.Duration) liveness.Verdict {
+	verdict := s.detector.Next(now, p.node.Config.Set.LinkNoteInterval, len(s.conns), s.state != control.Gone)
+	if verdict == liveness.Wait && s.reconnectAt > 0 && now >= s.reconnectAt && s.detector.BeginCheck(now) {
 		return liveness.Check
 	}
 	return verdict
@@ -80,12 +80,12 @@
 
 // expire forgets what a server need not be told, and what it told, any more.
 func (p *pool) expire(s *server, now time.Duration) {
-	for _, id := range s.releases.Expire(now) {
-		p.n.near.releasesExpired.Add(1)
-		p.n.Log.Warn("server not told to end a session: no connection came up", "session", id, "server", s.id)
+	for _, id := range s.pendingReleases.Expire(now) {
+		p.node.nearMisses.releasesExpired.Add(1)
+		p.node.Log.Warn("server not told to end a session: no connection came up", "session", id, "server", s.id)
 	}
 	for id, e := range s.earlyEnds {
-		if now-e.at > earlyEndTimeout {
+		if now-e.receivedAt > earlyEndTimeout {
 			delete(s.earlyEnds, id)
 		}
 	}
@@ -94,39 +94,39 @@
 // check tries to connect with the connection reserved for it, a second time beside the first where that does not come
 // up as fast as settings say: one lost handshake, or one that comes late, proves nothing (seen: two late ones in a row,
 // and sessions that played on were released). A connection that comes up is kept.
-func (p *pool) check(ctx context.Context, s *server) {
+func (p *pool) checkServer(ctx context.Context, s *server) {
 	var second sync.WaitGroup
 	defer second.Wait()
 	up := make(chan struct{})
 	second.Go(func() {
-		soon := time.NewTimer(p.n.Config.Platform.ConnectTimeout)
+		soon := time.NewTimer(p.node.Config.Platform.ConnectTimeout)
 		defer soon.Stop()
 		select {
 		case <-up:
 		case <-ctx.Done():
 		case <-soon.C:
-			if p.reserveFree() {
-				p.tryOnce(ctx, s)
+			if p.reserveFreeSlot() {
+				p.dialForCheckOnce(ctx, s)
 			}
 		}
 	})
-	if p.tryOnce(ctx, s) {
+	if p.dialForCheckOnce(ctx, s) {
 		close(up)
 	}
 }
 
 // tryOnce dials on a reserved connection. It tells whether the try has a result already that a second one would not
 // change.
-func (p *pool) tryOnce(ctx context.Context, s *server) bool {
-	l, err := p.dial(ctx, s, checkTimeout, forCheck)
+func (p *pool) dialForCheckOnce(ctx context.Context, s *server) bool {
+	l, err := p.dial(ctx, s, checkTimeout, dialForCheck)
 	if err == nil {
-		p.free(l)
+		p.putBack(l)
 		return true
 	}
-	p.n.Log.Debug("no connection", "server", s.id, "error", err)
-	if errors.Is(err, errNoRoom) || errors.Is(err, errLocal) || errors.Is(err, errMoved) || ctx.Err() != nil {
+	p.node.Log.Debug("no connection", "server", s.id, "error", err)
+	if errors.Is(err, errNoSlot) || errors.Is(err, errLocal) || errors.Is(err, errServerChanged) || ctx.Err() != nil {
 		p.mu.Lock()
-		s.detector.DiscardCheck(p.n.now())
+		s.detector.DiscardCheck(p.node.now())
 		p.mu.Unlock()
 		return true
 	}
--- a/internal/node/withdrawal_test.go
+++ b/internal/node/withdrawal_test.go
@@ -37,8 +37,8 @@
 }
 
 func (r *rig) withdrawn(id string) func() bool {
-	s := r.find(id)
-	return func() bool { return !s.mayBegin() }
+	s := r.findSession(id)
+	return func() bool { return !s.mayBeginAttempt() }
 }
 
 // TestViewerGoneWhileDialling: a viewer that leaves while its server's connection comes up is never sent on, though the
@@ -54,7 +54,11 @@
 			leave(n, v)
 			eventually(t, "the viewer seen to leave", gone)
 			close(g.open)
-			eventually(t, "the attempt over", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return len(n.pool.byID["s-1"].idle) == 1 })
+			eventually(t, "the attempt over", func() bool {
+				n.pool.mu.Lock()
+				defer n.pool.mu.Unlock()
+				return len(n.pool.servers["s-1"].idleConns) == 1
+			})
 			letGo()
 			n.heardNothing(b, idA)
 			n.agree(0)
@@ -121,7 +125,11 @@
 	}
 	gone, letGo := n.withdrawn(idA), n.holdOwner()
 	m.on.say(`{"msg":"close","sid":%q,"code":47}`, idA)
-	eventually(t, "the failure taken", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return len(n.pool.byID[first.id].idle) == 1 })
+	eventually(t, "the failure taken", func() bool {
+		n.pool.mu.Lock()
+		defer n.pool.mu.Unlock()
+		return len(n.pool.servers[first.id].idleConns) == 1
+	})
 	_ = v.Close()
 	eventually(t, "the viewer seen to leave", gone)
 	letGo()
