--- a/internal/edge/adopt.go
+++ b/internal/edge/adopt.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"rainpulley/control"
+	"rainpulley/internal/admission"
 	"rainpulley/internal/bound"
 	"rainpulley/internal/hls"
-	"rainpulley/internal/join"
 	"rainpulley/internal/view"
 )
 
@@ -60,13 +60,13 @@
 		return
 	}
 	k := &e.set.Classes[class]
-	best := min(max(h.Best, k.Floor), k.Top)
+	best := min(max(h.Best, k.MinRung), k.MaxRung)
 	s := e.table.add([]byte(h.Class+"/"+h.Title+"/"+h.Viewer), func(name string) *session {
 		return &session{name: name, key: h.Viewer, class: class, title: title, best: best}
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.state != join.None {
+	if s.state != admission.None {
 		e.Log.Info("held session let go: its viewer has a new one", "session", h.ID, "server", server)
 		e.boxes.Release(h.ID, server, 0)
 		return
@@ -74,7 +74,7 @@
 	y := &try{id: h.ID, s: s, e: e, answered: make(chan struct{}), closed: make(chan struct{})}
 	close(y.answered)
 	now := e.now()
-	s.try, s.tries, s.state, s.since, s.started = y, 1, join.Playing, now, true
+	s.try, s.tries, s.state, s.since, s.started = y, 1, admission.Playing, now, true
 	s.origin = now - bound.Ms(h.Since)
 	s.server, s.source, s.rung, s.want = server, src, h.Rung, h.Rung
 	s.window.Aim("http://"+server, token(y.id), track, 0)
@@ -82,8 +82,8 @@
 	s.seen.Store(int64(now))
 	e.boxes.hold(server, y.id)
 	left := max(bound.Ms(title.Length)-bound.Ms(h.Since), 0)
-	r := control.Request{ID: y.id, Class: class, Viewer: hash(s.key), Title: hash(title.Name), Home: title.Home, Span: title.Span,
-		Best: best, Due: now, Length: left, Server: server}
+	r := control.Request{ID: y.id, Class: class, Viewer: hash(s.key), Title: hash(title.Name), HomeCell: title.Home, CellSpan: title.Span,
+		BestRung: best, GiveUpAt: now, ExpectedLength: left, Server: server}
 	if title.Listed {
 		r.Holders = title.Holders
 	}
--- a/internal/edge/boxes.go
+++ b/internal/edge/boxes.go
@@ -154,12 +154,12 @@
 }
 
 // readLoad takes a box's load from its answer.
-func readLoad(p *http1.Response) *control.Load {
+func readLoad(p *http1.Response) *control.LoadReport {
 	l := cmsd.Parse(p.Get("cmsd-dynamic"))
 	if l == nil {
 		return nil
 	}
-	return &control.Load{Streams: l.Streams, Link: l.Link, Uplink: l.Uplink}
+	return &control.LoadReport{Streams: l.Streams, Link: l.Link, Uplink: l.Uplink}
 }
 
 // name is this instance of the edge, as boxes know it.
@@ -211,11 +211,11 @@
 		ctx, cancel := context.WithTimeout(b.e.ctx, b.e.Site.Planner.CheckFor.D())
 		defer cancel()
 		p, err := b.client.Do(ctx, server, "GET", "/health", nil, nil)
-		out := control.Probed{Server: server}
+		out := control.ProbeResult{Server: server}
 		if err == nil {
 			out.OK, out.Load = p.Status == 200, readLoad(p)
 		}
-		b.e.owner.Event(out)
+		b.e.owner.AddEvent(out)
 	})
 }
 
@@ -348,7 +348,7 @@
 	}
 	b.mu.Unlock()
 	if len(ids) > 0 {
-		b.e.owner.Lost(server, ids)
+		b.e.owner.SessionsLost(server, ids)
 	}
 }
 
@@ -376,7 +376,7 @@
 	case l.End:
 		b.lost(server, f, func(id string, _ time.Duration) bool { return id == l.Session })
 	case l.Kind >= control.NoteShare && l.Kind <= control.NoteUplink && l.Value >= 0:
-		b.e.owner.Note(control.Note{ID: l.Session, Server: server, Kind: l.Kind, Value: l.Value})
+		b.e.owner.AddNote(control.Note{ID: l.Session, Server: server, Kind: l.Kind, Value: l.Value})
 	}
 	return nil
 }
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -14,8 +14,8 @@
 
 	"rainpulley/control"
 	"rainpulley/internal/bound"
-	"rainpulley/internal/lastview"
 	"rainpulley/internal/view"
+	"rainpulley/internal/viewstore"
 )
 
 const (
@@ -87,7 +87,7 @@
 			u.Servers = append(u.Servers, s)
 		}
 	}
-	e.owner.Event(u)
+	e.owner.AddEvent(u)
 	e.Log.Info("view", "version", v.Version, "boxes", len(v.Boxes), "titles", len(v.Titles), "changed", len(l.Boxes), "cached", cached)
 	if !cached {
 		e.keepLast(v)
@@ -143,7 +143,7 @@
 		l, err := b.readView(ctx)
 		if err != nil {
 			b.e.Log.Warn("list not read", "error", err)
-			b.e.owner.Event(control.ListUpdate{Failed: true})
+			b.e.owner.AddEvent(control.ListUpdate{Failed: true})
 			return
 		}
 		u := control.ListUpdate{Whole: true}
@@ -152,7 +152,7 @@
 				u.Servers = append(u.Servers, s)
 			}
 		}
-		b.e.owner.Event(u)
+		b.e.owner.AddEvent(u)
 	})
 }
 
@@ -181,7 +181,7 @@
 	}
 	b, err := json.Marshal(view.Line{Version: v.Version, Whole: true, Boxes: v.Boxes, Titles: v.Titles})
 	if err == nil {
-		err = lastview.Open(e.lastPath()).Write(b, time.Now())
+		err = viewstore.Open(e.lastPath()).Write(b, time.Now())
 	}
 	if err != nil {
 		e.Log.Error("last view not kept", "file", e.lastPath(), "error", err)
@@ -194,7 +194,7 @@
 	if e.State == "" {
 		return
 	}
-	last, err := lastview.Open(e.lastPath()).Read()
+	last, err := viewstore.Open(e.lastPath()).Read()
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
@@ -212,7 +212,7 @@
 		e.Log.Error("last view not used", "file", last.Path, "error", err)
 		return
 	}
-	e.Log.Info("started from the last view", "file", last.Path, "version", l.Version, "age", time.Since(last.Written).Round(time.Millisecond))
+	e.Log.Info("started from the last view", "file", last.Path, "version", l.Version, "age", time.Since(last.WrittenAt).Round(time.Millisecond))
 	v := view.View{Version: l.Version, Boxes: l.Boxes, Titles: l.Titles}
 	e.take(v, l, true, true)
 	e.reclaim(v)
@@ -220,7 +220,7 @@
 
 // openPeers opens the port for other edges' messages.
 func (e *Edge) openPeers() error {
-	if !e.set.Peers {
+	if !e.set.AllowPeerMessages {
 		return nil
 	}
 	for _, o := range e.Site.Edges {
@@ -281,6 +281,6 @@
 			e.Log.Debug("datagram dropped", "from", from.String(), "bytes", n)
 			continue
 		}
-		e.owner.Event(control.PeerMessage{From: who, Data: text[len(peerMark):]})
+		e.owner.AddEvent(control.PeerMessage{From: who, Data: text[len(peerMark):]})
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -58,7 +58,7 @@
 		Settings json.RawMessage
 	}
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return nil, place(raw, err)
+		return nil, withPosition(raw, err)
 	}
 	c := &Config{Name: f.Name, Listen: f.Listen, Coordinator: f.Coordinator, Cores: f.Limits.Cores,
 		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: f.Known}
@@ -79,7 +79,7 @@
 	if len(f.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Set, err = wire.Settings(f.Settings); err != nil {
+	if c.Set, err = wire.ParseSettings(f.Settings); err != nil {
 		return nil, err
 	}
 	if c.Platform, err = wire.ReadPlatform(f.Settings); err != nil {
@@ -98,7 +98,7 @@
 }
 
 // place names the line and field of a mistake.
-func place(raw []byte, err error) error {
+func withPosition(raw []byte, err error) error {
 	at := int64(-1)
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
@@ -121,14 +121,14 @@
 }
 
 // errNoEntryUsable tells a list of which nothing can be used: the one before it stays.
-var errNoEntryUsable = errors.New("no entry of the list can be used")
+var errNoUsableEntry = errors.New("no entry of the list can be used")
 
 // servers translates an update's entries. One that names an unknown zone, kind or state, or no id or address, is left
 // out alone: what it says of its server is not known, and the others' drains must not wait for it.
-func (c *Config) servers(entries []coordinator.Entry) (usable []control.Server, unusable []error) {
+func (c *Config) parseServers(entries []coordinator.Entry) (usable []control.Server, unusable []error) {
 	usable = make([]control.Server, 0, len(entries))
 	for i, e := range entries {
-		s, err := c.server(e)
+		s, err := c.parseServer(e)
 		if err != nil {
 			unusable = append(unusable, fmt.Errorf("servers[%d]: %w", i, err))
 			continue
@@ -139,13 +139,13 @@
 }
 
 // server translates one entry.
-func (c *Config) server(e coordinator.Entry) (control.Server, error) {
-	states := map[string]control.State{"up": control.Ready, "draining": control.Draining, "removed": control.Gone}
+func (c *Config) parseServer(e coordinator.Entry) (control.Server, error) {
+	states := map[string]control.ServerState{"up": control.Ready, "draining": control.Draining, "removed": control.Gone}
 	state, known := states[e.State]
 	if e.ID == "" || !known {
 		return control.Server{}, fmt.Errorf("id %q, state %q", e.ID, e.State)
 	}
-	s := control.Server{ID: e.ID, State: state, Cell: e.Cell, Weight: e.Weight, Started: bound.Moment(e.Started),
+	s := control.Server{ID: e.ID, State: state, Cell: e.Cell, Weight: e.Weight, Started: bound.Moment(e.StartedMillis),
 		Zone: slices.Index(c.Platform.Zones, e.Zone), Kind: slices.Index(c.Platform.Kinds, e.Kind)}
 	if _, _, err := net.SplitHostPort(e.Addr); state != control.Gone && (err != nil || s.Zone < 0 || s.Kind < 0) {
 		return control.Server{}, fmt.Errorf("%s: address %q, zone %q, kind %q", e.ID, e.Addr, e.Zone, e.Kind)
