--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,5 +1,6 @@
-// Package coordinator follows the numbered updates of the platform's coordinator by long poll: GET
-// /v2/stream?follow=N&wait_ms=MS, N being the last event held. It decides nothing.
+// Package coordinator follows the numbered events of the platform's coordinator by long polling: GET
+// /v2/stream?follow=N&wait_ms=MS, where N is the number of the last event applied. The package contains no decision
+// logic.
 package coordinator
 
 import (
@@ -17,7 +18,7 @@
 	"rainpulley/internal/http1"
 )
 
-// Entry is one server of an update.
+// Entry is one server in an update.
 type Entry struct {
 	ID            string  `json:"id"`
 	Addr          string  `json:"addr"`
@@ -26,193 +27,200 @@
 	Cell          int     `json:"cell"`
 	State         string  `json:"state"`
 	Weight        float64 `json:"weight"`
-	StartedMillis int64   `json:"started_ms"` // Unix milliseconds; 0: not told
+	StartedMillis int64   `json:"started_ms"` // Unix milliseconds; 0 if not reported
 }
 
-// Endpoints is a whole list, or what changed of it.
+// Endpoints is either a full server list or the entries that changed since the event before.
 type Endpoints struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
 }
 
-// Update is one event; keys that are not known are skipped.
+// Update is one event. Unknown keys are ignored.
 type Update struct {
 	Endpoints *Endpoints `json:"endpoints"`
 }
 
-// Updates are events up to number Index.
+// Updates is a sequence of events that ends with the event number Index.
 type Updates struct {
 	Index   int64    `json:"index"`
 	Updates []Update `json:"updates"`
 }
 
 const (
-	pollWait      = time.Second            // asked for; short, so that a coordinator gone silent is asked again soon
-	pollGrace     = 400 * time.Millisecond // beyond it a poll is given up
+	pollWait      = time.Second            // short, so that an unresponsive coordinator is polled again soon
+	pollGrace     = 400 * time.Millisecond // a poll that takes longer than pollWait+pollGrace is cancelled
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = time.Second
 
-	// maxAnswer bounds an answer in bytes. A list of 1,024 servers has about 200 kB; a history from the first event on, as
-	// it is asked for after a gap, has every change of each of them.
+	// maxResponseBytes limits the size of a response. A list of 1,024 servers takes about 200 kB; the history from the
+	// first event, which is requested after a gap, contains every change of each server.
 	maxResponseBytes = 8 << 20
 )
 
-// Merge folds updates into one: for each server its last entry, in order of first mention; a whole list drops what came
-// before it. Whole tells that what is not named has gone. Folded, a list read anew from its beginning does not bring a
-// drained server back between one update and the next.
-func Merge(updates []Update) (entries []Entry, whole bool) {
-	at := map[string]int{}
+// Merge combines updates into one: the last entry of each server, in the order in which the servers first appear. A
+// full list discards all entries before it; full then reports that servers without an entry are gone. Since a history
+// is merged before it is applied, a drained server does not become available again between two of its updates.
+func Merge(updates []Update) (entries []Entry, full bool) {
+	indexByID := map[string]int{}
 	for _, u := range updates {
 		if u.Endpoints == nil {
 			continue
 		}
 		if u.Endpoints.Full {
-			entries, whole = nil, true
-			clear(at)
+			entries, full = nil, true
+			clear(indexByID)
 		}
 		for _, e := range u.Endpoints.Servers {
-			if i, ok := at[e.ID]; ok {
+			if i, ok := indexByID[e.ID]; ok {
 				entries[i] = e
 				continue
 			}
-			at[e.ID] = len(entries)
+			indexByID[e.ID] = len(entries)
 			entries = append(entries, e)
 		}
 	}
-	return entries, whole
+	return entries, full
 }
 
 // Follower follows a coordinator whose address may change.
 type Follower struct {
-	Apply      func([]Update) error // in their order, each once; an error leaves them to be read again
-	OnResponse func()               // if set, called behind each answer that was taken, an empty one too
+	Apply      func([]Update) error // called with new events, in order, each once; after an error they are read again
+	OnResponse func()               // if set, called after each response without an error, also an empty one
 	Log        *slog.Logger
 	client     http1.Client
 
-	mu           sync.Mutex // held while updates are taken: none of an address comes after a move away from it
+	mu           sync.Mutex // held while Apply runs: no event of an old address is applied after SwitchAddress
 	addr         string
-	lastIndex    int64              // number of the last event taken
-	missedEvents bool               // events were left out: all are asked for
-	cancelPoll   context.CancelFunc // of the poll under way
+	lastIndex    int64              // number of the last event applied
+	missedEvents bool               // a response left out events: the next poll requests all of them
+	cancelPoll   context.CancelFunc // cancels the poll in progress
 }
 
-// New returns a follower that holds the events up to a number. Connect bounds how long a connection may take to come up.
-func New(addr string, lastIndex int64, connectTimeout time.Duration, log *slog.Logger, apply func([]Update) error) *Follower {
+// New returns a follower that continues after the event number lastIndex. connectTimeout limits how long connecting to
+// the coordinator may take.
+func New(addr string, lastIndex int64, connectTimeout time.Duration, log *slog.Logger,
+	apply func([]Update) error) *Follower {
 	limits := http1.DefaultLimits()
 	limits.Body = maxResponseBytes
 	limits.HeadFor, limits.BodyFor, limits.IdleFor = pollWait+pollGrace, pollWait+pollGrace, pollWait+pollGrace
-	return &Follower{Apply: apply, Log: log, addr: addr, lastIndex: lastIndex, client: http1.Client{Limits: limits, Connect: connectTimeout}}
+	return &Follower{Apply: apply, Log: log, addr: addr, lastIndex: lastIndex,
+		client: http1.Client{Limits: limits, Connect: connectTimeout}}
 }
 
-// Move follows another address from now on, with the numbering as it stands. Known are events that whoever told the
-// address told with it; what is new in them is taken at once.
+// SwitchAddress follows the coordinator at another address from now on and keeps the event numbers. known are events
+// that were delivered together with the address; those of them that are new are applied immediately.
 func (f *Follower) SwitchAddress(addr string, known Updates) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.switchAddressLocked(addr, known)
 }
 
+// switchAddressLocked is SwitchAddress for a caller that holds f.mu.
 func (f *Follower) switchAddressLocked(addr string, known Updates) {
 	if f.addr = addr; f.cancelPoll != nil {
 		f.cancelPoll()
 	}
 	if err := f.applyNew(known); err != nil {
-		f.Log.Warn("events told with a new address not taken", "held", f.lastIndex, "error", err)
+		f.Log.Warn("events received with a new coordinator address not applied", "held", f.lastIndex, "error", err)
 	}
 }
 
-// Run follows until ctx ends. What cannot be read changes nothing and is asked for anew.
+// Run follows the coordinator until ctx ends. A response that cannot be read has no effect and is requested again.
 func (f *Follower) Run(ctx context.Context) {
-	pause := minRetryDelay
+	delay := minRetryDelay
 	for ctx.Err() == nil {
-		asked := time.Now()
-		fresh, moved, err := f.poll(ctx)
+		started := time.Now()
+		progress, switched, err := f.poll(ctx)
 		switch {
-		case err == nil && (fresh || time.Since(asked) >= pollWait/2):
-			pause = minRetryDelay
+		case err == nil && (progress || time.Since(started) >= pollWait/2):
+			delay = minRetryDelay
 			continue
 		case ctx.Err() != nil:
 			return
-		case moved:
+		case switched:
 			continue
 		}
-		f.Log.Debug("coordinator not heard", "error", err)
-		if !errors.Is(err, errPollTimeout) { // a silent one has been waited for already
+		f.Log.Debug("polling the coordinator failed", "error", err)
+		if !errors.Is(err, errPollTimeout) { // the time-out of the poll was delay enough
 			select {
 			case <-ctx.Done():
-			case <-time.After(pause/2 + rand.N(pause)):
+			case <-time.After(delay/2 + rand.N(delay)):
 			}
-			pause = min(2*pause, maxRetryDelay)
+			delay = min(2*delay, maxRetryDelay)
 		}
 	}
 }
 
 var (
-	errPollTimeout       = errors.New("coordinator: silent")
-	errIncompleteHistory = errors.New("coordinator: events left out")
+	errPollTimeout       = errors.New("coordinator: poll timed out")
+	errIncompleteHistory = errors.New("coordinator: the requested history is incomplete")
 )
 
-// poll asks once; fresh tells that something new was taken, moved that the address changed meanwhile.
-func (f *Follower) poll(ctx context.Context) (fresh, moved bool, err error) {
+// poll polls once. progress reports that new events were applied or a history was requested; switched reports that the
+// address changed during the poll.
+func (f *Follower) poll(ctx context.Context) (progress, switched bool, err error) {
 	f.mu.Lock()
-	addr, from, all := f.addr, f.lastIndex, f.missedEvents
-	if all {
+	addr, from, fromStart := f.addr, f.lastIndex, f.missedEvents
+	if fromStart {
 		from = 0
 	}
-	inner, cancel := context.WithTimeoutCause(ctx, pollWait+pollGrace, errPollTimeout)
+	pollCtx, cancel := context.WithTimeoutCause(ctx, pollWait+pollGrace, errPollTimeout)
 	f.cancelPoll = cancel
 	f.mu.Unlock()
 	defer cancel()
-	p, err := f.client.Do(inner, addr, "GET", "/v2/stream?follow="+strconv.FormatInt(from, 10)+"&wait_ms="+
+	response, err := f.client.Do(pollCtx, addr, "GET", "/v2/stream?follow="+strconv.FormatInt(from, 10)+"&wait_ms="+
 		strconv.FormatInt(pollWait.Milliseconds(), 10), nil, nil)
-	var u Updates
+	var updates Updates
 	switch {
 	case err != nil:
-	case p.Status != 200:
-		err = fmt.Errorf("coordinator: answered %d", p.Status)
+	case response.Status != 200:
+		err = fmt.Errorf("coordinator: response status %d", response.Status)
 	default:
-		if err = json.Unmarshal(p.Body, &u); err != nil {
-			err = fmt.Errorf("coordinator: %w", err)
+		if err = json.Unmarshal(response.Body, &updates); err != nil {
+			err = fmt.Errorf("coordinator: decoding the response: %w", err)
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.addr != addr { // an answer of the old address that crossed the move
+	if f.addr != addr { // the response is from the old address
 		return false, true, err
 	}
 	if err != nil {
 		return false, false, err
 	}
-	before := f.lastIndex
-	if all {
-		err = f.applyHistory(u)
+	previous := f.lastIndex
+	if fromStart {
+		err = f.applyHistory(updates)
 	} else {
-		err = f.applyNew(u)
+		err = f.applyNew(updates)
 	}
 	if err == nil && f.OnResponse != nil {
 		f.OnResponse()
 	}
-	return all || f.lastIndex > before, false, err
+	return fromStart || f.lastIndex > previous, false, err
 }
 
-// take hands on what is new in an answer. An index that goes back is no news: numbers only rise, and an older list
-// would undo drains. Where events were left out, what is there is taken, since a drain may be in it, and then all
-// events are asked for once, from the first.
+// applyNew applies the events of a response that are new. A response with an older index is ignored: event numbers only
+// increase, and an older list would undo drains. If the response leaves out events, the present ones are applied, since
+// they may contain a drain, and all events from the first are then requested once.
 func (f *Follower) applyNew(u Updates) error {
-	fresh := u.Index - f.lastIndex
-	if fresh <= 0 {
+	newCount := u.Index - f.lastIndex
+	if newCount <= 0 {
 		return nil
 	}
-	news := u.Updates[max(int64(len(u.Updates))-fresh, 0):]
-	if err := f.Apply(news); err != nil {
+	events := u.Updates[max(int64(len(u.Updates))-newCount, 0):]
+	if err := f.Apply(events); err != nil {
 		return err
 	}
-	f.lastIndex, f.missedEvents = u.Index, int64(len(news)) < fresh && !slices.ContainsFunc(news, Update.isFullList)
+	f.lastIndex, f.missedEvents = u.Index, int64(len(events)) < newCount &&
+		!slices.ContainsFunc(events, Update.isFullList)
 	return nil
 }
 
-// takeAll hands on all events from the first, after a gap. One that cannot tell them all tells no more than is held.
+// applyHistory applies all events from the first, after a gap. A history without a full list is incomplete and is
+// rejected, and so is one that ends before the last event applied.
 func (f *Follower) applyHistory(u Updates) error {
 	f.missedEvents = false
 	if u.Index < f.lastIndex || !slices.ContainsFunc(u.Updates, Update.isFullList) {
@@ -225,4 +233,5 @@
 	return nil
 }
 
+// isFullList reports whether the update is a full server list.
 func (u Update) isFullList() bool { return u.Endpoints != nil && u.Endpoints.Full }
--- a/internal/coordinator/crossing_test.go
+++ b/internal/coordinator/crossing_test.go
@@ -12,184 +12,195 @@
 	"time"
 )
 
-// follow starts a follower that holds the events up to a number; what it takes comes back, update by update.
-func follow(t *testing.T, addr string, held int64) (f *Follower, took chan string) {
-	took = make(chan string, 100)
-	f = New(addr, held, time.Second, slog.New(slog.DiscardHandler), func(u []Update) error {
-		entries, whole := Merge(u)
-		ids := []string{fmt.Sprintf("whole=%v", whole)}
+// startFollower starts a follower that continues after the event lastIndex. It returns the follower and one text for
+// each call of Apply, which lists the merged entries.
+func startFollower(t *testing.T, addr string, lastIndex int64) (f *Follower, applied chan string) {
+	applied = make(chan string, 100)
+	f = New(addr, lastIndex, time.Second, slog.New(slog.DiscardHandler), func(u []Update) error {
+		entries, full := Merge(u)
+		ids := []string{fmt.Sprintf("full=%v", full)}
 		for _, e := range entries {
 			ids = append(ids, e.ID+":"+e.State)
 		}
-		took <- strings.Join(ids, " ")
+		applied <- strings.Join(ids, " ")
 		return nil
 	})
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() { f.Run(ctx); close(over) }()
-	t.Cleanup(func() { stop(); <-over })
-	return f, took
+	done := make(chan struct{})
+	go func() { f.Run(ctx); close(done) }()
+	t.Cleanup(func() { stop(); <-done })
+	return f, applied
 }
 
-func next[T any](t *testing.T, what string, c <-chan T) (v T) {
+// receive returns the next value of c and fails the test if none arrives in time.
+func receive[T any](t *testing.T, what string, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(10 * time.Second):
-		t.Fatal("never: " + what)
+		t.Fatal("timed out waiting for " + what)
 	}
 	return v
 }
 
-// TestMoveCrossesAnswer: the address moves while an answer of the old one is being read, held within its body. What
-// comes of it after the move is not taken; the new address is asked from the number that is held, and what the old one
-// had told before stays.
-func TestMoveCrossesAnswer(t *testing.T) {
-	half, rest := make(chan struct{}), make(chan struct{})
-	late := list(9, "late")
-	old, polls := scripted(t, answer(list(8, "early")), func(c net.Conn) {
+// TestSwitchAddressDuringResponse changes the address while the body of a response from the old one is being read. That
+// response must not be applied, and the new address must be polled from the last event applied; events that the old
+// address had delivered before remain.
+func TestSwitchAddressDuringResponse(t *testing.T) {
+	halfSent, sendRest := make(chan struct{}), make(chan struct{})
+	late := updatesJSON(9, "late")
+	old, polls := startScriptedServer(t, respondWith(updatesJSON(8, "early")), func(c net.Conn) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(late), late[:20])
-		close(half)
-		<-rest
+		close(halfSent)
+		<-sendRest
 		_, _ = c.Write([]byte(late[20:]))
 	})
-	to, asked := scripted(t, answer(list(9, "new")))
-	f, took := follow(t, old, 7)
-	if got := next(t, "the first answer", took); got != "whole=false early:up" {
+	next, newPolls := startScriptedServer(t, respondWith(updatesJSON(9, "new")))
+	f, applied := startFollower(t, old, 7)
+	if got := receive(t, "the first applied response", applied); got != "full=false early:up" {
 		t.Error(got)
 	}
-	next(t, "first poll", polls)
-	next(t, "half an answer", half)
-	f.SwitchAddress(to, Updates{})
-	close(rest)
-	if got := next(t, "a poll of the new address", asked); !strings.Contains(got, "follow=8&") {
+	receive(t, "the first poll", polls)
+	receive(t, "the first half of a response", halfSent)
+	f.SwitchAddress(next, Updates{})
+	close(sendRest)
+	if got := receive(t, "a poll of the new address", newPolls); !strings.Contains(got, "follow=8&") {
 		t.Error(got)
 	}
-	if got := next(t, "the new address's answer", took); got != "whole=false new:up" {
-		t.Errorf("took %q", got)
+	if got := receive(t, "the response of the new address", applied); got != "full=false new:up" {
+		t.Errorf("applied %q", got)
 	}
 }
 
-// TestMoveCrossesTake: the same with the whole answer read and about to be taken when the address moves: its poll does
-// not look at its context any more.
-func TestMoveCrossesTake(t *testing.T) {
-	let, read := make(chan struct{}), make(chan struct{})
-	old, polls := scripted(t, func(c net.Conn) {
-		<-let
-		answer(list(8, "late"))(c)
-		_, _ = c.Read(make([]byte, 1)) // the follower closes when it has read all
-		close(read)
+// TestSwitchAddressBeforeApply changes the address when a response of the old one has been read completely and is about
+// to be applied. At that point the poll no longer checks its context, so the response must be discarded because
+// of its address.
+func TestSwitchAddressBeforeApply(t *testing.T) {
+	respond, responseRead := make(chan struct{}), make(chan struct{})
+	old, polls := startScriptedServer(t, func(c net.Conn) {
+		<-respond
+		respondWith(updatesJSON(8, "late"))(c)
+		_, _ = c.Read(make([]byte, 1)) // the follower closes the connection after reading the response
+		close(responseRead)
 	})
-	to, _ := scripted(t, answer(list(8, "new")))
-	f, took := follow(t, old, 7)
-	next(t, "a poll", polls)
-	f.mu.Lock() // whoever takes waits
-	close(let)
-	next(t, "the answer read", read)
-	f.switchAddressLocked(to, Updates{})
+	next, _ := startScriptedServer(t, respondWith(updatesJSON(8, "new")))
+	f, applied := startFollower(t, old, 7)
+	receive(t, "a poll", polls)
+	f.mu.Lock() // delays the poll before it applies the response
+	close(respond)
+	receive(t, "the response to be read", responseRead)
+	f.switchAddressLocked(next, Updates{})
 	f.mu.Unlock()
-	if got := next(t, "an answer taken", took); got != "whole=false new:up" {
-		t.Errorf("took %q of the address that was left", got)
+	if got := receive(t, "an applied response", applied); got != "full=false new:up" {
+		t.Errorf("applied %q, want the response of the new address", got)
 	}
 }
 
-// TestMoveTellsEvents: what whoever told the new address knows is taken at once, and only what is new in it.
-func TestMoveTellsEvents(t *testing.T) {
-	hold := make(chan struct{})
-	old, polls := scripted(t, func(net.Conn) { <-hold })
-	to, asked := scripted(t)
-	defer close(hold)
-	f, took := follow(t, old, 7)
-	next(t, "a poll", polls)
+// TestSwitchAddressAppliesKnownEvents checks that events delivered with a new address are applied at once, and only the
+// new ones among them.
+func TestSwitchAddressAppliesKnownEvents(t *testing.T) {
+	release := make(chan struct{})
+	old, polls := startScriptedServer(t, func(net.Conn) { <-release })
+	next, newPolls := startScriptedServer(t)
+	defer close(release)
+	f, applied := startFollower(t, old, 7)
+	receive(t, "a poll", polls)
 	update := func(id, state string) Update {
 		return Update{Endpoints: &Endpoints{Servers: []Entry{{ID: id, State: state}}}}
 	}
-	f.SwitchAddress(to, Updates{Index: 8, Updates: []Update{update("a", "up"), update("a", "draining")}})
-	if got := next(t, "what was told", took); got != "whole=false a:draining" {
+	f.SwitchAddress(next, Updates{Index: 8, Updates: []Update{update("a", "up"), update("a", "draining")}})
+	if got := receive(t, "the events delivered with the address", applied); got != "full=false a:draining" {
 		t.Error(got)
 	}
-	if got := next(t, "a poll of the new address", asked); !strings.Contains(got, "follow=8&") {
+	if got := receive(t, "a poll of the new address", newPolls); !strings.Contains(got, "follow=8&") {
 		t.Error(got)
 	}
-	f.SwitchAddress(to, Updates{Index: 6, Updates: []Update{update("a", "up")}}) // older than what is held: it would undo a drain
+	// Older than the last event applied: it would undo a drain.
+	f.SwitchAddress(next, Updates{Index: 6, Updates: []Update{update("a", "up")}})
 	select {
-	case got := <-took:
-		t.Errorf("took %q", got)
+	case got := <-applied:
+		t.Errorf("applied %q", got)
 	default:
 	}
 }
 
-// TestGap: what an answer leaves out is asked for from the first event, once; what it has is taken meanwhile, since a
-// drain may be in it, and nothing that was drained comes back in between.
+// TestGap checks that, after a response that leaves out events, all events from the first are requested once. The
+// events present in the response are applied immediately, since they may contain a drain, and no drained server becomes
+// available in between.
 func TestGap(t *testing.T) {
-	all := `{"index":9,"updates":[{"endpoints":{"full":true,"servers":[{"id":"a","state":"up"},{"id":"b","state":"up"}]}},` +
+	history := `{"index":9,"updates":[{"endpoints":{"full":true,"servers":[{"id":"a","state":"up"},{"id":"b","state":"up"}]}},` +
 		`{"endpoints":{"servers":[{"id":"b","state":"draining"}]}},{"endpoints":{"servers":[{"id":"a","state":"removed"}]}}]}`
-	addr, polls := scripted(t, answer(`{"index":9,"updates":[{"endpoints":{"servers":[{"id":"a","state":"removed"}]}}]}`), answer(all),
-		answer(`{"index":12,"updates":[{"endpoints":{"servers":[{"id":"c","state":"up"}]}}]}`), answer(`{"index":12,"updates":[]}`), answer(list(13, "d")))
-	_, took := follow(t, addr, 7)
-	var got, asked []string
+	addr, polls := startScriptedServer(t,
+		respondWith(`{"index":9,"updates":[{"endpoints":{"servers":[{"id":"a","state":"removed"}]}}]}`),
+		respondWith(history),
+		respondWith(`{"index":12,"updates":[{"endpoints":{"servers":[{"id":"c","state":"up"}]}}]}`),
+		respondWith(`{"index":12,"updates":[]}`), respondWith(updatesJSON(13, "d")))
+	_, applied := startFollower(t, addr, 7)
+	var got, requested []string
 	for range 4 {
-		got = append(got, next(t, "an answer taken", took))
+		got = append(got, receive(t, "an applied response", applied))
 	}
 	for range 5 {
-		target := next(t, "a poll", polls)
-		asked = append(asked, target[strings.Index(target, "follow="):strings.Index(target, "&")])
+		target := receive(t, "a poll", polls)
+		requested = append(requested, target[strings.Index(target, "follow="):strings.Index(target, "&")])
 	}
-	want := []string{"whole=false a:removed", "whole=true a:removed b:draining", "whole=false c:up", "whole=false d:up"}
+	want := []string{"full=false a:removed", "full=true a:removed b:draining", "full=false c:up", "full=false d:up"}
 	if !slices.Equal(got, want) {
-		t.Errorf("took %q", got)
+		t.Errorf("applied %q", got)
 	}
-	if want := []string{"follow=7", "follow=0", "follow=9", "follow=0", "follow=12"}; !slices.Equal(asked, want) {
-		t.Errorf("asked %q", asked)
+	if want := []string{"follow=7", "follow=0", "follow=9", "follow=0", "follow=12"}; !slices.Equal(requested, want) {
+		t.Errorf("requested %q", requested)
 	}
 }
 
-// TestSilence: a poll that falls silent before its head, within it, within its body, or late after long health is given
-// up in bounded time, and the next one resumes at what is held.
-func TestSilence(t *testing.T) {
-	hold := make(chan struct{})
-	defer close(hold)
-	part := func(text string) func(net.Conn) {
-		return func(c net.Conn) { _, _ = c.Write([]byte(text)); go func() { <-hold; _ = c.Close() }() }
-	}
-	body := list(8, "a")
+// TestStalledResponse checks that a poll whose response stalls before its head, within its head or within its body is
+// cancelled in bounded time, and that the next poll resumes after the last event applied.
+func TestStalledResponse(t *testing.T) {
+	release := make(chan struct{})
+	defer close(release)
+	sendAndStall := func(text string) func(net.Conn) {
+		return func(c net.Conn) { _, _ = c.Write([]byte(text)); go func() { <-release; _ = c.Close() }() }
+	}
+	body := updatesJSON(8, "a")
 	for name, text := range map[string]string{
 		"before the head": "", "within the head": "HTTP/1.1 200 OK\r\nContent-Le",
-		"within the body":   fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)-5]),
-		"at an event's end": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)-2]),
+		"within the body":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)-5]),
+		"after the events": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)-2]),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, polls := silentAfter(t, []func(net.Conn){answer(list(8, "before"))}, part(text), answer(list(9, "after")))
-			_, took := follow(t, addr, 7)
-			if got := next(t, "health", took); got != "whole=false before:up" {
+			addr, polls := startStallingServer(t, []func(net.Conn){respondWith(updatesJSON(8, "before"))},
+				sendAndStall(text), respondWith(updatesJSON(9, "after")))
+			_, applied := startFollower(t, addr, 7)
+			if got := receive(t, "the first applied response", applied); got != "full=false before:up" {
 				t.Error(got)
 			}
-			next(t, "first poll", polls)
-			next(t, "the silent poll", polls)
-			began := time.Now()
-			if got := next(t, "an answer after the silence", took); got != "whole=false after:up" {
+			receive(t, "the first poll", polls)
+			receive(t, "the poll that stalls", polls)
+			started := time.Now()
+			if got := receive(t, "an applied response after the stall", applied); got != "full=false after:up" {
 				t.Error(got)
 			}
-			if d := time.Since(began); d > pollWait+pollGrace+time.Second {
-				t.Errorf("given up after %v", d)
+			if d := time.Since(started); d > pollWait+pollGrace+time.Second {
+				t.Errorf("stalled poll cancelled after %v", d)
 			}
-			if got := next(t, "third poll", polls); !strings.Contains(got, "follow=8&") {
+			if got := receive(t, "the third poll", polls); !strings.Contains(got, "follow=8&") {
 				t.Error(got)
 			}
 		})
 	}
 }
 
-// silentAfter is scripted, but the connection of its one silent answer stays open.
-func silentAfter(t *testing.T, before []func(net.Conn), silent func(net.Conn), after ...func(net.Conn)) (addr string, polls chan string) {
+// startStallingServer is like startScriptedServer, but keeps the connection of the stalling poll open.
+func startStallingServer(t *testing.T, before []func(net.Conn), stalling func(net.Conn),
+	after ...func(net.Conn)) (addr string, polls chan string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	polls = make(chan string, 100)
 	go func() {
-		script := slices.Concat(before, []func(net.Conn){silent}, after)
+		script := slices.Concat(before, []func(net.Conn){stalling}, after)
 		for i := 0; ; i++ {
 			c, err := l.Accept()
 			if err != nil {
@@ -211,7 +222,8 @@
 	return l.Addr().String(), polls
 }
 
-// TestLargeHistory: a history of 1,024 servers with several changes each, as it is told after a gap, is taken.
+// TestLargeHistory checks that a history of 1,024 servers with eight changes each, as requested after a gap, is within
+// the size limit and is applied.
 func TestLargeHistory(t *testing.T) {
 	const servers, changes = 1024, 8
 	u := Updates{Index: changes}
@@ -228,11 +240,11 @@
 		t.Fatal(err)
 	}
 	if len(history) < 1<<20 {
-		t.Fatalf("a history of %d bytes shows nothing", len(history))
+		t.Fatalf("a history of %d bytes is too small for this test", len(history))
 	}
-	at, _ := scripted(t, answer(string(history)))
-	_, took := follow(t, at, 0)
-	if got := next(t, "the history", took); strings.Count(got, ":up") != servers {
-		t.Errorf("%d servers", strings.Count(got, ":up"))
+	addr, _ := startScriptedServer(t, respondWith(string(history)))
+	_, applied := startFollower(t, addr, 0)
+	if got := receive(t, "the history", applied); strings.Count(got, ":up") != servers {
+		t.Errorf("applied %d servers", strings.Count(got, ":up"))
 	}
 }
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -1,63 +1,69 @@
-// Package liveness detects servers that no longer run their sessions. A machine that vanished gives no sign:
-// connections to it stay open and silent. Probes may be forbidden; what tells then are notes that are due and stay out,
-// and whether a plain connection comes up. The package has no clock and no I/O.
+// Package liveness detects servers that no longer run their sessions. A machine that disappears from the network does
+// not close its connections; they stay open without traffic. Probes may be forbidden, so the detector relies on overdue
+// notes and on whether a plain TCP connection can be established. The package has no clock and does no I/O.
 package liveness
 
 import "time"
 
-// DialResult is what came of trying to connect.
+// DialResult is the outcome of an attempt to connect to a server.
 type DialResult int
 
-// Results of a try to connect.
+// Outcomes of an attempt to connect.
 const (
-	Connected  DialResult = iota // its machine answers: a process that hangs may go on
-	Refused                      // its machine answers, no process listens
-	NoResponse                   // nobody answered in the settings' time
+	Connected  DialResult = iota // the machine accepts connections; a process that hangs may recover
+	Refused                      // the machine is up, but no process listens on the port
+	NoResponse                   // the machine did not respond within the configured time
 )
 
-// Verdict is what a detector asks for.
+// Verdict is the detector's decision about a server.
 type Verdict int
 
-// Verdicts.
+// Decisions of a detector.
 const (
-	Wait  Verdict = iota
-	Check         // try to connect, and tell what came of it
-	Lost          // its sessions are over
+	Wait  Verdict = iota // nothing to do
+	Check                // try to connect, then call RecordCheck with the result
+	Lost                 // the server's sessions have ended
 )
 
-// What a detector waits for. A link note is due each period, and a check costs little: it need not be long overdue.
+// Limits of the detector. A link note is due in each period, and a check is cheap, so a note need not be long overdue
+// before the server is checked.
 const (
-	overdueFactor       = 1.2
-	minSilence          = time.Second
-	silenceWithoutNotes = 4 * time.Second        // where no notes come silence says little: checked in time for releases, due in 8 s
-	retryInterval       = 400 * time.Millisecond // between tries while one has failed
-	maxFailedChecks     = 2                      // in a row: one lost handshake proves nothing
+	overdueFactor = 1.2         // a note is overdue after this many periods
+	minSilence    = time.Second // a server is never checked for silence sooner than this
+
+	// silenceWithoutNotes replaces the overdue time of a note if the server sends none. Silence then says little, but a
+	// lost server must be found in time for the releases of its sessions, which are due within 8 s.
+	silenceWithoutNotes = 4 * time.Second
+
+	retryInterval   = 400 * time.Millisecond // between checks while the last one has failed
+	maxFailedChecks = 2                      // in a row; a single lost handshake does not prove a failure
 )
 
-// Detector watches one server.
+// Detector decides whether one server is still alive.
 type Detector struct {
 	lastHeartbeat time.Duration
 	lastChecked   time.Duration
-	failedChecks  int // tries in a row
+	failedChecks  int // in a row
 	lost          bool
 	checking      bool
-	suspected     bool // a set-up went unanswered since the last heartbeat
+	suspected     bool // a set-up timed out, or its dial got no response, since the last sign of life
 }
 
-// New returns a detector for a server that is taken to be alive now.
+// New returns a detector for a server that is assumed to be alive now.
 func New(now time.Duration) Detector { return Detector{lastHeartbeat: now, lastChecked: now} }
 
-// Heartbeat says that something came from the server.
+// RecordHeartbeat records that a message arrived from the server.
 func (d *Detector) RecordHeartbeat(now time.Duration) {
 	d.lastHeartbeat, d.failedChecks, d.lost, d.suspected = now, 0, false, false
 }
 
-// RequestTimedOut says that a set-up's time ran out: the server is checked without waiting for its notes. A slow one
-// comes to no harm by it.
+// RecordSetupTimeout records that a set-up timed out. The server is then checked without waiting for an overdue note. A
+// server that is merely slow accepts the connection of the check and is kept.
 func (d *Detector) RecordSetupTimeout() { d.suspected = true }
 
-// Next tells what to do about a server with sessions whose notes come each period. Open is the number of connections
-// to it; listed tells that the list still has it: one that was removed is checked without waiting for its notes.
+// Next returns what to do about a server that has sessions and sends a note each period; a period of 0 means that it
+// sends none. openConns is the number of open connections to the server. listed reports whether the server list still
+// contains it: a removed server is checked without waiting for its notes.
 func (d *Detector) Next(now, period time.Duration, openConns int, listed bool) Verdict {
 	silence := max(time.Duration(overdueFactor*float64(period)), minSilence)
 	if period <= 0 {
@@ -79,7 +85,8 @@
 	return Check
 }
 
-// BeginCheck has a check made for the caller's reasons, unless one is under way or has failed a moment ago.
+// BeginCheck starts a check that the caller wants for reasons of its own. It returns false, and starts none, while a
+// check is in progress and for retryInterval after one has failed.
 func (d *Detector) BeginCheck(now time.Duration) bool {
 	if d.checking || now-d.lastChecked < retryInterval && d.failedChecks > 0 {
 		return false
@@ -88,18 +95,19 @@
 	return true
 }
 
-// Checking tells that a check is under way.
+// CheckInProgress reports whether a check is in progress.
 func (d *Detector) CheckInProgress() bool { return d.checking }
 
-// Inconclusive says that a check came to nothing for reasons that are not the server's.
+// DiscardCheck ends a check that failed for local reasons and therefore says nothing about the server.
 func (d *Detector) DiscardCheck(now time.Duration) { d.lastChecked, d.checking = now, false }
 
-// Deferred says that a check could not begin: it is asked for again by the next call of Next.
+// DeferCheck ends a check that could not be started. The next call of Next asks for it again.
 func (d *Detector) DeferCheck() { d.checking = false }
 
-// Dialed says what came of a set-up's own try to connect. It is given less time than a check: that it did not come up
-// has the server checked, and proves nothing (seen: two late ones beside a check, and sessions that played on were
-// released). Refused while connections are open may only mean that the server takes no more of them: the notes will tell.
+// RecordDial records the result of a connection opened for a set-up. It has a shorter time-out than a check, so
+// NoResponse only causes a check and is not counted as a failed one: when it was counted, two slow connections next to
+// a check released sessions that were still playing. Refused while connections are open may only mean that the server
+// accepts no more of them; whether notes keep arriving decides.
 func (d *Detector) RecordDial(now time.Duration, result DialResult, openConns int) {
 	switch {
 	case result == Connected:
@@ -111,9 +119,9 @@
 	}
 }
 
-// Checked says what came of a check. Refused while connections are open may also mean that the process ended and left
-// them open and silent (seen: eight seconds until they were reset, sessions over meanwhile), which a further check in
-// the silence tells.
+// RecordCheck records the result of a check. Refused while connections are open may also mean that the process ended
+// and its connections were not reset yet, which once took eight seconds during which the sessions were already over. A
+// second failed check without a heartbeat in between tells the two cases apart.
 func (d *Detector) RecordCheck(now time.Duration, result DialResult, openConns int) {
 	d.lastChecked, d.checking = now, false
 	if result == Connected {
--- a/internal/liveness/detector_test.go
+++ b/internal/liveness/detector_test.go
@@ -5,93 +5,102 @@
 	"time"
 )
 
-// TestDetector plays courses of events a tenth of a second at a time: who is found lost, and when.
+// TestDetector simulates courses of events in steps of 100 ms and checks which servers are found lost, and when.
 func TestDetector(t *testing.T) {
 	const every = 2 * time.Second
 	for _, c := range []struct {
-		name       string
-		heard      func(at time.Duration) bool
-		dial       func(at time.Duration) DialResult
-		open       func(at time.Duration) int
-		gone       bool
-		unanswered bool
-		other      DialResult // what set-ups' own connections come to, all the time
-		lost       bool
-		least      time.Duration
-		most       time.Duration
-		checks     int // at least
+		name          string
+		heartbeat     func(at time.Duration) bool
+		dial          func(at time.Duration) DialResult
+		openConns     func(at time.Duration) int
+		removed       bool
+		setupsTimeOut bool
+		setupDial     DialResult // result of each connection opened for a set-up
+		lost          bool
+		minLostAt     time.Duration
+		maxLostAt     time.Duration
+		minChecks     int
 	}{
-		{name: "notes come", heard: func(at time.Duration) bool { return at%every == 0 }, open: one},
-		{name: "quiet but alive", dial: is(Connected), open: one, checks: 3},
-		{name: "vanished", dial: is(NoResponse), open: one, lost: true, least: 2 * time.Second, most: 4 * time.Second, checks: 2},
-		{name: "process died", dial: is(Refused), open: none, lost: true, most: time.Second, checks: 1},
-		{name: "takes no more connections", heard: func(at time.Duration) bool { return at%every == 0 }, other: Refused, open: one},
-		{name: "set-ups' connections come late", heard: func(at time.Duration) bool { return at%every == 0 }, other: NoResponse, dial: is(Connected), open: one, checks: 10},
-		{name: "ended, connections left open", dial: is(Refused), open: one, lost: true, least: 2 * time.Second, most: 4 * time.Second, checks: 2},
-		{name: "removed, connections left open", gone: true, heard: func(at time.Duration) bool { return at == time.Second }, dial: is(Refused), open: one,
-			lost: true, least: time.Second, most: 2 * time.Second, checks: 2},
-		{name: "vanished, set-ups time out", unanswered: true, dial: is(NoResponse), open: one, lost: true, most: time.Second, checks: 2},
-		{name: "slow, set-ups time out", unanswered: true, dial: is(Connected), open: one, checks: 10},
-		{name: "removed, and runs still", gone: true, dial: is(Connected), open: one, checks: 3},
-		{name: "connections reset, machine alive", dial: is(Connected), open: none, checks: 3},
+		{name: "notes arrive", heartbeat: func(at time.Duration) bool { return at%every == 0 }, openConns: oneConn},
+		{name: "sends nothing, accepts connections", dial: always(Connected), openConns: oneConn, minChecks: 3},
+		{name: "machine vanished", dial: always(NoResponse), openConns: oneConn, lost: true,
+			minLostAt: 2 * time.Second, maxLostAt: 4 * time.Second, minChecks: 2},
+		{name: "process ended, connections closed", dial: always(Refused), openConns: noConns,
+			lost: true, maxLostAt: time.Second, minChecks: 1},
+		{name: "refuses more connections, notes arrive",
+			heartbeat: func(at time.Duration) bool { return at%every == 0 }, setupDial: Refused, openConns: oneConn},
+		{name: "connections of set-ups are slow", heartbeat: func(at time.Duration) bool { return at%every == 0 },
+			setupDial: NoResponse, dial: always(Connected), openConns: oneConn, minChecks: 10},
+		{name: "process ended, connections left open", dial: always(Refused), openConns: oneConn, lost: true,
+			minLostAt: 2 * time.Second, maxLostAt: 4 * time.Second, minChecks: 2},
+		{name: "removed, connections left open", removed: true,
+			heartbeat: func(at time.Duration) bool { return at == time.Second }, dial: always(Refused),
+			openConns: oneConn, lost: true, minLostAt: time.Second, maxLostAt: 2 * time.Second, minChecks: 2},
+		{name: "machine vanished, set-ups time out", setupsTimeOut: true, dial: always(NoResponse), openConns: oneConn,
+			lost: true, maxLostAt: time.Second, minChecks: 2},
+		{name: "slow server, set-ups time out", setupsTimeOut: true, dial: always(Connected), openConns: oneConn,
+			minChecks: 10},
+		{name: "removed, still running", removed: true, dial: always(Connected), openConns: oneConn, minChecks: 3},
+		{name: "connections reset, server alive", dial: always(Connected), openConns: noConns, minChecks: 3},
 		{name: "one handshake lost", dial: func(at time.Duration) DialResult {
 			if at < 2600*time.Millisecond {
 				return NoResponse
 			}
 			return Connected
-		}, open: one, checks: 2},
+		}, openConns: oneConn, minChecks: 2},
 	} {
 		detector, checks, lostAt := New(0), 0, time.Duration(-1)
 		for at := time.Duration(0); at < 12*time.Second && lostAt < 0; at += 100 * time.Millisecond {
-			if c.heard != nil && c.heard(at) {
+			if c.heartbeat != nil && c.heartbeat(at) {
 				detector.RecordHeartbeat(at)
 			}
-			if c.unanswered {
+			if c.setupsTimeOut {
 				detector.RecordSetupTimeout()
 			}
-			if c.other != Connected {
-				detector.RecordDial(at, c.other, c.open(at))
+			if c.setupDial != Connected {
+				detector.RecordDial(at, c.setupDial, c.openConns(at))
 			}
-			switch detector.Next(at, every, c.open(at), !c.gone) {
+			switch detector.Next(at, every, c.openConns(at), !c.removed) {
 			case Check:
 				checks++
 				if c.dial == nil {
-					t.Errorf("%s: checked at %v", c.name, at)
+					t.Errorf("%s: unexpected check at %v", c.name, at)
 					break
 				}
-				detector.RecordCheck(at, c.dial(at), c.open(at))
+				detector.RecordCheck(at, c.dial(at), c.openConns(at))
 			case Lost:
 				lostAt = at
 			}
 		}
-		if c.lost != (lostAt >= 0) || lostAt >= 0 && (lostAt < c.least || lostAt > c.most) || checks < c.checks {
+		if c.lost != (lostAt >= 0) || lostAt >= 0 && (lostAt < c.minLostAt || lostAt > c.maxLostAt) ||
+			checks < c.minChecks {
 			t.Errorf("%s: lost at %v after %d checks", c.name, lostAt, checks)
 		}
 	}
 }
 
-func one(time.Duration) int  { return 1 }
-func none(time.Duration) int { return 0 }
-func is(d DialResult) func(time.Duration) DialResult {
+func oneConn(time.Duration) int { return 1 }
+func noConns(time.Duration) int { return 0 }
+func always(d DialResult) func(time.Duration) DialResult {
 	return func(time.Duration) DialResult { return d }
 }
 
-// TestHeardAgain: a server that was lost and speaks again is judged anew.
-func TestHeardAgain(t *testing.T) {
+// TestHeartbeatAfterLost checks that a heartbeat of a server that was lost makes the detector treat it as alive again.
+func TestHeartbeatAfterLost(t *testing.T) {
 	detector := New(0)
 	detector.RecordDial(time.Second, Refused, 0)
 	if detector.Next(time.Second, time.Second, 0, true) != Lost {
-		t.Fatal("not lost")
+		t.Fatal("a refused dial without open connections: server is not lost")
 	}
 	detector.RecordHeartbeat(2 * time.Second)
 	if v := detector.Next(2*time.Second, time.Second, 1, true); v != Wait {
-		t.Errorf("verdict %v after it was heard", v)
+		t.Errorf("verdict %v after a heartbeat, want Wait", v)
 	}
 }
 
-// TestNoNotes: where settings say that no notes come, a server that says nothing is looked at now and then only (seen: a
-// connection a second to each server with sessions), and one that has vanished is still found out in time.
-func TestNoNotes(t *testing.T) {
+// TestWithoutNotes checks a fleet that is configured without notes. A silent server is checked only occasionally; it
+// used to get one connection per second as long as it had sessions. A vanished server is still found in time.
+func TestWithoutNotes(t *testing.T) {
 	for name, dial := range map[string]DialResult{"alive": Connected, "vanished": NoResponse} {
 		detector, checks, lostAt := New(0), 0, time.Duration(-1)
 		for at := time.Duration(0); at < 12*time.Second && lostAt < 0; at += 100 * time.Millisecond {
--- a/internal/rtsp/rtsp.go
+++ b/internal/rtsp/rtsp.go
@@ -1,9 +1,9 @@
-// Package rtsp reads and writes RTSP messages (RFC 2326, sections 4 to 7) as far as a front node needs them:
-// requests and responses in either direction, told apart by their first line, each with a Content-Length.
-// It decides nothing. Every size is bounded.
+// Package rtsp reads and writes RTSP messages (RFC 2326, sections 4 to 7) as far as a front node needs them: requests
+// and responses in either direction, distinguished by their first line, each with a Content-Length. The package
+// contains no decision logic. Every size is bounded.
 //
-// Like package http1 it is stricter than the RFC: bare LF, bare CR, folded lines, white space before a colon and
-// doubtful lengths are refused, since two parsers that read one message differently lose a message between them.
+// Like package http1 it is stricter than the RFC: it rejects bare LF, bare CR, folded lines, white space before a colon
+// and ambiguous lengths, since two parsers that interpret a message differently disagree on where the next one starts.
 package rtsp
 
 import (
@@ -21,7 +21,7 @@
 
 const maxHeaderLines = 32
 
-// Error is a message that cannot be read on; Status is the answer owed (RFC 2326, section 11).
+// Error describes a malformed message. Status is the status code to respond with (RFC 2326, section 11).
 type Error struct {
 	Status int
 	Reason string
@@ -29,6 +29,7 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("rtsp: %s (%d)", e.Reason, e.Status) }
 
+// badRequest returns an error with status 400.
 func badRequest(reason string) error { return &Error{400, reason} }
 
 // Header is one header line.
@@ -42,7 +43,7 @@
 	Body        []byte
 }
 
-// Get is the first value of a header, or "". Names compare without case (RFC 2326, section 4.2).
+// Get returns the first value of a header, or "". Header names are case-insensitive (RFC 2326, section 4.2).
 func (m *Message) Get(name string) string {
 	for i := range m.Headers {
 		if strings.EqualFold(m.Headers[i].Name, name) {
@@ -58,17 +59,17 @@
 	head []byte
 }
 
-// NewReader returns a reader; r's buffer bounds one line.
+// NewReader returns a reader of messages from r. The size of r's buffer limits the length of one line.
 func NewReader(r *bufio.Reader) *Reader { return &Reader{r: r} }
 
-// Wait returns when a message has begun or the stream has ended.
+// WaitForMessage blocks until the first byte of a message is available or the stream has ended.
 func (d *Reader) WaitForMessage() error {
 	_, err := d.r.Peek(1)
 	return err
 }
 
-// Next reads one message. After an error the stream cannot be read on. An *Error says what to answer;
-// io.EOF is a stream that ended between messages.
+// Next reads one message. After an error no further message can be read from the stream. An *Error contains the status
+// to respond with; io.EOF means that the stream ended between two messages.
 func (d *Reader) Next() (*Message, error) {
 	if err := d.readHead(); err != nil {
 		return nil, err
@@ -91,6 +92,7 @@
 	return m, nil
 }
 
+// unexpectedEOF turns io.EOF within a message into io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -98,20 +100,20 @@
 	return err
 }
 
-// readHead reads up to the empty line; the lines are kept with their ends.
+// readHead reads the lines up to the empty line into d.head, including their line endings.
 func (d *Reader) readHead() error {
 	d.head = d.head[:0]
 	for {
 		line, err := d.r.ReadSlice('\n')
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull) || len(d.head)+len(line) > MaxMessage:
-			return &Error{413, "head too large"}
+			return &Error{413, "message head too large"}
 		case err != nil && len(d.head)+len(line) > 0:
 			return unexpectedEOF(err)
 		case err != nil:
 			return err
 		case len(line) < 2 || line[len(line)-2] != '\r':
-			return badRequest("line without CR")
+			return badRequest("line does not end with CRLF")
 		case len(line) == 2 && len(d.head) == 0:
 			continue // empty lines before a message are skipped
 		case len(line) == 2:
@@ -121,7 +123,7 @@
 	}
 }
 
-// parse takes a head apart and returns the body's length.
+// parseHead parses the start line and the headers and returns the length of the body.
 func (m *Message) parseHead(head string) (int, error) {
 	line, rest, _ := strings.Cut(head, "\r\n")
 	if err := m.parseStartLine(line); err != nil {
@@ -133,47 +135,49 @@
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || !isToken(name) || len(m.Headers) >= maxHeaderLines {
-			return 0, badRequest("header line malformed")
+			return 0, badRequest("malformed header line or too many headers")
 		}
 		value = strings.Trim(value, " \t")
 		if strings.ContainsAny(value, "\r\x00") {
-			return 0, badRequest("header value malformed")
+			return 0, badRequest("malformed header value")
 		}
 		if strings.EqualFold(name, "Content-Length") {
 			n, err := strconv.ParseUint(value, 10, 31)
 			if err != nil || length >= 0 || value[0] == '+' {
-				return 0, badRequest("length malformed")
+				return 0, badRequest("malformed or repeated Content-Length")
 			}
 			length = int(n)
 		}
 		m.Headers = append(m.Headers, Header{name, value})
 	}
 	if length < 0 {
-		return 0, badRequest("no length")
+		return 0, badRequest("Content-Length is missing")
 	}
 	return length, nil
 }
 
+// parseStartLine parses a status line or a request line.
 func (m *Message) parseStartLine(line string) error {
 	const version = "RTSP/1.0"
-	if s, ok := strings.CutPrefix(line, version+" "); ok {
-		code, _, _ := strings.Cut(s, " ")
+	if status, ok := strings.CutPrefix(line, version+" "); ok {
+		code, _, _ := strings.Cut(status, " ")
 		n, err := strconv.Atoi(code)
 		if err != nil || len(code) != 3 || n < 100 {
-			return badRequest("status line malformed")
+			return badRequest("malformed status line")
 		}
 		m.Status = n
 		return nil
 	}
-	method, s, _ := strings.Cut(line, " ")
-	uri, v, ok := strings.Cut(s, " ")
-	if !ok || v != version || !isToken(method) || uri == "" || strings.ContainsFunc(uri, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		return badRequest("request line malformed")
+	method, target, _ := strings.Cut(line, " ")
+	uri, protocol, ok := strings.Cut(target, " ")
+	if !ok || protocol != version || !isToken(method) || uri == "" || strings.ContainsFunc(uri, func(c rune) bool { return c <= ' ' || c > '~' }) {
+		return badRequest("malformed request line")
 	}
 	m.Method, m.URI = method, uri
 	return nil
 }
 
+// isToken reports whether s is a token (RFC 2326, section 15.1).
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -184,12 +188,13 @@
 	return s != ""
 }
 
-// reasons are the status codes' phrases (RFC 2326, section 7.1.1).
+// reasonPhrases are the reason phrases of the status codes (RFC 2326, section 7.1.1).
 var reasonPhrases = map[int]string{100: "Continue", 200: "OK", 400: "Bad Request", 408: "Request Time-out", 413: "Request Entity Too Large",
 	453: "Not Enough Bandwidth", 454: "Session Not Found", 500: "Internal Server Error", 501: "Not Implemented",
 	503: "Service Unavailable", 504: "Gateway Time-out"}
 
-// AppendResponse appends a response. Headers are names and values in turn; empty values are left out.
+// AppendResponse appends a response to b. headers holds alternating names and values; headers with an empty value are
+// omitted.
 func AppendResponse(b []byte, status int, headers []string, body []byte) []byte {
 	b = append(b, "RTSP/1.0 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -197,12 +202,13 @@
 	return appendHeadersAndBody(b, headers, body)
 }
 
-// AppendRequest appends a request.
+// AppendRequest appends a request to b; headers as for AppendResponse.
 func AppendRequest(b []byte, method, uri string, headers []string, body []byte) []byte {
 	b = append(append(append(append(b, method...), ' '), uri...), " RTSP/1.0"...)
 	return appendHeadersAndBody(b, headers, body)
 }
 
+// appendHeadersAndBody appends everything that follows the start line.
 func appendHeadersAndBody(b []byte, headers []string, body []byte) []byte {
 	b = append(b, "\r\n"...)
 	for i := 0; i+1 < len(headers); i += 2 {
--- a/internal/rtsp/rtsp_test.go
+++ b/internal/rtsp/rtsp_test.go
@@ -9,26 +9,29 @@
 	"testing"
 )
 
-func reader(s string) *Reader { return NewReader(bufio.NewReaderSize(strings.NewReader(s), 4<<10)) }
+func newTestReader(text string) *Reader {
+	return NewReader(bufio.NewReaderSize(strings.NewReader(text), 4<<10))
+}
 
+// TestRead checks that a request and a response are read from one stream and that the stream then ends with io.EOF.
 func TestRead(t *testing.T) {
 	text := "\r\nSETUP rtsp://media/7f RTSP/1.0\r\nCSeq: 1\r\nsession:  a \r\nContent-Length: 3\r\n\r\na\nb" +
 		"RTSP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n"
-	r := reader(text)
+	r := newTestReader(text)
 	m, err := r.Next()
 	if err != nil || m.Method != "SETUP" || m.URI != "rtsp://media/7f" || m.Get("Session") != "a" || string(m.Body) != "a\nb" {
-		t.Fatalf("%+v, %v", m, err)
+		t.Fatalf("request: got %+v, %v", m, err)
 	}
 	if m, err = r.Next(); err != nil || m.Status != 200 || m.Method != "" {
-		t.Fatalf("%+v, %v", m, err)
+		t.Fatalf("response: got %+v, %v", m, err)
 	}
 	if _, err = r.Next(); err != io.EOF {
 		t.Fatal(err)
 	}
 }
 
-// TestBad: what cannot be read is refused with a status, or is an end that came too early (0).
-func TestBad(t *testing.T) {
+// TestMalformedMessages checks the status for each malformed message; status 0 stands for io.ErrUnexpectedEOF.
+func TestMalformedMessages(t *testing.T) {
 	const start, end = "SETUP rtsp://media/1 RTSP/1.0\r\n", "Content-Length: 0\r\n\r\n"
 	for _, c := range []struct {
 		text   string
@@ -44,29 +47,30 @@
 		{start + strings.Repeat("X: "+strings.Repeat("a", 2000)+"\r\n", 9) + end, 413}, {start + "X: \x00\r\n" + end, 400},
 		{start + "Content-Length: 5\r\n\r\nabc", 0}, {start + "X: ", 0},
 	} {
-		_, err := reader(c.text).Next()
-		var wrong *Error
+		_, err := newTestReader(c.text).Next()
+		var malformed *Error
 		switch {
 		case c.status == 0 && !errors.Is(err, io.ErrUnexpectedEOF):
-			t.Errorf("%.60q: %v", c.text, err)
-		case c.status != 0 && (!errors.As(err, &wrong) || wrong.Status != c.status):
-			t.Errorf("%.60q: %v, want %d", c.text, err, c.status)
+			t.Errorf("%.60q: got error %v, want io.ErrUnexpectedEOF", c.text, err)
+		case c.status != 0 && (!errors.As(err, &malformed) || malformed.Status != c.status):
+			t.Errorf("%.60q: got error %v, want status %d", c.text, err, c.status)
 		}
 	}
 }
 
-// FuzzNext: nothing panics, nothing is larger than the limit, and what was read reads the same once written.
+// FuzzNext checks that no input causes a panic, that no body exceeds the limit, and that a message that was read keeps
+// its content when it is written and read again.
 func FuzzNext(f *testing.F) {
 	f.Add("SETUP rtsp://media/1 RTSP/1.0\r\nCSeq: 1\r\nContent-Length: 1\r\n\r\nx")
 	f.Add("RTSP/1.0 453 No\r\nSession: 1\r\nContent-Length: 0\r\n\r\n")
 	f.Add("SETUP rtsp://media/1 RTSP/1.0\r\nContent-Length: 18446744073709551615\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		m, err := reader(text).Next()
+		m, err := newTestReader(text).Next()
 		if err != nil {
 			return
 		}
 		if len(m.Body) > MaxMessage {
-			t.Fatal("too large")
+			t.Fatal("body exceeds the message limit")
 		}
 		var headers []string
 		for _, h := range m.Headers {
@@ -80,28 +84,28 @@
 		} else {
 			b = AppendResponse(nil, m.Status, headers, m.Body)
 		}
-		again, err := reader(string(b)).Next()
+		again, err := newTestReader(string(b)).Next()
 		if err != nil {
-			var wrong *Error
-			if errors.As(err, &wrong) && wrong.Status == 413 {
-				return // a longer status line than the one read
+			var malformed *Error
+			if errors.As(err, &malformed) && malformed.Status == 413 {
+				return // the status line written is longer than the one that was read
 			}
-			t.Fatalf("%q: %v", b, err)
+			t.Fatalf("reading the written message %q: %v", b, err)
 		}
 		if again.Method != m.Method || again.URI != m.URI || again.Status != m.Status || !reflect.DeepEqual(again.Body, m.Body) {
-			t.Fatalf("%q read as %+v, then %+v", text, m, again)
+			t.Fatalf("%q was read as %+v, then as %+v", text, m, again)
 		}
 	})
 }
 
-// TestSplitAtEveryBoundary: a message that arrives in two pieces is read as it was written, wherever it is split.
+// TestSplitAtEveryBoundary checks that a message that arrives in two pieces is read correctly, wherever it is split.
 func TestSplitAtEveryBoundary(t *testing.T) {
 	const text = "SETUP rtsp://media/7f RTSP/1.0\r\nCSeq: 1\r\nSession: a\r\nContent-Length: 6\r\n\r\na\r\n\r\nb" +
 		"RTSP/1.0 200 OK\r\nCSeq: 2\r\nContent-Length: 0\r\n\r\n"
-	whole := reader(text)
+	unsplit := newTestReader(text)
 	var want [2]*Message
 	for i := range want {
-		m, err := whole.Next()
+		m, err := unsplit.Next()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/socketerror/socketerror.go
+++ b/internal/socketerror/socketerror.go
@@ -1,6 +1,6 @@
-// Package socketerror judges errors of socket calls: what each says of the peer, and whether the call is worth another
-// try. It is the one place where error numbers are looked at. The numbers are those of Linux's manual pages socket(2),
-// connect(2), accept(2), recv(2), send(2) and tcp(7). The package has no clock and no I/O.
+// Package socketerror classifies errors of socket calls: what an error says about the peer, and whether the call is
+// worth repeating. It is the only place that inspects errno values. The values are those in the Linux manual pages
+// socket(2), connect(2), accept(2), recv(2), send(2) and tcp(7). The package has no clock and does no I/O.
 package socketerror
 
 import (
@@ -12,32 +12,32 @@
 	"syscall"
 )
 
-// Verdict is what an error says.
+// Category is the kind of failure that an error stands for.
 type Category int
 
-// Verdicts.
+// Categories of errors.
 const (
-	// Unknown is an error without a verdict: nothing is concluded of the peer, and the connection is not used on.
+	// Unknown is an error that fits no other category. It says nothing about the peer; the connection is not reused.
 	Unknown Category = iota
-	// PeerClosed: the peer ended the connection in order.
+	// PeerClosed means that the peer closed the connection in an orderly way.
 	PeerClosed
-	// PeerReset: the connection is broken for good; whether the peer lives is not known.
+	// PeerReset means that the connection is broken; whether the peer is still alive is not known.
 	PeerReset
-	// PeerRefused: the peer's machine answers, and nobody listens there.
+	// PeerRefused means that the peer's machine is up, but nothing listens on the port.
 	PeerRefused
-	// PeerSilent: nobody answered in time.
+	// PeerUnreachable means that the peer did not respond in time or that its host is unreachable.
 	PeerUnreachable
-	// DeadlineExceeded: this side's own time for a call ran out; nothing is wrong with the connection.
+	// DeadlineExceeded means that a deadline set by this process passed; the connection itself is intact.
 	DeadlineExceeded
-	// ClosedHere: this side closed the connection or gave the call up.
+	// ClosedLocally means that this process closed the connection or cancelled the call.
 	ClosedLocally
-	// LocalDescriptors: this process has no descriptor left.
+	// LocalDescriptorLimit means that this process has no file descriptor left.
 	LocalDescriptorLimit
-	// LocalMoment: this machine cannot for a moment. It says nothing of the peer.
+	// LocalTemporary means that this machine lacks a resource for the moment. It says nothing about the peer.
 	LocalTemporary
 )
 
-// String names a verdict for logs.
+// String returns the name of a category for logs.
 func (v Category) String() string {
 	names := [...]string{"unknown", "peer closed", "peer reset", "peer refused", "peer silent", "deadline exceeded", "closed here",
 		"no descriptor", "local moment"}
@@ -47,30 +47,31 @@
 	return names[Unknown]
 }
 
-// Local tells errors of this machine: they say nothing of the peer.
+// IsLocal reports whether the error was caused by this machine. Such an error says nothing about the peer.
 func (v Category) IsLocal() bool { return v == LocalDescriptorLimit || v == LocalTemporary }
 
-// Call is the kind of call that failed: some numbers mean different things in different calls.
+// Call is the kind of call that failed. Some errno values mean different things in different calls.
 type Call int
 
-// Calls.
+// Kinds of calls.
 const (
 	Connect  Call = iota // socket, bind and connect
-	Accept               // of a connection that a peer opened
-	Transfer             // read or write on a connection that was up
+	Accept               // accept of a connection that a peer opened
+	Transfer             // read or write on an established connection
 )
 
-// meaning is what a number says in each call.
+// callCategories holds the category of one errno value for each kind of call.
 type callCategories struct{ connect, accept, transfer Category }
 
-// meanings has each documented number. A number that a call does not document has the verdict of the call that does.
+// errnoCategories has an entry for each documented errno value. Where a value is documented for one call only, the
+// other calls get the same category.
 var errnoCategories = map[syscall.Errno]callCategories{
-	// Of this machine.
+	// Errors of this machine.
 	syscall.EMFILE:        {LocalDescriptorLimit, LocalDescriptorLimit, LocalTemporary},
 	syscall.ENFILE:        {LocalTemporary, LocalTemporary, LocalTemporary},
 	syscall.ENOBUFS:       {LocalTemporary, LocalTemporary, LocalTemporary},
 	syscall.ENOMEM:        {LocalTemporary, LocalTemporary, LocalTemporary},
-	syscall.EAGAIN:        {LocalTemporary, LocalTemporary, LocalTemporary}, // connect: no free port or routing cache entry
+	syscall.EAGAIN:        {LocalTemporary, LocalTemporary, LocalTemporary}, // connect: no free port or route cache
 	syscall.EINTR:         {LocalTemporary, LocalTemporary, LocalTemporary},
 	syscall.EADDRNOTAVAIL: {LocalTemporary, LocalTemporary, PeerReset}, // connect: no free port
 	syscall.EADDRINUSE:    {LocalTemporary, LocalTemporary, PeerReset},
@@ -80,7 +81,7 @@
 	syscall.EACCES:        {LocalTemporary, LocalTemporary, LocalTemporary},
 	syscall.ENOSPC:        {LocalTemporary, LocalTemporary, LocalTemporary}, // epoll: too many watches
 
-	// Of the peer or the way to it. accept passes on what happened to the new connection.
+	// Errors of the peer or of the path to it. accept(2) also returns pending network errors of the new connection.
 	syscall.ECONNREFUSED: {PeerRefused, LocalTemporary, PeerReset},
 	syscall.ECONNRESET:   {PeerReset, LocalTemporary, PeerReset},
 	syscall.ECONNABORTED: {PeerReset, LocalTemporary, PeerReset},
@@ -95,7 +96,7 @@
 	syscall.EOPNOTSUPP:   {LocalTemporary, LocalTemporary, PeerReset},
 }
 
-// Judge tells what an error of a call says. Nil has no verdict and is Unknown.
+// Classify returns the category of an error of a call. It returns Unknown for nil.
 func Classify(err error, call Call) Category {
 	var errno syscall.Errno
 	switch {
--- a/internal/starttime/startage.go
+++ b/internal/starttime/startage.go
@@ -1,39 +1,39 @@
-// Package startage tells how old a server is although its start was told by another machine's clock. Wall clocks of two
-// machines may differ by any amount, and be stepped; what holds is when this machine heard of a start, on its own
-// monotonic clock. The package has no clock and no I/O.
+// Package starttime translates server start times, reported on another machine's clock, into this machine's time. The
+// wall clocks of two machines may differ by any amount and may be stepped; what is reliable is the time at which this
+// machine received a start time, on its own monotonic clock. The package has no clock and does no I/O.
 //
-// A start that is told cannot be later than the moment at which it was heard. So each start bounds how far the other
-// clock is ahead of this one from below, and the highest bound is kept: a server is taken to be as young as the bound
-// allows. That is careful, since a young server gets little work, and it is close to the truth once a start was heard of
-// soon after it happened.
+// A server cannot have started after its start time was received. Each start time therefore gives a lower bound on the
+// offset of the other clock from this one, and the highest bound is kept: a server is assumed to be as young as the
+// bound allows. This is the conservative choice, since a young server gets little work, and it is close to the true age
+// once a start time has been received soon after the start.
 package starttime
 
 import "time"
 
-// Start is one server's start as the other clock tells it. At is a time of that clock; 0: none was told.
+// Start is the start time of one server. RemoteTime is on the other machine's clock; 0 means that none was reported.
 type Start struct {
 	ID         string
 	RemoteTime time.Duration
 }
 
-// Translator translates starts into this machine's time. The zero value is ready.
+// Translator translates start times into this machine's time. The zero value is ready to use.
 type Translator struct {
-	minOffset    time.Duration // how far the other clock is ahead, at least
-	offsetKnown  bool          // ahead is known
-	lastContact  time.Duration // when the other machine was last heard of, with nothing left to tell
-	contacted    bool          // contact is known
+	minOffset    time.Duration // lower bound of the other clock's offset: its time minus this machine's
+	offsetKnown  bool          // minOffset is set
+	lastContact  time.Duration // when the other machine had last reported all that it had to report
+	contacted    bool          // lastContact is set
 	translations map[string]translation
 }
 
-// translated is one start and what it was taken for when it was first heard of.
+// translation is a start time on the other clock and the local time it was translated to when first received.
 type translation struct{ remote, local time.Duration }
 
-// Contact says that the other machine had told all that it had to tell at a time of this machine.
+// RecordContact records that by now, in this machine's time, the other machine has reported all that it had to report.
 func (t *Translator) RecordContact(now time.Duration) { t.lastContact, t.contacted = now, true }
 
-// Translate takes the starts that one message tells, heard now, and returns each in this machine's time, 0 where none is
-// told. A start that was told before keeps its translation. One that is told after a contact was not known then, and is
-// not taken for older than that contact, whatever the other clock says.
+// Translate returns the start times of one message, received now, in this machine's time, with 0 for a server without a
+// reported start. A start time that was reported before keeps its translation. A new one was not known at the last
+// contact, so its translation is never earlier than that contact, whatever the other clock says.
 func (t *Translator) Translate(starts []Start, now time.Duration) []time.Duration {
 	for _, s := range starts {
 		if s.RemoteTime > 0 && (!t.offsetKnown || s.RemoteTime-now > t.minOffset) {
@@ -51,15 +51,15 @@
 	if s.RemoteTime <= 0 {
 		return 0
 	}
-	before, known := t.translations[s.ID]
-	if known && before.remote == s.RemoteTime {
-		return before.local
+	previous, known := t.translations[s.ID]
+	if known && previous.remote == s.RemoteTime {
+		return previous.local
 	}
 	local := min(s.RemoteTime-t.minOffset, now)
 	if t.contacted {
 		local = max(local, min(t.lastContact, now))
 	}
-	local = max(local, 1) // 0 says that no start was told
+	local = max(local, 1) // 0 means that no start was reported
 	if t.translations == nil {
 		t.translations = map[string]translation{}
 	}
@@ -67,7 +67,7 @@
 	return local
 }
 
-// Forget drops servers that are no longer listed.
+// Prune removes the translations of servers that are no longer listed.
 func (t *Translator) Prune(listed func(id string) bool) {
 	for id := range t.translations {
 		if !listed(id) {
--- a/internal/viewstore/lastview.go
+++ b/internal/viewstore/lastview.go
@@ -1,6 +1,6 @@
-// Package lastview keeps a program's last view of the fleet on disk, so that it can start while nobody tells it
-// one. A crash at any moment leaves a whole view: what is written is synced, checked by a sum, and renamed into
-// place beside the one before it.
+// Package viewstore keeps a program's last view of the fleet on disk, so that the program can start while no source of
+// a view is reachable. A crash at any moment leaves a complete view: each file is written with a checksum, synced and
+// renamed into place, and the previous file is kept next to it.
 package viewstore
 
 import (
@@ -18,30 +18,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The first line of a file: name, format, xxhash of the body in hex, its length, when it was written (Unix ms).
+// The first line of a file holds the magic word, the format version, the xxhash of the body in hex, the length of the
+// body in bytes, and the time of writing (Unix milliseconds).
 const (
 	magic         = "rainpulley-view"
 	formatVersion = 1
-	maxFileBytes  = 64 << 20 // bytes that are read at most
+	maxFileBytes  = 64 << 20 // a larger file is not read
 )
 
-// Store is one program's file and the one before it.
+// Store is a program's view file together with the previous version of the file.
 type Store struct{ path string }
 
-// Open names the file; nothing is read or made yet.
+// Open returns the store at path. It neither reads nor creates a file.
 func Open(path string) *Store { return &Store{path} }
 
 func (s *Store) previousPath() string { return s.path + ".old" }
 
-// Write makes a body the last view. The one before stays beside it.
+// Write stores body as the last view, written at now, and keeps the view before it as the previous one.
 func (s *Store) Write(body []byte, now time.Time) error {
-	head := fmt.Sprintf("%s %d %016x %d %d\n", magic, formatVersion, xxhash.Sum64(body), len(body), now.UnixMilli())
+	header := fmt.Sprintf("%s %d %016x %d %d\n", magic, formatVersion, xxhash.Sum64(body), len(body), now.UnixMilli())
 	tmp := s.path + ".new"
 	f, err := os.Create(tmp)
 	if err != nil {
-		return fmt.Errorf("last view: %w", err)
+		return fmt.Errorf("view store: creating the new file: %w", err)
 	}
-	_, err = f.WriteString(head)
+	_, err = f.WriteString(header)
 	if err == nil {
 		_, err = f.Write(body)
 	}
@@ -58,59 +59,61 @@
 		err = syncDir(filepath.Dir(s.path))
 	}
 	if err != nil {
-		return fmt.Errorf("last view: %w", err)
+		return fmt.Errorf("view store: writing the view: %w", err)
 	}
 	return nil
 }
 
-// syncFolder makes renames last over a loss of power.
+// syncDir makes renames in a directory survive a loss of power.
 func syncDir(dir string) error {
-	d, err := os.Open(dir)
+	f, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(f.Sync(), f.Close())
 }
 
-// View is what was read.
+// View is a view that was read from disk.
 type View struct {
 	Body      []byte
 	WrittenAt time.Time
 	Path      string
 }
 
-// Read gives the newest view that is whole. What is torn or foreign is passed over for the one before, and named
-// in the error beside a view, or alone where none is whole. No file at all is fs.ErrNotExist.
+// Read returns the newest intact view. A truncated or unknown file is skipped in favour of the previous one; the error
+// then names it and is returned together with that view, or alone if neither file is intact. If no file exists, the
+// error is fs.ErrNotExist.
 func (s *Store) Read() (*View, error) {
-	var faults []error
+	var errs []error
 	missing := 0
 	for _, path := range []string{s.path, s.previousPath()} {
 		v, err := readFile(path)
 		if err == nil {
-			return v, errors.Join(faults...)
+			return v, errors.Join(errs...)
 		}
 		if errors.Is(err, fs.ErrNotExist) {
 			missing++
 			continue
 		}
-		faults = append(faults, err)
+		errs = append(errs, err)
 	}
 	if missing == 2 {
-		return nil, fmt.Errorf("last view: %s: %w", s.path, fs.ErrNotExist)
+		return nil, fmt.Errorf("view store: %s: %w", s.path, fs.ErrNotExist)
 	}
-	return nil, errors.Join(faults...)
+	return nil, errors.Join(errs...)
 }
 
+// readFile reads one file and verifies its format, length and checksum.
 func readFile(path string) (*View, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	invalid := func(format string, a ...any) error {
-		return fmt.Errorf("last view: %s: %s", path, fmt.Sprintf(format, a...))
+		return fmt.Errorf("view store: %s: %s", path, fmt.Sprintf(format, a...))
 	}
 	if info.Size() > maxFileBytes {
-		return nil, invalid("%d bytes, %d at most", info.Size(), maxFileBytes)
+		return nil, invalid("file has %d bytes, limit is %d", info.Size(), maxFileBytes)
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -119,22 +122,22 @@
 	header, err := bufio.NewReader(bytes.NewReader(content)).ReadString('\n')
 	fields := strings.Fields(header)
 	if err != nil || len(fields) != 5 || fields[0] != magic {
-		return nil, invalid("not a view of this program")
+		return nil, invalid("not a view file of this program")
 	}
 	if fields[1] != strconv.Itoa(formatVersion) {
-		return nil, invalid("format %s, this program reads %d", fields[1], formatVersion)
+		return nil, invalid("format %s is not supported, want %d", fields[1], formatVersion)
 	}
 	sum, err1 := strconv.ParseUint(fields[2], 16, 64)
 	length, err2 := strconv.Atoi(fields[3])
-	written, err3 := strconv.ParseInt(fields[4], 10, 64)
+	writtenMillis, err3 := strconv.ParseInt(fields[4], 10, 64)
 	body := content[len(header):]
 	switch {
 	case err1 != nil || err2 != nil || err3 != nil:
-		return nil, invalid("broken first line")
+		return nil, invalid("malformed first line")
 	case len(body) != length:
-		return nil, invalid("torn: %d bytes of %d", len(body), length)
+		return nil, invalid("truncated: body has %d bytes, want %d", len(body), length)
 	case xxhash.Sum64(body) != sum:
-		return nil, invalid("sum does not fit")
+		return nil, invalid("checksum mismatch")
 	}
-	return &View{body, time.UnixMilli(written), path}, nil
+	return &View{body, time.UnixMilli(writtenMillis), path}, nil
 }
--- a/internal/viewstore/lastview_test.go
+++ b/internal/viewstore/lastview_test.go
@@ -12,10 +12,12 @@
 	"pgregory.net/rapid"
 )
 
-func TestReadsTheNewestWhole(t *testing.T) {
+// TestReadReturnsNewestIntactView checks that a damaged newest file is named in the error while the previous view is
+// returned, and that there is only an error if no file is intact.
+func TestReadReturnsNewestIntactView(t *testing.T) {
 	s := Open(filepath.Join(t.TempDir(), "view"))
 	if _, err := s.Read(); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("no file: got error %v, want fs.ErrNotExist", err)
 	}
 	at := time.UnixMilli(1_700_000_000_123)
 	for _, body := range []string{"first", "second"} {
@@ -25,27 +27,31 @@
 	}
 	v, err := s.Read()
 	if err != nil || string(v.Body) != "second" || !v.WrittenAt.Equal(at) {
-		t.Fatalf("%+v, %v", v, err)
+		t.Fatalf("after two writes: got %+v, %v", v, err)
 	}
-	whole, _ := os.ReadFile(s.path)
-	for want, torn := range map[string]string{"torn": string(whole[:len(whole)-1]), "not a view": "{}\n", "sum": strings.Replace(string(whole), "second", "sEcond", 1),
-		"format 2": strings.Replace(string(whole), magic+" 1", magic+" 2", 1), "broken first line": strings.Replace(string(whole), " 6 ", " x ", 1)} {
-		if err := os.WriteFile(s.path, []byte(torn), 0o644); err != nil {
+	content, _ := os.ReadFile(s.path)
+	for want, damaged := range map[string]string{
+		"truncated": string(content[:len(content)-1]), "not a view file": "{}\n",
+		"checksum mismatch":    strings.Replace(string(content), "second", "sEcond", 1),
+		"format 2":             strings.Replace(string(content), magic+" 1", magic+" 2", 1),
+		"malformed first line": strings.Replace(string(content), " 6 ", " x ", 1)} {
+		if err := os.WriteFile(s.path, []byte(damaged), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		v, err := s.Read()
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), s.path) || v == nil || string(v.Body) != "first" {
-			t.Errorf("%s: %+v, %v", want, v, err)
+			t.Errorf("file damaged, want error %q: got %+v, %v", want, v, err)
 		}
 	}
 	_ = os.Remove(s.previousPath())
 	if v, err := s.Read(); v != nil || err == nil || errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("nothing whole: %+v, %v", v, err)
+		t.Errorf("no intact file: got %+v, %v", v, err)
 	}
 }
 
-// A crash that leaves any part of the new file, or stops between the renames, leaves a whole view.
-func TestAnyCut(t *testing.T) {
+// TestCrashLeavesCompleteView checks that a complete view can be read after a crash that left only a part of the new
+// file or that happened between the two renames.
+func TestCrashLeavesCompleteView(t *testing.T) {
 	dir := t.TempDir()
 	rapid.Check(t, func(t *rapid.T) {
 		s := Open(filepath.Join(dir, "v"))
@@ -57,21 +63,21 @@
 		if err := s.Write(next, time.UnixMilli(2)); err != nil {
 			t.Fatal(err)
 		}
-		whole, _ := os.ReadFile(s.path)
-		cut := rapid.IntRange(0, len(whole)).Draw(t, "cut")
+		content, _ := os.ReadFile(s.path)
+		cut := rapid.IntRange(0, len(content)).Draw(t, "cut")
 		if rapid.Bool().Draw(t, "between renames") {
 			_ = os.Remove(s.path)
 			cut = 0
-		} else if err := os.WriteFile(s.path, whole[:cut], 0o644); err != nil {
+		} else if err := os.WriteFile(s.path, content[:cut], 0o644); err != nil {
 			t.Fatal(err)
 		}
 		v, _ := s.Read()
 		want := old
-		if cut == len(whole) {
+		if cut == len(content) {
 			want = next
 		}
 		if v == nil || string(v.Body) != string(want) {
-			t.Fatalf("cut at %d of %d: %+v", cut, len(whole), v)
+			t.Fatalf("file cut at byte %d of %d: got %+v", cut, len(content), v)
 		}
 	})
 }
