--- a/internal/admission/join_test.go
+++ b/internal/admission/join_test.go
@@ -36,7 +36,7 @@
 }
 
 // Whatever the state, no try starts beside one that may be out: that is what keeps set-ups single.
-func TestNeverBeside(t *testing.T) {
+func TestNoSecondSetUpInFlight(t *testing.T) {
 	for s := None; s <= Leaving; s++ {
 		for _, k := range []RequestKind{Play, Reload} {
 			for _, elsewhere := range []bool{false, true} {
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestAdvice(t *testing.T) {
+func TestCheckCapacity(t *testing.T) {
 	for _, c := range []struct {
 		o    Usage
 		away bool
--- a/internal/core/rig_test.go
+++ b/internal/core/rig_test.go
@@ -97,15 +97,15 @@
 	close(e.answered)
 }
 
-func (e *recordingListener) Rung(r int) {
+func (e *recordingListener) Rung(rung int) {
 	e.mu.Lock()
-	e.changes = append(e.changes, fmt.Sprint("rung ", r))
+	e.changes = append(e.changes, fmt.Sprint("rung ", rung))
 	e.mu.Unlock()
 }
 
-func (e *recordingListener) Ended(o control.Outcome, moved bool) {
+func (e *recordingListener) Ended(outcome control.Outcome, moved bool) {
 	e.mu.Lock()
-	e.changes = append(e.changes, fmt.Sprint("ended ", OutcomeName(o), " ", moved))
+	e.changes = append(e.changes, fmt.Sprint("ended ", OutcomeName(outcome), " ", moved))
 	e.mu.Unlock()
 }
 
@@ -143,50 +143,50 @@
 
 // events are what the module was told. An event of the test's own goes through the owner first: a listener
 // hears that a request is closed before the module is told its end, and what was told then is not all yet.
-func (r *harness) loggedEvents() string {
-	mark := control.PeerMessage{Data: strconv.FormatInt(r.markersSent.Add(1), 10)}
-	r.AddEvent(mark)
-	for deadline := time.Now().Add(10 * time.Second); r.markersSeen.Load() < r.markersSent.Load() && time.Now().Before(deadline); {
+func (h *harness) loggedEvents() string {
+	mark := control.PeerMessage{Data: strconv.FormatInt(h.markersSent.Add(1), 10)}
+	h.AddEvent(mark)
+	for deadline := time.Now().Add(10 * time.Second); h.markersSeen.Load() < h.markersSent.Load() && time.Now().Before(deadline); {
 		time.Sleep(100 * time.Microsecond)
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return strings.Join(r.eventLog, "; ")
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return strings.Join(h.eventLog, "; ")
 }
 
 // start runs an owner whose module is a script.
-func startHarness(t *testing.T, most int, setUp func(context.Context, Attempt) Result, decide deciderFunc) *harness {
-	r := &harness{executor: &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: setUp}}
+func startHarness(t *testing.T, maxAttempts int, setUp func(context.Context, Attempt) Result, decide deciderFunc) *harness {
+	h := &harness{executor: &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: setUp}}
 	begin := time.Now()
-	told := func(now time.Duration, e control.Event) []control.Action {
-		r.mu.Lock()
+	logEvents := func(now time.Duration, e control.Event) []control.Action {
+		h.mu.Lock()
 		switch e := e.(type) {
 		case control.AttemptEnded:
-			r.eventLog = append(r.eventLog, fmt.Sprintf("ended %s#%d %s final=%v", e.Server, e.Attempt, OutcomeName(e.Outcome), e.Final))
+			h.eventLog = append(h.eventLog, fmt.Sprintf("ended %s#%d %s final=%v", e.Server, e.Attempt, OutcomeName(e.Outcome), e.Final))
 		case control.SessionStarted:
-			r.eventLog = append(r.eventLog, "started "+e.Server)
+			h.eventLog = append(h.eventLog, "started "+e.Server)
 		case control.ViewerLeft:
-			r.eventLog = append(r.eventLog, "left")
+			h.eventLog = append(h.eventLog, "left")
 		case control.TimerFired:
-			r.eventLog = append(r.eventLog, "timer "+e.Label)
+			h.eventLog = append(h.eventLog, "timer "+e.Label)
 		case control.PeerMessage:
-			defer r.markersSeen.Add(1)
+			defer h.markersSeen.Add(1)
 		}
-		r.mu.Unlock()
+		h.mu.Unlock()
 		return decide(now, e)
 	}
-	r.Orchestrator = New(Options{QueueSize: 64, MaxAttempts: most, AnswerSlack: 40 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
-		Decider: deciderFunc(told), Executor: r.executor, Now: func() time.Duration { return time.Since(begin) }})
+	h.Orchestrator = New(Options{QueueSize: 64, MaxAttempts: maxAttempts, AnswerSlack: 40 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
+		Decider: deciderFunc(logEvents), Executor: h.executor, Now: func() time.Duration { return time.Since(begin) }})
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() { r.Run(ctx); close(over) }()
-	t.Cleanup(func() { stop(); <-over })
-	return r
+	stopped := make(chan struct{})
+	go func() { h.Run(ctx); close(stopped) }()
+	t.Cleanup(func() { stop(); <-stopped })
+	return h
 }
 
-func (r *harness) submit(t *testing.T, id string, due time.Duration) *recordingListener {
+func (h *harness) submit(t *testing.T, id string, due time.Duration) *recordingListener {
 	e := newRecordingListener(t)
-	if !r.Submit(control.Request{ID: id, GiveUpAt: r.Now() + due}, e) {
+	if !h.Submit(control.Request{ID: id, GiveUpAt: h.Now() + due}, e) {
 		t.Fatal("not taken")
 	}
 	return e
--- a/internal/core/run_test.go
+++ b/internal/core/run_test.go
@@ -17,8 +17,8 @@
 )
 
 // Every other action reaches the carrier; a move ends the session and marks it.
-func TestOtherActions(t *testing.T) {
-	r := startHarness(t, 5, setUpServes, func(_ time.Duration, e control.Event) []control.Action {
+func TestActionsReachExecutor(t *testing.T) {
+	h := startHarness(t, 5, setUpServes, func(_ time.Duration, e control.Event) []control.Action {
 		switch e := e.(type) {
 		case control.Request:
 			return []control.Action{control.Send{ID: e.ID, Server: "a"}, control.Probe{Server: "p"}, control.Subscribe{}, control.ReadList{},
@@ -28,10 +28,10 @@
 		}
 		return nil
 	})
-	e := r.submit(t, "x", time.Second)
+	e := h.submit(t, "x", time.Second)
 	e.waitAnswer()
 	e.waitClosed()
-	if got := strings.Join(r.executor.calls, "; "); got != "probe p; subscribe; read; tell 3 d; rung x 4" {
+	if got := strings.Join(h.executor.calls, "; "); got != "probe p; subscribe; read; tell 3 d; rung x 4" {
 		t.Error(got)
 	}
 	if got := strings.Join(e.changes, "; "); got != "rung 4; ended cancelled true" {
@@ -40,30 +40,30 @@
 }
 
 // Requests faster than the queue drains are turned away at once; what was taken is answered.
-func TestOverload(t *testing.T) {
+func TestFullQueueRejectsRequests(t *testing.T) {
 	block := make(chan struct{})
-	r := startHarness(t, 5, setUpServes, func(_ time.Duration, e control.Event) []control.Action {
+	h := startHarness(t, 5, setUpServes, func(_ time.Duration, e control.Event) []control.Action {
 		if q, ok := e.(control.Request); ok {
 			<-block
 			return []control.Action{control.Refuse{ID: q.ID}}
 		}
 		return nil
 	})
-	var taken []*recordingListener
-	away := 0
+	var accepted []*recordingListener
+	rejected := 0
 	for i := range 1000 {
 		e := newRecordingListener(t)
-		if r.Submit(control.Request{ID: fmt.Sprint(i), GiveUpAt: r.Now() + 10*time.Second}, e) {
-			taken = append(taken, e)
+		if h.Submit(control.Request{ID: fmt.Sprint(i), GiveUpAt: h.Now() + 10*time.Second}, e) {
+			accepted = append(accepted, e)
 		} else {
-			away++
+			rejected++
 		}
 	}
-	if away < 1000-64-maxBatch-1 || len(taken) < 64 {
-		t.Errorf("%d taken, %d turned away", len(taken), away)
+	if rejected < 1000-64-maxBatch-1 || len(accepted) < 64 {
+		t.Errorf("%d taken, %d turned away", len(accepted), rejected)
 	}
 	close(block)
-	for _, e := range taken {
+	for _, e := range accepted {
 		if a := e.waitAnswer(); a.Kind != Refused {
 			t.Fatalf("answer %+v", a)
 		}
@@ -71,9 +71,9 @@
 }
 
 // When the owner ends, what it owes is answered.
-func TestStopAnswers(t *testing.T) {
-	r := &harness{executor: &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: setUpHangs}}
-	r.Orchestrator = New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: r.executor, Now: func() time.Duration { return 0 },
+func TestStopFailsWaitingRequests(t *testing.T) {
+	h := &harness{executor: &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: setUpHangs}}
+	h.Orchestrator = New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: h.executor, Now: func() time.Duration { return 0 },
 		Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 			if q, ok := e.(control.Request); ok {
 				return []control.Action{control.Send{ID: q.ID, Server: "a"}}
@@ -81,30 +81,30 @@
 			return nil
 		})})
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() { r.Run(ctx); close(over) }()
+	stopped := make(chan struct{})
+	go func() { h.Run(ctx); close(stopped) }()
 	e := newRecordingListener(t)
-	r.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
-	for r.Stats.Attempts.Load() == 0 {
+	h.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
+	for h.Stats.Attempts.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	stop()
-	<-over
+	<-stopped
 	if a := e.waitAnswer(); a.Kind != Failed {
 		t.Errorf("answer %+v", a)
 	}
-	r.ViewerLeft("x", e) // after the end: does not wait for ever
+	h.ViewerLeft("x", e) // after the end: does not wait for ever
 }
 
 // Whatever a module orders and servers do, each request has one answer in time, each attempt one end, and
 // no request two attempts out.
-func TestAnyModule(t *testing.T) {
+func TestRandomModule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		n := rapid.IntRange(1, 20).Draw(rt, "requests")
 		var mu sync.Mutex
-		rnd := rand.New(rand.NewPCG(seed, 1))
-		draw := func(n int) int { mu.Lock(); defer mu.Unlock(); return rnd.IntN(n) }
+		random := rand.New(rand.NewPCG(seed, 1))
+		draw := func(n int) int { mu.Lock(); defer mu.Unlock(); return random.IntN(n) }
 		setUp := func(ctx context.Context, _ Attempt) Result {
 			select {
 			case <-ctx.Done():
@@ -156,19 +156,19 @@
 		o := New(Options{QueueSize: 64, MaxAttempts: 4, AnswerSlack: 10 * time.Millisecond, Log: slog.New(slog.DiscardHandler), Executor: c,
 			Decider: deciderFunc(decide), Now: func() time.Duration { return time.Since(begin) }})
 		ctx, stop := context.WithCancel(context.Background())
-		over := make(chan struct{})
-		go func() { o.Run(ctx); close(over) }()
-		var ears []*recordingListener
+		stopped := make(chan struct{})
+		go func() { o.Run(ctx); close(stopped) }()
+		var listeners []*recordingListener
 		for i := range n {
 			e := newRecordingListener(t)
-			ears = append(ears, e)
+			listeners = append(listeners, e)
 			o.Submit(control.Request{ID: fmt.Sprint(i), GiveUpAt: o.Now() + 20*time.Millisecond}, e)
 			if draw(4) == 0 {
 				left := draw(i + 1)
-				o.ViewerLeft(fmt.Sprint(left), ears[left])
+				o.ViewerLeft(fmt.Sprint(left), listeners[left])
 			}
 		}
-		for i, e := range ears {
+		for i, e := range listeners {
 			select {
 			case <-e.answered:
 			case <-e.closed: // its viewer left
@@ -177,13 +177,13 @@
 			}
 		}
 		stop()
-		<-over
+		<-stopped
 	})
 }
 
 // An edge that was killed forgets its further attempts; its next instance has no free part of the budget until a
 // span is over, so that both together keep it.
-func TestBudgetOverRestart(t *testing.T) {
+func TestBudgetAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
 		c := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: func(context.Context, Attempt) Result { return Result{Outcome: control.Failed} }}
--- a/internal/core/rush_test.go
+++ b/internal/core/rush_test.go
@@ -11,9 +11,9 @@
 )
 
 // BenchmarkRush is a rush of 200 requests at once, each refused by a module that takes no time.
-func BenchmarkRush(b *testing.B) {
-	const rush = 200
-	o := New(Options{QueueSize: rush, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: b, inFlight: map[string]int{}}, Now: func() time.Duration { return 0 },
+func BenchmarkRequestBurst(b *testing.B) {
+	const burst = 200
+	o := New(Options{QueueSize: burst, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: b, inFlight: map[string]int{}}, Now: func() time.Duration { return 0 },
 		Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 			if r, ok := e.(control.Request); ok {
 				return []control.Action{control.Refuse{ID: r.ID}}
@@ -21,12 +21,12 @@
 			return nil
 		})})
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() { o.Run(ctx); close(over) }()
-	defer func() { stop(); <-over }()
+	stopped := make(chan struct{})
+	go func() { o.Run(ctx); close(stopped) }()
+	defer func() { stop(); <-stopped }()
 	for round := range b.N {
 		var last *recordingListener
-		for i := range rush {
+		for i := range burst {
 			last = newRecordingListener(b)
 			o.Submit(control.Request{ID: fmt.Sprint(round, "-", i), GiveUpAt: time.Hour}, last)
 		}
--- a/internal/core/sameid_test.go
+++ b/internal/core/sameid_test.go
@@ -23,17 +23,17 @@
 }
 
 // TestLeaveOfEarlierRequest: the leave of a request comes late, when another one is open under its id.
-func TestLeaveOfEarlierRequest(t *testing.T) {
+func TestViewerLeftOfEarlierRequest(t *testing.T) {
 	release := make(chan struct{})
-	r := startHarness(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} }, failFirstRequest())
-	earlier := r.submit(t, "x", time.Minute)
+	h := startHarness(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} }, failFirstRequest())
+	earlier := h.submit(t, "x", time.Minute)
 	earlier.waitClosed()
-	later := r.submit(t, "x", time.Minute)
-	r.ViewerLeft("x", earlier)
-	for r.QueueLen() > 0 {
+	later := h.submit(t, "x", time.Minute)
+	h.ViewerLeft("x", earlier)
+	for h.QueueLen() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	r.loggedEvents() // by now the owner has seen what it took
+	h.loggedEvents() // by now the owner has seen what it took
 	close(release)
 	if a := later.waitAnswer(); a.Kind != Playing {
 		t.Errorf("answer %+v", a)
@@ -43,13 +43,13 @@
 // TestBackstopOfEarlierRequest: the deadline of a request comes when another one is open under its id, which has more time.
 func TestBackstopOfEarlierRequest(t *testing.T) {
 	release := make(chan struct{})
-	r := startHarness(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} }, failFirstRequest())
-	earlier := r.submit(t, "x", 20*time.Millisecond)
+	h := startHarness(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} }, failFirstRequest())
+	earlier := h.submit(t, "x", 20*time.Millisecond)
 	earlier.waitClosed()
-	later := r.submit(t, "x", time.Minute)
+	later := h.submit(t, "x", time.Minute)
 	time.Sleep(100 * time.Millisecond)
 	close(release)
-	if a := later.waitAnswer(); a.Kind != Playing || r.Stats.Overdue.Load() != 0 {
-		t.Errorf("answer %+v, %d overdue", a, r.Stats.Overdue.Load())
+	if a := later.waitAnswer(); a.Kind != Playing || h.Stats.Overdue.Load() != 0 {
+		t.Errorf("answer %+v, %d overdue", a, h.Stats.Overdue.Load())
 	}
 }
