--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -16,33 +16,33 @@
 
 // timerHeap keeps timers by time, those of one time in the order in which they were set.
 type timerHeap struct {
-	timers    []timer
+	entries   []timer
 	lastOrder uint64
 }
 
 func (h *timerHeap) less(i, j int) bool {
-	a, b := &h.timers[i], &h.timers[j]
+	a, b := &h.entries[i], &h.entries[j]
 	return a.at < b.at || a.at == b.at && a.order < b.order
 }
 
 func (h *timerHeap) push(t timer) {
 	h.lastOrder++
 	t.order = h.lastOrder
-	h.timers = append(h.timers, t)
-	for i := len(h.timers) - 1; i > 0; {
+	h.entries = append(h.entries, t)
+	for i := len(h.entries) - 1; i > 0; {
 		up := (i - 1) / 2
 		if !h.less(i, up) {
 			break
 		}
-		h.timers[i], h.timers[up] = h.timers[up], h.timers[i]
+		h.entries[i], h.entries[up] = h.entries[up], h.entries[i]
 		i = up
 	}
 }
 
 func (h *timerHeap) pop() timer {
-	t, last := h.timers[0], len(h.timers)-1
-	h.timers[0] = h.timers[last]
-	h.timers = h.timers[:last]
+	t, last := h.entries[0], len(h.entries)-1
+	h.entries[0] = h.entries[last]
+	h.entries = h.entries[:last]
 	for i := 0; ; {
 		low := i
 		for c := 2*i + 1; c <= 2*i+2 && c < last; c++ {
@@ -53,23 +53,23 @@
 		if low == i {
 			return t
 		}
-		h.timers[i], h.timers[low] = h.timers[low], h.timers[i]
+		h.entries[i], h.entries[low] = h.entries[low], h.entries[i]
 		i = low
 	}
 }
 
 func (o *Orchestrator) untilNextTimer() time.Duration {
-	if len(o.timers.timers) == 0 {
+	if len(o.timers.entries) == 0 {
 		return time.Hour
 	}
-	return max(o.timers.timers[0].at-o.Now(), 0)
+	return max(o.timers.entries[0].at-o.Now(), 0)
 }
 
 // fire tells timers that are due. The backstop answers a request of which the module said nothing in
 // time: a viewer that waits for ever is worse than one that is told of a failure.
 func (o *Orchestrator) fireTimers() {
 	now := o.Now()
-	for len(o.timers.timers) > 0 && o.timers.timers[0].at <= now {
+	for len(o.timers.entries) > 0 && o.timers.entries[0].at <= now {
 		t := o.timers.pop()
 		if t.backstop == nil {
 			o.addToBatch(control.TimerFired{Label: t.label})
