--- a/control/placement.go
+++ b/control/placement.go
@@ -181,9 +181,9 @@
 	}
 	for x.rung < top {
 		step := c.sessionRate(x, x.rung+1) - c.sessionRate(x, x.rung)
-		upTo, part := stepUpTarget, newcomerHeadroomShare
+		upTo, part := stepUpTarget, newSessionShare
 		if c.cfg.Ladder[x.rung+1] <= meanRungFraction*c.meanOwnRate {
-			upTo, part = meanRungTarget, meanRungHeadroomShare
+			upTo, part = meanRungTarget, meanRungShare
 		}
 		link, _ := c.linkAndUplinkHeadroom(s, upTo, x)
 		_, uplink := c.linkAndUplinkHeadroom(s, stepUpTarget, x) // shared by many servers: more newcomers at once
--- a/control/request.go
+++ b/control/request.go
@@ -89,7 +89,7 @@
 	c.emit(Refuse{x.ID, after})
 }
 
-func (c *Controller) handleStarted(e SessionStarted) {
+func (c *Controller) handleSessionStarted(e SessionStarted) {
 	s := c.serversByID[e.Server]
 	if s != nil {
 		c.clearFailures(s)
@@ -113,7 +113,7 @@
 func (c *Controller) recordFailure(s *server, o Outcome) {
 	s.failures++
 	s.lastFailureAt = c.now
-	if lost := o == Reset || o == ConnectFailed || s.failures >= brokenAfterFailures; lost && !s.mayHaveRestarted {
+	if lost := o == Reset || o == ConnectFailed || s.failures >= restartFailureCount; lost && !s.mayHaveRestarted {
 		s.mayHaveRestarted = true
 		c.beginSlowStart(s)
 	}
@@ -122,7 +122,7 @@
 }
 
 // ended closes an attempt, and places the request anew if it is still owed an answer.
-func (c *Controller) handleEnded(e AttemptEnded) {
+func (c *Controller) handleAttemptEnded(e AttemptEnded) {
 	s, x := c.serversByID[e.Server], c.sessions[e.ID]
 	if s != nil {
 		c.applyLoadReport(s, e.Load, c.now)
@@ -142,7 +142,7 @@
 		s.fullUntil = c.now + fullServerWait
 	case TimedOut, ConnectFailed, Reset, Failed:
 		// An error is an answer, and may be the request's own fault: several in a row are the server's.
-		if s.failedSetUps++; e.Outcome == Failed && s.failedSetUps < brokenAfterFailures {
+		if s.failedSetUps++; e.Outcome == Failed && s.failedSetUps < restartFailureCount {
 			break
 		}
 		if !x.playing || e.Outcome == Reset {
@@ -165,7 +165,7 @@
 }
 
 // left forgets a request whose viewer went away; an attempt still out keeps its place until it ends.
-func (c *Controller) handleLeft(e ViewerLeft) {
+func (c *Controller) handleViewerLeft(e ViewerLeft) {
 	x := c.sessions[e.ID]
 	if x == nil {
 		return
--- a/control/request_test.go
+++ b/control/request_test.go
@@ -169,13 +169,13 @@
 // An error may be the request's own fault: one does not make a server suspect, several in a row do.
 func TestErrorsInARow(t *testing.T) {
 	f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
-	for i := range brokenAfterFailures + 1 {
+	for i := range restartFailureCount + 1 {
 		id := fmt.Sprint("x", i)
 		if f.sentTo(f.request(id, 0)) != "s0" {
 			t.Fatalf("%s was not sent", id)
 		}
 		f.step(AttemptEnded{ID: id, Server: "s0", Outcome: Failed})
-		if suspect := f.c.serversByID["s0"].failures > 0; suspect != (i+1 >= brokenAfterFailures) {
+		if suspect := f.c.serversByID["s0"].failures > 0; suspect != (i+1 >= restartFailureCount) {
 			t.Errorf("after %d errors: suspect %v", i+1, suspect)
 		}
 		f.now += time.Minute // past any rest
--- a/control/room.go
+++ b/control/room.go
@@ -5,7 +5,7 @@
 import "math"
 
 // hold takes the room kept for announced sessions.
-func (c *Controller) handleHolds(e HoldsUpdate) {
+func (c *Controller) handleHoldsUpdate(e HoldsUpdate) {
 	c.hasHolds, c.holdsUpdatedAt = len(e.Holds) > 0, c.now
 	for _, s := range c.sortedServers {
 		s.holds = nil
--- a/control/state.go
+++ b/control/state.go
@@ -76,19 +76,19 @@
 		case Request:
 			c.handleRequest(e)
 		case SessionStarted:
-			c.handleStarted(e)
+			c.handleSessionStarted(e)
 		case Note:
 			c.handleNote(e)
 		case AttemptEnded:
-			c.handleEnded(e)
+			c.handleAttemptEnded(e)
 		case ViewerLeft:
-			c.handleLeft(e)
+			c.handleViewerLeft(e)
 		case ProbeResult:
 			c.handleProbeResult(e)
 		case PeerMessage:
 			c.handlePeerMessage(e)
 		case HoldsUpdate:
-			c.handleHolds(e)
+			c.handleHoldsUpdate(e)
 		case TimerFired:
 			c.handleTimer(e)
 		}
--- a/control/tuning.go
+++ b/control/tuning.go
@@ -15,9 +15,9 @@
 	reportedUplinkTieWidth = 0.30                   // the same where uplinks are reported: their figure is as good then
 	zonePriceWeight        = 2.5                    // fullness that crossing zones must gain, by its price
 	meanRungTarget         = 0.98                   // newcomers fill a link to this, up to the rung that others have
-	meanRungHeadroomShare  = 0.4                    // and may take this part of the room
+	meanRungShare          = 0.4                    // and may take this part of the room
 	meanRungFraction       = 0.8                    // of the mean
-	newcomerHeadroomShare  = 0.15                   // part of the room left that one newcomer may take
+	newSessionShare        = 0.15                   // part of the room left that one newcomer may take
 	swapGainFactor         = 1.5                    // a step up must earn so many times what its step down loses
 	switchGainFactor       = 2.5                    // a step up must earn so many times the price of a switch
 	reportWeight           = 0.8                    // weight of a new note against what was believed
@@ -45,7 +45,7 @@
 	attemptTimeoutFraction = 0.45                   // of the aim: unanswered this long, a set-up is tried elsewhere
 	streamReportMaxAge     = time.Second            // a report of the streams holds so long; then a set-up may ask anew
 	minAvoidTime           = time.Second            // rest for a failing server, doubled at each failure
-	brokenAfterFailures    = 3                      // set-ups unanswered in a row: as if restarted
+	restartFailureCount    = 3                      // set-ups unanswered in a row: as if restarted
 	maxAvoidTime           = 8 * time.Second        // and at most this, so that a mended one is soon found
 	maxMissedNotes         = 4.0                    // note periods missed by one server alone: suspect
 	stalledShare           = 0.2                    // a delivered share under this is a standstill, not a full link
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -20,36 +20,36 @@
 
 // Event is one event with every field that any of them has.
 type Event struct {
-	Name      string             `json:"m"`
-	Front     int                `json:"frontId"`
-	Seed      uint64             `json:"salt"`
-	Settings  json.RawMessage    `json:"facts"`
-	ListID    int                `json:"sheet"`
-	Entries   []ListEntry        `json:"members"`
-	Kind      int                `json:"kind"`
-	RequestID string             `json:"req"`
-	Class     int                `json:"type"`
-	Tenant    int                `json:"userGroup"`
-	Viewer    uint64             `json:"pathKey"`
-	Title     uint64             `json:"title"`
-	Due       int64              `json:"due"`
-	Length    float64            `json:"estimate"`
-	Home      float64            `json:"home"`
-	Span      float64            `json:"span"`
-	Best      float64            `json:"bestRung"`
-	Repeat    bool               `json:"retry"`
-	Moved     bool               `json:"backFromMove"`
-	Returned  bool               `json:"cameBack"`
-	Server    string             `json:"server"`
-	Attempt   int                `json:"trial"`
-	Reason    string             `json:"reason"`
-	Took      int64              `json:"spent"`
-	Final     bool               `json:"noMore"`
-	Load      map[string]float64 `json:"gauge"`
-	Value     float64            `json:"x"`
-	Label     string             `json:"label"`
-	Peer      int                `json:"neighbour"`
-	Data      string             `json:"data"`
+	Name           string             `json:"m"`
+	Front          int                `json:"frontId"`
+	Seed           uint64             `json:"salt"`
+	Settings       json.RawMessage    `json:"facts"`
+	ListID         int                `json:"sheet"`
+	Entries        []ListEntry        `json:"members"`
+	Kind           int                `json:"kind"`
+	RequestID      string             `json:"req"`
+	Class          int                `json:"type"`
+	Tenant         int                `json:"userGroup"`
+	Viewer         uint64             `json:"pathKey"`
+	Title          uint64             `json:"title"`
+	GiveUpAt       int64              `json:"due"`
+	ExpectedLength float64            `json:"estimate"`
+	HomeCell       float64            `json:"home"`
+	CellSpan       float64            `json:"span"`
+	BestRung       float64            `json:"bestRung"`
+	Repeat         bool               `json:"retry"`
+	Moved          bool               `json:"backFromMove"`
+	Returned       bool               `json:"cameBack"`
+	Server         string             `json:"server"`
+	Attempt        int                `json:"trial"`
+	Reason         string             `json:"reason"`
+	Took           int64              `json:"spent"`
+	Final          bool               `json:"noMore"`
+	Load           map[string]float64 `json:"gauge"`
+	Value          float64            `json:"x"`
+	Label          string             `json:"label"`
+	Peer           int                `json:"neighbour"`
+	Data           string             `json:"data"`
 }
 
 // Entry is one line of a server list.
@@ -268,7 +268,7 @@
 		return u, nil
 	case "NewRequest", "TakenOver":
 		return control.Request{ID: e.RequestID, Class: e.Class, Tenant: e.Tenant, Viewer: e.Viewer, Title: e.Title,
-			HomeCell: int(e.Home), CellSpan: int(e.Span), BestRung: int(e.Best), GiveUpAt: fromMicroseconds(e.Due), ExpectedLength: fromMicroseconds(int64(e.Length)),
+			HomeCell: int(e.HomeCell), CellSpan: int(e.CellSpan), BestRung: int(e.BestRung), GiveUpAt: fromMicroseconds(e.GiveUpAt), ExpectedLength: fromMicroseconds(int64(e.ExpectedLength)),
 			Repeat: e.Repeat, Returned: e.Returned, Moved: e.Moved, Playing: e.Name == "TakenOver", Server: e.Server}, nil
 	case "Flowing":
 		return control.SessionStarted{ID: e.RequestID, Server: e.Server, Attempt: e.Attempt, Took: fromMicroseconds(e.Took)}, nil
