--- a/internal/node/accepted_test.go
+++ b/internal/node/accepted_test.go
@@ -12,7 +12,7 @@
 
 // TestBadMessageKeepsNeighbours: a message that cannot be read, or stalls, ends its connection, but not the requests
 // that were taken on it before: they are answered there, and then the connection closes.
-func TestBadMessageKeepsNeighbours(t *testing.T) {
+func TestMalformedMessageSparesEarlierRequests(t *testing.T) {
 	good := setUp(idC, "free", "")
 	for name, c := range map[string]struct {
 		text   string
@@ -36,7 +36,7 @@
 			v.want(first.ID, 200)
 			v.say(setUp(idC, "free", "")) // behind the bad message nothing is taken
 			ready(second)
-			if got := v.oneAnswer(second.ID); got != 200 {
+			if got := v.answerThenEOF(second.ID); got != 200 {
 				t.Errorf("answered %d", got)
 			}
 			n.agree(2)
@@ -47,7 +47,7 @@
 // TestPauseKeepsRequests: a process that stands still for longer than its read deadlines finds requests in its sockets'
 // buffers when it goes on. They came in time, and are answered: one on a connection that had not spoken yet, one whose
 // message had begun, and one in the accept backlog.
-func TestPauseKeepsRequests(t *testing.T) {
+func TestProcessPauseKeepsRequests(t *testing.T) {
 	t.Parallel()
 	p := startProcess(t, newBox(t, "s-1", ready))
 	const each = 6 // which of two things that are both due comes first is the scheduler's choice: each is tried often
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	ready(b.next(t, "open"))
-	if got := v.oneAnswer(idA); got != 200 {
+	if got := v.answerThenEOF(idA); got != 200 {
 		t.Errorf("answered %d", got)
 	}
 	n.agree(1)
@@ -100,7 +100,7 @@
 // is not over yet. The copy gets the one answer, of the one attempt.
 func TestResentSetUpIsAnswered(t *testing.T) {
 	b := newBox(t, "s-1", nil)
-	n := startGated(t, waitForCopies, b)
+	n := startGated(t, waitForResends, b)
 	first := n.dial().say(setUp(idA, "paid", ""))
 	m := b.next(t, "open")
 	letGo := n.holdOwner() // what leaves is known to its connection only
@@ -118,7 +118,7 @@
 
 // TestResentTooLate: a set-up comes again when it has been withdrawn, which its attempt does not know yet. It is answered
 // with its id: that it failed, if it was sent to a server, which may have run it; else that it is refused.
-func TestResentTooLate(t *testing.T) {
+func TestResentAfterWithdrawal(t *testing.T) {
 	for status, sent := range map[int]bool{statusGatewayTimeout: true, statusServiceUnavailable: false} {
 		b, g := newBox(t, "s-1", nil), newGate()
 		n := startGated(t, func(n *Node) { n.Dial, n.recentAnswers.retention = gatedDial(g), testFor }, b)
@@ -143,7 +143,7 @@
 		again.say(setUp(idA, "paid", "")) // when nothing of it is out any more
 		if sent {
 			again.want(idA, status)
-			n.heardNothing(b, idA)
+			n.wantNoSetUp(b, idA)
 			continue
 		}
 		ready(b.next(t, "open")) // what was never sent may be begun anew
@@ -153,7 +153,7 @@
 
 // TestTearDownByAnotherIsAnswered: a set-up that waits is ended on another connection. Whoever waits for it is answered,
 // once, also where the server's answer crosses.
-func TestTearDownByAnotherIsAnswered(t *testing.T) {
+func TestTearDownOnAnotherConnectionIsAnswered(t *testing.T) {
 	for _, crossing := range []bool{false, true} {
 		b := newBox(t, "s-1", nil)
 		n := startNode(t, b)
@@ -174,7 +174,7 @@
 
 // TestNoRoomIsWaitedFor: a request comes on a new connection while as many connections as may be open all wait for
 // answers. Nobody is closed for it, and it is answered as soon as one of them is.
-func TestNoRoomIsWaitedFor(t *testing.T) {
+func TestNewConnectionWaitsForCapacity(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startGated(t, func(n *Node) { n.viewerConns.maxConnections, n.viewerConns.reserveConnections = 2, 1 }, b)
 	var waiting [3]*dialogue
@@ -197,16 +197,16 @@
 
 // TestCloseBehindBadMessage: a viewer sends what cannot be read behind a set-up, and closes. No attempt for the set-up
 // begins later than the platform allows behind that.
-func TestCloseBehindBadMessage(t *testing.T) {
+func TestCloseAfterMalformedMessage(t *testing.T) {
 	b, g := newBox(t, "s-1", nil), newGate()
 	n := startGated(t, func(n *Node) { n.Dial = gatedDial(g) }, b)
 	v := n.dial().say(setUp(idA, "paid", ""))
 	g.wait(t)
 	v.say("\x16\x03\x01\x02\x00\x01\r\n\r\n").want("", 400)
-	over := n.withdrawn(idA)
+	over := n.attemptsBlocked(idA)
 	_ = v.Close()
 	eventually(t, "no attempt may begin", over)
 	close(g.open)
 	n.agree(0)
-	n.heardNothing(b, idA)
+	n.wantNoSetUp(b, idA)
 }
--- a/internal/node/badviewers_test.go
+++ b/internal/node/badviewers_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestSameID: a set-up under an id that is open is refused, and the open one is not touched.
-func TestSameID(t *testing.T) {
+func TestDuplicateSessionIDIsRefused(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
 	v := n.dial().say(setUp(idA, "paid", ""))
@@ -25,7 +25,7 @@
 }
 
 // TestBadViewers: each is refused or closed in time, and a usual viewer is served meanwhile.
-func TestBadViewers(t *testing.T) {
+func TestMalformedRequestsAreRefused(t *testing.T) {
 	n := startWith(t, 128, newBox(t, "s-1", ready))
 	good := setUp(idB, "free", "")
 	change := func(old, new string) string { return strings.Replace(good, old, new, 1) }
@@ -63,7 +63,7 @@
 }
 
 // TestSilentByTheHundred: connections that say nothing use up no descriptor that others need.
-func TestSilentByTheHundred(t *testing.T) {
+func TestSilentConnectionsAreEvicted(t *testing.T) {
 	n := startWith(t, 128, newBox(t, "s-1", ready))
 	v := n.dial().say(setUp(idA, "free", ""))
 	v.want(idA, 200)
@@ -86,7 +86,7 @@
 }
 
 // TestSlowReader: a viewer that reads nothing loses its connection, and nobody else waits for it.
-func TestSlowReader(t *testing.T) {
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	n := startNode(t, newBox(t, "s-1", ready))
 	slow := n.dial()
 	_ = slow.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
--- a/internal/node/capacity_test.go
+++ b/internal/node/capacity_test.go
@@ -46,7 +46,7 @@
 	if more := heapInUse() - heap; more > maxListHeap {
 		t.Errorf("%d bytes of heap more", more)
 	}
-	n.servesHome(v, b, idA)
+	n.wantServedBy(v, b, idA)
 
 	changed := make([]coordinator.Entry, 0, listedServers-1)
 	for _, e := range list[1:] {
@@ -54,19 +54,19 @@
 		changed = append(changed, e)
 	}
 	n.feed.push(changed...) // one update of 1,023 servers
-	eventually(t, "the changes", func() bool { return n.drained() == listedServers-1 })
+	eventually(t, "the changes", func() bool { return n.drainingCount() == listedServers-1 })
 	for _, e := range changed[:100] { // and a hundred updates
 		e.State = "removed"
 		n.feed.push(e)
 	}
-	eventually(t, "the single changes", func() bool { return n.drained() == listedServers-101 })
-	n.servesHome(v, b, idB)
+	eventually(t, "the single changes", func() bool { return n.drainingCount() == listedServers-101 })
+	n.wantServedBy(v, b, idB)
 
 	whole := coordinator.Update{Endpoints: &coordinator.Endpoints{Full: true, Servers: list}}
 	n.write(n.ConfigPath, n.feed, 256, coordinator.Updates{Index: n.feed.last() + 1, Updates: []coordinator.Update{whole}})
 	_ = syscall.Kill(syscall.Getpid(), syscall.SIGHUP)
-	eventually(t, "the reload", func() bool { return n.drained() == 0 })
-	n.servesHome(v, b, idC)
+	eventually(t, "the reload", func() bool { return n.drainingCount() == 0 })
+	n.wantServedBy(v, b, idC)
 	n.agree(3)
 }
 
@@ -78,7 +78,7 @@
 }
 
 // drained is how many listed servers take nothing new.
-func (r *rig) drained() (count int) {
+func (r *rig) drainingCount() (count int) {
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
 	for _, s := range r.pool.servers {
@@ -90,7 +90,7 @@
 }
 
 // servesHome plays a session of a title that only one server holds.
-func (r *rig) servesHome(v *dialogue, b *box, id string) {
+func (r *rig) wantServedBy(v *dialogue, b *box, id string) {
 	r.t.Helper()
 	v.say(strings.Replace(setUp(id, "free", ""), "copies:4", "copies:1", 1)).want(id, 200)
 	if m := b.next(r.t, "open"); m.ID != id {
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -17,7 +17,7 @@
 )
 
 // ends waits until the node has ended by itself.
-func (r *rig) ends() {
+func (r *rig) waitForEnd() {
 	r.t.Helper()
 	select {
 	case err := <-r.over:
@@ -28,7 +28,7 @@
 }
 
 // oneAnswer reads one final answer to a set-up and then the end of the connection, which is no reset.
-func (d *dialogue) oneAnswer(id string) (status int) {
+func (d *dialogue) answerThenEOF(id string) (status int) {
 	d.t.Helper()
 	m := d.next()
 	if m.Get("Session") != id || m.Status < 200 {
@@ -42,7 +42,7 @@
 
 // TestEndsOwingNothing: wherever a request is when the node ends, it gets its one final answer: in the accept backlog,
 // half read, queued, while its connection comes up, out at a server, answered but unwritten.
-func TestEndsOwingNothing(t *testing.T) {
+func TestShutdownAnswersEveryRequest(t *testing.T) {
 	t.Run("in the accept backlog", func(t *testing.T) {
 		n := startNode(t, newBox(t, "s-1", ready))
 		first := n.dial().say(setUp(idB, "free", ""))
@@ -55,27 +55,27 @@
 		eventually(t, "the node leaving", n.viewerConns.shuttingDown.Load)
 		time.Sleep(2 * backlogIdleTimeout) // a core that is busy elsewhere: the first look's time passes
 		n.viewerConns.mu.Unlock()
-		if got := b.oneAnswer(idA); got != 503 {
+		if got := b.answerThenEOF(idA); got != 503 {
 			t.Errorf("answered %d", got)
 		}
-		if got := c.oneAnswer(idC); got != 503 {
+		if got := c.answerThenEOF(idC); got != 503 {
 			t.Errorf("answered %d", got)
 		}
 		_ = a.Close()
-		n.ends()
+		n.waitForEnd()
 	})
 	t.Run("in the backlog as the listener's time is up", func(t *testing.T) {
 		g := newGate()
-		n := startGated(t, func(n *Node) { n.Listener = &gatedListener{TCPListener: n.Listener.(*net.TCPListener), g: g} }, newBox(t, "s-1", ready))
+		n := startGated(t, func(n *Node) { n.Listener = &gatedListener{TCPListener: n.Listener.(*net.TCPListener), gate: g} }, newBox(t, "s-1", ready))
 		g.wait(t) // accept is about to look
 		v := n.dial().say(setUp(idA, "free", ""))
 		n.stop()
-		eventually(t, "the node leaving", n.Listener.(*gatedListener).limited.Load)
+		eventually(t, "the node leaving", n.Listener.(*gatedListener).deadlineSet.Load)
 		close(g.open)
-		if got := v.oneAnswer(idA); got != 503 {
+		if got := v.answerThenEOF(idA); got != 503 {
 			t.Errorf("answered %d", got)
 		}
-		n.ends()
+		n.waitForEnd()
 	})
 	t.Run("half read", func(t *testing.T) {
 		n := startNode(t, newBox(t, "s-1", ready))
@@ -93,18 +93,18 @@
 			t.Errorf("answer %+v", m)
 		}
 		letGo()
-		n.ends()
+		n.waitForEnd()
 	})
 	t.Run("queued", func(t *testing.T) {
 		n := startNode(t, newBox(t, "s-1", nil))
 		letGo := n.holdOwner()
 		v := n.dial().say(setUp(idA, "paid", ""))
-		eventually(t, "queued", func() bool { return n.owner.QueueLen() == 1 })
+		eventually(t, "queued", func() bool { return n.orchestrator.QueueLen() == 1 })
 		n.stop()
 		eventually(t, "the node leaving", n.viewerConns.shuttingDown.Load)
 		letGo()
-		v.oneAnswer(idA)
-		n.ends()
+		v.answerThenEOF(idA)
+		n.waitForEnd()
 	})
 	t.Run("while its connection comes up", func(t *testing.T) {
 		g := newGate()
@@ -112,9 +112,9 @@
 		v := n.dial().say(setUp(idA, "paid", ""))
 		g.wait(t)
 		n.stop()
-		v.oneAnswer(idA)
+		v.answerThenEOF(idA)
 		close(g.open)
-		n.ends()
+		n.waitForEnd()
 	})
 	t.Run("out at a server", func(t *testing.T) {
 		b := newBox(t, "s-1", nil)
@@ -122,13 +122,13 @@
 		v := n.dial().say(setUp(idA, "paid", ""))
 		m := b.next(t, "open")
 		n.stop()
-		if got := v.oneAnswer(idA); got != 504 { // it may have run
+		if got := v.answerThenEOF(idA); got != 504 { // it may have run
 			t.Errorf("answered %d", got)
 		}
 		if c := b.next(t, "close"); c.ID != m.ID {
 			t.Errorf("%+v", c.Message)
 		}
-		n.ends()
+		n.waitForEnd()
 	})
 	t.Run("answered but unwritten", func(t *testing.T) {
 		b := newBox(t, "s-1", nil)
@@ -146,31 +146,31 @@
 		if got := v.next(); got.Get("Session") != idA {
 			t.Errorf("answer %+v", got)
 		}
-		n.ends()
+		n.waitForEnd()
 	})
 }
 
 // gatedListener holds the first look at the backlog.
 type gatedListener struct {
 	*net.TCPListener
-	g       *gate
-	limited atomic.Bool
+	gate        *gate
+	deadlineSet atomic.Bool
 }
 
 func (l *gatedListener) Accept() (net.Conn, error) {
-	l.g.pass("accept")
+	l.gate.pass("accept")
 	return l.TCPListener.Accept()
 }
 
 // SetDeadline notes that it was called: with a time that is over a look fails at once, whatever the backlog holds.
 func (l *gatedListener) SetDeadline(t time.Time) error {
-	defer l.limited.Store(true)
+	defer l.deadlineSet.Store(true)
 	return l.TCPListener.SetDeadline(t)
 }
 
 // TestEndWithUnreadBytes: a viewer that writes on and on while the node ends still reads the answer it was given: the
 // node's last words are not destroyed by a reset for bytes that nobody read.
-func TestEndWithUnreadBytes(t *testing.T) {
+func TestShutdownWhileViewerKeepsWriting(t *testing.T) {
 	for range 20 {
 		b := newBox(t, "s-1", nil)
 		n := startNode(t, b)
@@ -199,13 +199,13 @@
 		}
 		close(stop)
 		<-over
-		n.ends()
+		n.waitForEnd()
 	}
 }
 
 // TestSignalsCross: signals that meet a drain change nothing of it: a reload that brings a drain and another address, a
 // second SIGTERM, two reloads at once, a file that cannot be read.
-func TestSignalsCross(t *testing.T) {
+func TestSignalsDuringShutdown(t *testing.T) {
 	a, b := newBox(t, "s-1", nil), newBox(t, "s-2", nil)
 	n := startNode(t, a)
 	n.ArrivalWindow = killMargin // and the longest deadline on top, 1 s
@@ -231,7 +231,7 @@
 	late.want(idB, 200)
 	ready(m)
 	v.want(idA, 200)
-	n.ends()
+	n.waitForEnd()
 }
 
 // TestRequestInPieces: a request that is held up in its middle keeps nobody waiting, one that comes byte by byte is
@@ -262,7 +262,7 @@
 
 // TestUnreadBytesAreRead: bytes of a viewer that lie unread when all connections close are read before; a close with
 // them unread is a reset, which destroys the answer that the viewer has not read yet.
-func TestUnreadBytesAreRead(t *testing.T) {
+func TestCloseReadsUnreadBytesFirst(t *testing.T) {
 	n := startNode(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -309,30 +309,30 @@
 // lingeringListener has accept return late when the node stops listening: the end is held in its middle.
 type lingeringListener struct {
 	*net.TCPListener
-	held chan struct{} // closed when accept is held
-	open chan struct{}
-	once sync.Once
+	blocked chan struct{} // closed when accept is held
+	resume  chan struct{}
+	once    sync.Once
 }
 
 func (l *lingeringListener) Accept() (net.Conn, error) {
 	conn, err := l.TCPListener.Accept()
 	if err != nil {
-		l.once.Do(func() { close(l.held) })
-		<-l.open
+		l.once.Do(func() { close(l.blocked) })
+		<-l.resume
 	}
 	return conn, err
 }
 
 // TestEndPassesReleasesOn: a server releases a session while the node ends, when requests are answered already. The viewer
 // is told: the server has said it and need not say it again.
-func TestEndPassesReleasesOn(t *testing.T) {
+func TestShutdownForwardsReleases(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	var l *lingeringListener
 	n := startGated(t, func(n *Node) {
-		l = &lingeringListener{TCPListener: n.Listener.(*net.TCPListener), held: make(chan struct{}), open: make(chan struct{})}
+		l = &lingeringListener{TCPListener: n.Listener.(*net.TCPListener), blocked: make(chan struct{}), resume: make(chan struct{})}
 		n.Listener = l
 	}, b)
-	letGo := sync.OnceFunc(func() { close(l.open) })
+	letGo := sync.OnceFunc(func() { close(l.resume) })
 	defer letGo()
 	v := n.dial().say(setUp(idA, "free", ""))
 	plays := b.next(t, "open")
@@ -341,17 +341,17 @@
 	v.say(setUp(idB, "paid", ""))
 	b.next(t, "open")
 	n.stop()
-	<-l.held
+	<-l.blocked
 	v.want(idB, 504) // the mark: requests are answered by now
 	plays.endServed()
 	v.wantRelease(idA, "cause=16")
 	letGo()
-	n.ends()
+	n.waitForEnd()
 }
 
 // TestStaysUntilLastArrival: the node neither ends while requests still come, 0.6 s after SIGTERM, nor as late as it may
 // be killed, 0.7 s and the longest deadline after it.
-func TestStaysUntilLastArrival(t *testing.T) {
+func TestShutdownDelay(t *testing.T) {
 	const lastArrival = 600 * time.Millisecond
 	for _, deadline := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 350 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second} {
 		n := &Node{Config: &Config{}, ArrivalWindow: defaultArrivalWindow}
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -44,7 +44,7 @@
 // holdOwner keeps the module's goroutine busy until let go: what a viewer does meanwhile is known to its reader only.
 func (r *rig) holdOwner() (letGo func()) {
 	held, hold := make(chan struct{}), make(chan struct{})
-	r.owner.Inspect(func() { close(held); <-hold })
+	r.orchestrator.Inspect(func() { close(held); <-hold })
 	<-held
 	letGo = sync.OnceFunc(func() { close(hold) })
 	r.t.Cleanup(letGo) // a test that failed meanwhile ends
--- a/internal/node/giveup_test.go
+++ b/internal/node/giveup_test.go
@@ -12,7 +12,7 @@
 
 // TestGiveUpLostWithItsConnection: a set-up is given up for time, and its connection is reset before the server has read
 // that. The session may stand there: the server is told again on another connection.
-func TestGiveUpLostWithItsConnection(t *testing.T) {
+func TestGiveUpIsResentAfterReset(t *testing.T) {
 	var first sync.Once
 	tried := make(chan *box, 2)
 	reset := make(chan struct{})
@@ -82,7 +82,7 @@
 // TestOldReleaseSparesSession: a set-up's connection breaks, the server is told to give it up on the next one, and there a
 // later attempt of the same request comes to stand. That connection breaks too: what was said on it about the earlier
 // attempt is not said again.
-func TestOldReleaseSparesSession(t *testing.T) {
+func TestReleaseOfEarlierAttemptSparesSession(t *testing.T) {
 	var attempts atomic.Int64
 	b := newBox(t, "s-1", func(m said) {
 		switch {
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -105,7 +105,7 @@
 	n.pool.mu.Unlock()
 	eventually(t, "a connection", func() bool { return late.accepted() > 0 })
 	v.silent()
-	if n.owner.Stats.Open.Load() != 1 || n.findSession(idB) == nil {
+	if n.orchestrator.Stats.Open.Load() != 1 || n.findSession(idB) == nil {
 		t.Error("the session at the server that was listed late is gone")
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,7 +34,7 @@
 	beforeAdmission func(id string)     // if set, called ahead of the admission of a set-up's first byte
 	yieldProcessor  func()              // lets other goroutines go first
 	controller      *control.Controller // touched on the owner's goroutine only
-	owner           *core.Orchestrator
+	orchestrator    *core.Orchestrator
 	pool            *pool
 	viewerConns     *viewerConns
 	follower        *coordinator.Follower
@@ -86,7 +86,7 @@
 	n.controller = d
 	n.pool = newPool(n, c.Sockets*3/8)
 	n.viewerConns = newViewerConns(n, c.Sockets/2)
-	n.owner = core.New(core.Options{QueueSize: maxQueuedRequests, MaxAttempts: c.Set.MaxAttempts, AnswerSlack: c.Platform.AnswerSlack + socketSlack,
+	n.orchestrator = core.New(core.Options{QueueSize: maxQueuedRequests, MaxAttempts: c.Set.MaxAttempts, AnswerSlack: c.Platform.AnswerSlack + socketSlack,
 		Budget: core.Budget{Span: c.Set.BudgetSpan, Share: c.Set.BudgetShare}, Log: log, Decider: d, Executor: n.pool, Now: n.now})
 	n.follower = coordinator.New(c.Coordinator, c.Known.Index, c.Platform.ConnectTimeout, log, n.handleUpdates)
 	n.follower.OnResponse = n.recordCoordinatorContact
@@ -141,7 +141,7 @@
 		addr[e.ID] = e.Addr
 	}
 	// The module first: a set-up that the pool holds back for a drain ends behind it, and is placed anew.
-	n.owner.AddEvent(control.ListUpdate{Whole: whole || cached, Cached: cached, Servers: list})
+	n.orchestrator.AddEvent(control.ListUpdate{Whole: whole || cached, Cached: cached, Servers: list})
 	n.pool.applyList(list, addr, whole)
 	n.Log.Debug("list", "whole", whole, "servers", len(list))
 	return nil
@@ -187,7 +187,7 @@
 		return fmt.Errorf("known: %w", err)
 	}
 	ownerOver := make(chan struct{})
-	go func() { n.owner.Run(inner); close(ownerOver) }()
+	go func() { n.orchestrator.Run(inner); close(ownerOver) }()
 	l := n.Listener
 	if l == nil {
 		var err error
@@ -224,7 +224,7 @@
 // compare logs where the module's count of own sessions at a server is not that on the sockets. For a moment
 // they may differ, while a set-up is out or a release on its way.
 func (n *Node) compareSessionCounts() {
-	n.owner.Inspect(func() {
+	n.orchestrator.Inspect(func() {
 		for id, b := range n.pool.countSessions(n.controller.OwnSessionCount) {
 			if b.controller != b.sockets {
 				n.Log.Debug("belief", "server", id, "module", b.controller, "sockets", b.sockets)
@@ -289,8 +289,8 @@
 	}
 	end, over := n.pool.adopt(r.ID, r.Server)
 	s.conn.addSessions(1)
-	n.owner.Adopt(r, -1, s)
+	n.orchestrator.Adopt(r, -1, s)
 	if over {
-		n.owner.EndedByServer(r.ID, r.Server, end.outcome, end.load)
+		n.orchestrator.EndedByServer(r.ID, r.Server, end.outcome, end.load)
 	}
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -167,7 +167,7 @@
 	}
 	clear(s.activeSessions)
 	p.node.Log.Info("sessions lost", "server", s.id, "sessions", len(ids), "why", why)
-	go p.node.owner.SessionsLost(s.id, ids) // not under the lock: the owner's goroutine takes it too
+	go p.node.orchestrator.SessionsLost(s.id, ids) // not under the lock: the owner's goroutine takes it too
 }
 
 // belief is how many sessions run at a server, set-ups too.
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -23,7 +23,7 @@
 		if s != nil {
 			result.OK, result.Load = p.runProbe(s, sid)
 		}
-		p.node.owner.AddEvent(result)
+		p.node.orchestrator.AddEvent(result)
 	})
 }
 
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -51,7 +51,7 @@
 			n.ArrivalWindow = -n.longestDeadline()
 		}
 		if os.Getenv(helperWaits) != "" {
-			waitForCopies(n)
+			waitForResends(n)
 		}
 		err = n.Run(context.Background())
 	}
--- a/internal/node/reading.go
+++ b/internal/node/reading.go
@@ -93,7 +93,7 @@
 			if p.node.Log.Enabled(context.Background(), slog.LevelDebug) {
 				p.node.Log.Debug("note", "session", m.ID, "server", l.server.id, "note", m.Attr("note"), "value", v)
 			}
-			p.node.owner.AddNote(control.Note{ID: m.ID, Server: l.server.id, Kind: kind, Value: v})
+			p.node.orchestrator.AddNote(control.Note{ID: m.ID, Server: l.server.id, Kind: kind, Value: v})
 		}
 	default:
 		p.mu.Unlock()
@@ -116,7 +116,7 @@
 	p.mu.Unlock()
 	p.node.Log.Debug("released by server", "session", m.ID, "server", l.server.id, "cause", m.Cause(), "stood", stood)
 	if stood {
-		p.node.owner.EndedByServer(m.ID, l.server.id, outcome, load)
+		p.node.orchestrator.EndedByServer(m.ID, l.server.id, outcome, load)
 	}
 }
 
--- a/internal/node/resend.go
+++ b/internal/node/resend.go
@@ -154,7 +154,7 @@
 		for _, s := range orphans {
 			if s.withdrawIfNotResent(ended) {
 				n.cacheAnswer(s)
-				n.owner.ViewerLeft(s.id, s)
+				n.orchestrator.ViewerLeft(s.id, s)
 			}
 		}
 	})
@@ -162,8 +162,8 @@
 
 // remembered is a request whose answer is kept.
 type cachedAnswer struct {
-	s  *session
-	at time.Duration
+	session *session
+	at      time.Duration
 }
 
 // answers are the requests that were answered a short time ago, the oldest first.
@@ -183,7 +183,7 @@
 // expire lets go of what is too old or too many.
 func (a *answerCache) expire(now time.Duration) {
 	for len(a.order) > 0 && (len(a.order) > maxCachedAnswers || now-a.order[0].at > a.retention) {
-		s := a.order[0].s
+		s := a.order[0].session
 		a.order[0] = cachedAnswer{}
 		a.order = a.order[1:]
 		if a.byID[s.id] == s {
--- a/internal/node/resent_test.go
+++ b/internal/node/resent_test.go
@@ -16,18 +16,20 @@
 // viewer that waits on the new connection is owed the one answer.
 
 // waitForCopies has a node wait for set-ups that come again, and keep answers, for as long as a test takes.
-func waitForCopies(n *Node) { n.resendWindow, n.recentAnswers.retention = testFor, testFor }
+func waitForResends(n *Node) { n.resendWindow, n.recentAnswers.retention = testFor, testFor }
 
 // ledger is what a server heard, by session.
-type ledger struct {
+type messageLog struct {
 	mu     sync.Mutex
 	opens  map[string][]said
 	closes map[string]int
 }
 
-func newLedger() *ledger { return &ledger{opens: map[string][]said{}, closes: map[string]int{}} }
+func newMessageLog() *messageLog {
+	return &messageLog{opens: map[string][]said{}, closes: map[string]int{}}
+}
 
-func (l *ledger) hear(m said) {
+func (l *messageLog) record(m said) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch m.Type {
@@ -39,7 +41,7 @@
 }
 
 // of is the set-ups of a session that were heard, and how often it was ended.
-func (l *ledger) of(id string) (opens []said, closes int) {
+func (l *messageLog) forSession(id string) (opens []said, closes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.opens[id], l.closes[id]
@@ -52,14 +54,14 @@
 // resentCase is one way in which a set-up and the end of its connection cross.
 type resentCase struct {
 	class, ending string
-	copyFirst     bool // the copy reaches the node ahead of the end of the first connection
+	resendFirst   bool // the copy reaches the node ahead of the end of the first connection
 	answered      bool // the answer was written on the first connection, and is lost with it
 	id            string
 }
 
 func (c resentCase) String() string {
 	order, moment := "end first", "waits"
-	if c.copyFirst {
+	if c.resendFirst {
 		order = "copy first"
 	}
 	if c.answered {
@@ -89,24 +91,24 @@
 
 // TestSetUpSentAgainIsAnswered: the connection of a set-up ends under it, and its viewer sends it again on a new one. That
 // one gets the one answer, of the one attempt, which goes on; the session stands until its viewer ends it.
-func TestSetUpSentAgainIsAnswered(t *testing.T) {
+func TestResentSetUpGetsOneAnswer(t *testing.T) {
 	t.Parallel()
-	heard := newLedger()
+	heard := newMessageLog()
 	patient := strings.ReplaceAll(defaultSettings, `"aim":900000`, `"aim":30000000`) // no attempt is given up for time
-	p := startProcessWith(t, newBox(t, "s-1", heard.hear), childOptions{256, patient, []string{helperWaits + "=1"}})
+	p := startProcessWith(t, newBox(t, "s-1", heard.record), childOptions{256, patient, []string{helperWaits + "=1"}})
 	p.dial().say(ping).want("", 200) // it listens
 	r := newRelay(t, p.addr)
 	for _, c := range resentCases() {
-		t.Run(c.String(), func(t *testing.T) { t.Parallel(); c.play(t, r, heard) })
+		t.Run(c.String(), func(t *testing.T) { t.Parallel(); c.run(t, r, heard) })
 	}
 }
 
 // TestEarlierCopyReadLater: the node reads the copy ahead of the set-up itself, as it may when it stood still for a moment.
 // The answer goes to the connection that was opened last.
-func TestEarlierCopyReadLater(t *testing.T) {
+func TestOriginalReadAfterResend(t *testing.T) {
 	for _, answered := range []bool{false, true} {
 		b := newBox(t, "s-1", nil)
-		n := startGated(t, waitForCopies, b)
+		n := startGated(t, waitForResends, b)
 		text := setUp(idA, "paid", "")
 		first := n.dial().say(ping)
 		first.want("", statusOK)
@@ -130,9 +132,9 @@
 
 // TestEarlierCopyOfRefused: the copy was refused, nothing of it went to a server, and then the set-up itself is read. It
 // is not begun anew: its viewer has its answer.
-func TestEarlierCopyOfRefused(t *testing.T) {
+func TestOriginalReadAfterRefusedResend(t *testing.T) {
 	b := newBox(t, "s-1", nil)
-	n := startGated(t, waitForCopies, b)
+	n := startGated(t, waitForResends, b)
 	first := n.dial().say(ping)
 	first.want("", statusOK)
 	_ = b.l.Close() // no connection comes up
@@ -141,25 +143,25 @@
 	first.say(setUp(idA, "paid", "") + ping)
 	first.want("", statusOK)
 	second.silent()
-	if attempts := n.owner.Stats.Requests.Load(); attempts != 1 {
+	if attempts := n.orchestrator.Stats.Requests.Load(); attempts != 1 {
 		t.Errorf("%d requests begun", attempts)
 	}
 	n.agree(0)
 }
 
-func (c resentCase) play(t *testing.T, r *relay, heard *ledger) {
+func (c resentCase) run(t *testing.T, r *relay, heard *messageLog) {
 	first, x := r.dial(t)
 	second, _ := r.dial(t) // connected ahead, so that no handshake comes between
 	second.say(ping).want("", 200)
 	first.say(c.setUp())
-	eventually(t, "an attempt", func() bool { opens, _ := heard.of(c.id); return len(opens) == 1 })
-	opens, _ := heard.of(c.id)
+	eventually(t, "an attempt", func() bool { opens, _ := heard.forSession(c.id); return len(opens) == 1 })
+	opens, _ := heard.forSession(c.id)
 	_ = x.client.Close()
 	if c.answered {
 		ready(opens[0])
 		time.Sleep(resendDelay)
 	}
-	if c.copyFirst {
+	if c.resendFirst {
 		second.say(c.setUp())
 		time.Sleep(resendDelay)
 		endings[c.ending](x.node)
@@ -176,9 +178,9 @@
 		t.Errorf("description %q", m.Body)
 	}
 	second.silent()
-	if opens, closes := heard.of(c.id); len(opens) != 1 || closes != 0 {
+	if opens, closes := heard.forSession(c.id); len(opens) != 1 || closes != 0 {
 		t.Errorf("%d attempts, %d ends at the server", len(opens), closes)
 	}
 	second.say(tearDown(c.id))
-	eventually(t, "the session released", func() bool { _, closes := heard.of(c.id); return closes == 1 })
+	eventually(t, "the session released", func() bool { _, closes := heard.forSession(c.id); return closes == 1 })
 }
--- a/internal/node/reserve_test.go
+++ b/internal/node/reserve_test.go
@@ -48,7 +48,7 @@
 
 // TestServersTakeTurns: with all places taken by servers whose sessions play, one without a connection still gets one
 // from time to time: a session that ends there later is released in time too.
-func TestServersTakeTurns(t *testing.T) {
+func TestServersShareConnections(t *testing.T) {
 	const servers, places = 12, 4
 	boxes := make([]*box, servers)
 	for i := range boxes {
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -224,7 +224,7 @@
 	r.t.Helper()
 	eventually(r.t, fmt.Sprintf("%d sessions everywhere", n), func() bool {
 		same := make(chan bool, 1)
-		r.owner.Inspect(func() {
+		r.orchestrator.Inspect(func() {
 			sum, ok := 0, true
 			for _, b := range r.pool.countSessions(r.controller.OwnSessionCount) {
 				sum, ok = sum+b.controller, ok && b.controller == b.sockets
@@ -234,7 +234,7 @@
 		r.mu.Lock()
 		held := len(r.sessions)
 		r.mu.Unlock()
-		return <-same && held == n && r.owner.Stats.Open.Load() == int64(n)
+		return <-same && held == n && r.orchestrator.Stats.Open.Load() == int64(n)
 	})
 }
 
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -73,7 +73,7 @@
 	if !first {
 		s.node.Log.Info("answer not sent: the viewer has left", "session", s.id, "answer", a.Kind.String())
 		if a.Kind == core.Playing {
-			s.node.owner.ViewerLeft(s.id, s)
+			s.node.orchestrator.ViewerLeft(s.id, s)
 		}
 		return
 	}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -45,7 +45,7 @@
 func (n *Node) shutDown(l net.Listener, listening <-chan struct{}, stopOwner context.CancelFunc, ownerOver <-chan struct{}) {
 	n.viewerConns.shuttingDown.Store(true)
 	n.viewerConns.stopListening(l)
-	n.owner.FinishRequests()
+	n.orchestrator.FinishRequests()
 	pollUntil(backlogTimeout, func() bool { return isClosed(listening) })
 	_ = l.Close()
 	<-listening
@@ -56,5 +56,5 @@
 	<-ownerOver
 	n.viewerConns.closeAll()
 	n.goroutines.Wait()
-	n.Log.Info("ended", "sessions", n.owner.Stats.Open.Load(), "near", &n.nearMisses)
+	n.Log.Info("ended", "sessions", n.orchestrator.Stats.Open.Load(), "near", &n.nearMisses)
 }
--- a/internal/node/viewer.go
+++ b/internal/node/viewer.go
@@ -177,7 +177,7 @@
 		c.openSetUps[s.id] = s
 	}
 	c.mu.Unlock()
-	if leaving := c.node.viewerConns.shuttingDown.Load(); full || leaving || !c.node.owner.Submit(r, s) {
+	if leaving := c.node.viewerConns.shuttingDown.Load(); full || leaving || !c.node.orchestrator.Submit(r, s) {
 		c.node.Log.Info("set-up refused", "session", s.id, "status", statusServiceUnavailable, "waiting", c.openSetUpCount(), "leaving", leaving, "connection", uint64(c.id))
 		c.node.unregister(s)
 		c.respond(m, statusServiceUnavailable)
@@ -252,7 +252,7 @@
 	s.withdraw()
 	on.removeSetUp(s)
 	c.logTearDown(s, on, waited)
-	c.node.owner.ViewerLeft(s.id, s)
+	c.node.orchestrator.ViewerLeft(s.id, s)
 	c.respond(m, statusOK)
 }
 
--- a/internal/node/withdrawal_test.go
+++ b/internal/node/withdrawal_test.go
@@ -6,7 +6,7 @@
 )
 
 // heardNothing checks that a server was sent no set-up of an id so far; a later one, of another viewer, is the mark.
-func (r *rig) heardNothing(b *box, id string) {
+func (r *rig) wantNoSetUp(b *box, id string) {
 	r.t.Helper()
 	mark := "00000000000000ff"
 	v := r.dial().say(setUp(mark, "free", ""))
@@ -36,21 +36,21 @@
 	"teardown on another connection": func(r *rig, _ *dialogue) { r.dial().say(tearDown(idA)) },
 }
 
-func (r *rig) withdrawn(id string) func() bool {
+func (r *rig) attemptsBlocked(id string) func() bool {
 	s := r.findSession(id)
 	return func() bool { return !s.mayBeginAttempt() }
 }
 
 // TestViewerGoneWhileDialling: a viewer that leaves while its server's connection comes up is never sent on, though the
 // owner does not get to hear of it in time; one that leaves just after is taken back at the server.
-func TestViewerGoneWhileDialling(t *testing.T) {
+func TestViewerLeavesWhileDialing(t *testing.T) {
 	for name, leave := range withdrawals {
 		t.Run(name, func(t *testing.T) {
 			b, g := newBox(t, "s-1", nil), newGate()
 			n := startGated(t, func(n *Node) { n.Dial = gatedDial(g) }, b)
 			v := n.dial().say(setUp(idA, "paid", ""))
 			g.wait(t)
-			gone, letGo := n.withdrawn(idA), n.holdOwner()
+			gone, letGo := n.attemptsBlocked(idA), n.holdOwner()
 			leave(n, v)
 			eventually(t, "the viewer seen to leave", gone)
 			close(g.open)
@@ -60,7 +60,7 @@
 				return len(n.pool.servers["s-1"].idleConns) == 1
 			})
 			letGo()
-			n.heardNothing(b, idA)
+			n.wantNoSetUp(b, idA)
 			n.agree(0)
 
 			v = n.dial().say(setUp(idA, "paid", "")) // the other order
@@ -68,7 +68,7 @@
 			leave(n, v)
 			if name == halfClose { // it may still read, and what is out for it goes on
 				ready(m)
-				if got := v.oneAnswer(idA); got != 200 {
+				if got := v.answerThenEOF(idA); got != 200 {
 					t.Errorf("answered %d", got)
 				}
 				n.agree(1)
@@ -83,7 +83,7 @@
 }
 
 // TestViewerGoneAtAdmission: the same where a connection rests and only the last look is left.
-func TestViewerGoneAtAdmission(t *testing.T) {
+func TestViewerLeavesAtAdmission(t *testing.T) {
 	for name, leave := range withdrawals {
 		t.Run(name, func(t *testing.T) {
 			b, g := newBox(t, "s-1", nil), newGate()
@@ -97,20 +97,20 @@
 			n.warm(b)
 			v := n.dial().say(setUp(idA, "free", ""))
 			g.wait(t)
-			gone, letGo := n.withdrawn(idA), n.holdOwner()
+			gone, letGo := n.attemptsBlocked(idA), n.holdOwner()
 			leave(n, v)
 			eventually(t, "the viewer seen to leave", gone)
 			close(g.open)
 			letGo()
 			n.agree(0)
-			n.heardNothing(b, idA)
+			n.wantNoSetUp(b, idA)
 		})
 	}
 }
 
 // TestNoRetryForTheGone: a first attempt fails as its viewer leaves; the owner hears of the failure first and the module
 // orders another attempt, which must not go out.
-func TestNoRetryForTheGone(t *testing.T) {
+func TestNoRetryAfterViewerLeft(t *testing.T) {
 	a, b := newBox(t, "s-1", nil), newBox(t, "s-2", nil)
 	n := startNode(t, a, b)
 	n.warm(a)
@@ -123,7 +123,7 @@
 	case m = <-b.heard:
 		first, other = b, a
 	}
-	gone, letGo := n.withdrawn(idA), n.holdOwner()
+	gone, letGo := n.attemptsBlocked(idA), n.holdOwner()
 	m.on.say(`{"msg":"close","sid":%q,"code":47}`, idA)
 	eventually(t, "the failure taken", func() bool {
 		n.pool.mu.Lock()
