--- a/internal/admission/join.go
+++ b/internal/admission/join.go
@@ -1,71 +1,71 @@
-// Package join decides what a viewer's request joins: the session that it has, one that is being set
-// up, or a new try. It is what keeps a viewer that knocks twice from being set up twice. It does no I/O
-// and knows no protocol.
+// Package admission decides how an edge handles a viewer's request: with the viewer's existing session, with a set-up
+// that is already in progress, or with a new set-up. It prevents a repeated request from being set up twice. It also
+// rejects requests when the edge is at its limits. The package does no I/O and is independent of the protocol.
 package admission
 
 import "time"
 
-// State of the session that a viewer has at this edge.
+// State is the state of a viewer's session at this edge.
 type State int
 
-// States of a session.
+// The states of a session.
 const (
-	None         State = iota // never seen, or forgotten
-	Pending                   // asked for, no answer yet
+	None         State = iota // the edge never had the session, or no longer keeps it
+	Pending                   // requested, not yet answered
 	Playing                   // set up
-	Lost                      // its server was lost, or it was moved; the viewer may come again
+	Lost                      // its server was lost, or the session was moved; the viewer may return
 	Ended                     // played to its end, or the viewer left
-	Unsuccessful              // refused or failed
-	Leaving                   // its viewer went away, an attempt may still be out
+	Unsuccessful              // the request was refused or failed
+	Leaving                   // the viewer left, but an attempt may still be in flight
 )
 
-// Session is what is known of the viewer's session of this title and class.
+// Session is the viewer's session for a title and class, as far as the edge knows it.
 type Session struct {
 	State State
-	Moved bool // with Lost: taken off its server by this edge
-	Since time.Duration
+	Moved bool          // with Lost: this edge took the session off its server
+	Since time.Duration // when the session entered State
 }
 
-// Kind of a request.
+// RequestKind is the kind of a viewer's request.
 type RequestKind int
 
-// Kinds of requests.
+// The kinds of requests.
 const (
-	Play   RequestKind = iota // for the session as a whole
-	Reload                    // for more of one that the viewer thinks it has
+	Play   RequestKind = iota // starts a session
+	Reload                    // continues a session that the viewer assumes to exist
 )
 
-// Verdict is what becomes of a request.
+// Action is how a request is handled.
 type Action int
 
-// Verdicts.
+// The actions.
 const (
-	Serve    Action = iota // from the session as it stands
-	Wait                   // for the answer that the session is owed
-	SetUp                  // a new try, with the marks below
-	NotFound               // there is nothing to reload: the viewer begins anew
-	Defer                  // until nothing of the earlier try is out, then decide again
+	Serve    Action = iota // serve the request from the playing session
+	Wait                   // wait for the answer to the pending set-up
+	SetUp                  // start a new set-up, with the flags of the Decision
+	NotFound               // there is no session to reload: the viewer has to start a new one
+	Defer                  // wait until no earlier attempt is in flight, then decide again
 )
 
-// Decision is a verdict with the marks of the try.
+// Decision is an action and the flags of the set-up.
 type Decision struct {
 	Action   Action
-	Repeat   bool // the viewer asked before
-	Returned bool // it comes again after a break or a refusal
-	Moved    bool // it comes back after being moved
+	Repeat   bool // the viewer requested the session before
+	Returned bool // the viewer returns after an interruption or a refusal
+	Moved    bool // the viewer returns after its session was moved
 }
 
-// remember is how long an ended session still marks the next try of its viewer as a return.
+// returnWindow is how long after a refusal or a failure another request of the viewer counts as its return.
 const returnWindow = time.Minute
 
-// Decide settles one request. A reload never starts a session that ended in order: its viewer saw the
-// end. It does bring back one whose server was lost, and one that another edge had.
-func Decide(s Session, k RequestKind, now time.Duration, elsewhere bool) Decision {
+// Decide decides on one request. A reload never restarts a session that ended normally, because its viewer has received
+// the end. It does restart a session whose server was lost, and one that the viewer had at another edge (onOtherEdge).
+func Decide(s Session, kind RequestKind, now time.Duration, onOtherEdge bool) Decision {
 	recent := now-s.Since < returnWindow
 	switch s.State {
 	case Pending:
 		return Decision{Action: Wait, Repeat: true}
-	case Leaving: // a new try beside an attempt that is out would be two at once
+	case Leaving: // a new set-up could be a second one in flight
 		return Decision{Action: Defer}
 	case Playing:
 		return Decision{Action: Serve, Repeat: true}
@@ -74,13 +74,13 @@
 	case Unsuccessful:
 		return Decision{Action: SetUp, Repeat: recent, Returned: recent}
 	case Ended:
-		if k == Reload {
+		if kind == Reload {
 			return Decision{Action: NotFound}
 		}
 		return Decision{Action: SetUp}
 	}
-	if k == Reload {
-		if elsewhere {
+	if kind == Reload {
+		if onOtherEdge {
 			return Decision{Action: SetUp, Repeat: true, Returned: true}
 		}
 		return Decision{Action: NotFound}
@@ -88,16 +88,16 @@
 	return Decision{Action: SetUp}
 }
 
-// Overload is what an edge can still take.
+// Usage is the current usage of an edge and its limits.
 type Usage struct {
-	Queued, QueueLimit     int // requests waiting for the decision
+	Queued, QueueLimit     int // requests that wait for a decision
 	Sessions, SessionLimit int
 }
 
-// Advice settles whether a request is turned away before it is taken, and for how long: the fuller
-// the queue, the longer, so that viewers do not come back together.
-func CheckCapacity(o Usage, jitter float64) (turnAway bool, after time.Duration) {
-	if o.Queued < o.QueueLimit && o.Sessions < o.SessionLimit {
+// CheckCapacity decides whether the edge rejects a request before it is queued, and after which time the viewer should
+// retry: 1 s to 3 s, for a jitter in [0, 1], so that rejected viewers do not return all at the same time.
+func CheckCapacity(u Usage, jitter float64) (reject bool, retryAfter time.Duration) {
+	if u.Queued < u.QueueLimit && u.Sessions < u.SessionLimit {
 		return false, 0
 	}
 	return true, time.Second + time.Duration(jitter*float64(2*time.Second))
--- a/internal/core/act.go
+++ b/internal/core/act.go
@@ -8,7 +8,7 @@
 	"rainpulley/control"
 )
 
-// step tells the module a batch and carries out what it answers, in order.
+// step passes a batch of events to the module and carries out the returned actions in order.
 func (o *Orchestrator) step(events []control.Event) {
 	for _, a := range o.Decider.Step(o.Now(), events) {
 		switch a := a.(type) {
@@ -44,46 +44,50 @@
 	}
 }
 
-// awaiting is a request that still waits for its answer.
+// unansweredRequest returns the request with this id if it still waits for its answer, and nil otherwise.
 func (o *Orchestrator) unansweredRequest(id, action string) *request {
 	r := o.openRequests[id]
 	if r == nil || r.answered || r.viewerLeft {
-		o.Log.Debug("action for a request that is over", "session", id, "action", action)
+		o.Log.Debug("ignoring action: the request is answered, withdrawn or unknown", "session", id, "action", action)
 		return nil
 	}
 	return r
 }
 
-// overBudget keeps the budget over a restart. An edge that was killed forgets what it sent on; were its next instance to
-// spend the free part at once, both together would break the budget of one front. For the first span there is no
-// free part. Harm: an edge that starts for the first time has fewer further attempts for as long.
+// overBudget reports whether a further attempt would exceed the budget right after a restart. A killed edge loses its
+// count of further attempts; if its next instance used the free ones at once, both instances together would exceed the
+// budget of one front. Therefore no free attempts are allowed during the first span. Trade-off: an edge that starts for
+// the first time also has fewer further attempts during that span.
 func (o *Orchestrator) overBudget() bool {
 	b := o.Budget
 	return b.Span > 0 && o.Now()-o.startedAt < b.Span && float64(o.furtherAttempts+1) > b.Share*float64(o.requestCount)
 }
 
-// send starts an attempt. One that may not go out ends as moot, which the module is told: of a request
-// that is over, beyond the most attempts or the budget of an edge that has just started, or beside another
-// attempt of the same request.
+// startAttempt sends an attempt to a server. It reports the attempt to the module as not sent if the
+// request is over or already has an attempt in flight, or if the attempt would exceed MaxAttempts or the budget of an
+// edge that has just started.
 func (o *Orchestrator) startAttempt(a control.Send) {
 	r := o.openRequests[a.ID]
-	if r == nil || r.answered || r.viewerLeft || r.inFlight || o.MaxAttempts > 0 && r.attempts >= o.MaxAttempts || r.attempts > 0 && o.overBudget() {
+	if r == nil || r.answered || r.viewerLeft || r.inFlight ||
+		o.MaxAttempts > 0 && r.attempts >= o.MaxAttempts || r.attempts > 0 && o.overBudget() {
 		o.Stats.NotSent.Add(1)
 		if r != nil && r.inFlight {
-			o.Log.Error("second attempt kept back", "session", a.ID, "server", a.Server)
+			o.Log.Error("second attempt suppressed: another attempt is in flight", "session", a.ID, "server", a.Server)
 		}
-		n := 0
+		number := 0
 		if r != nil {
-			n = r.attempts
+			number = r.attempts
 		}
-		o.Log.Info("attempt not sent", "session", a.ID, "server", a.Server, "attempts", n, "over", r == nil || r.answered || r.viewerLeft)
-		o.addToBatch(control.AttemptEnded{ID: a.ID, Server: a.Server, Attempt: n, Outcome: control.NotSent, Final: r == nil || r.answered || r.viewerLeft})
+		o.Log.Info("attempt not sent", "session", a.ID, "server", a.Server, "attempts", number,
+			"over", r == nil || r.answered || r.viewerLeft)
+		o.addToBatch(control.AttemptEnded{ID: a.ID, Server: a.Server, Attempt: number, Outcome: control.NotSent,
+			Final: r == nil || r.answered || r.viewerLeft})
 		return
 	}
 	now := o.Now()
-	patience := r.GiveUpAt - now
+	timeout := r.GiveUpAt - now
 	if a.Timeout > 0 {
-		patience = min(patience, a.Timeout)
+		timeout = min(timeout, a.Timeout)
 	}
 	attempt := Attempt{ID: r.ID, Server: a.Server, Number: r.attempts, Rung: r.rung, Class: r.Class, Tenant: r.Tenant,
 		Title: r.Title, Viewer: r.Viewer, Listener: r.listener}
@@ -96,30 +100,34 @@
 		o.Stats.FurtherAttempts.Add(1)
 	}
 	if o.infoEnabled() {
-		o.Log.Info("attempt", "session", r.ID, "server", a.Server, "attempt", attempt.Number, "rung", attempt.Rung, "patience", patience)
+		o.Log.Info("attempt", "session", r.ID, "server", a.Server, "attempt", attempt.Number, "rung", attempt.Rung,
+			"patience", timeout)
 	}
-	go o.runAttempt(ctx, attempt, time.Now().Add(patience), now)
+	go o.runAttempt(ctx, attempt, time.Now().Add(timeout), now)
 }
 
-// attempt carries one attempt out. Its time counts from the decision, not from this goroutine's turn.
-func (o *Orchestrator) runAttempt(ctx context.Context, a Attempt, until time.Time, sent time.Duration) {
-	limited, stop := context.WithDeadlineCause(ctx, until, errTimedOut)
+// runAttempt carries out one attempt. Its duration is measured from the decision (sentAt), not from the time at which
+// this goroutine is scheduled.
+func (o *Orchestrator) runAttempt(ctx context.Context, a Attempt, deadline time.Time, sentAt time.Duration) {
+	attemptCtx, stop := context.WithDeadlineCause(ctx, deadline, errTimedOut)
 	defer stop()
-	res := o.Executor.SetUp(limited, a)
+	res := o.Executor.SetUp(attemptCtx, a)
 	if res.Cleanup != nil {
 		defer res.Cleanup()
 	}
 	if res.Outcome == control.Failed || res.Outcome == control.Reset {
-		switch cause := context.Cause(limited); { // closing the connection looks like a reset
+		switch cause := context.Cause(attemptCtx); { // an executor that closes its connection may report a reset
 		case errors.Is(cause, errTimedOut):
 			res.Outcome = control.TimedOut
 		case errors.Is(cause, errCancelled):
 			res.Outcome = control.Cancelled
 		}
 	}
-	o.enqueue(input{kind: inputAttemptEnded, id: a.ID, attempt: a.Number, server: a.Server, result: res, took: o.Now() - sent})
+	o.enqueue(input{kind: inputAttemptEnded, id: a.ID, attempt: a.Number, server: a.Server, result: res,
+		took: o.Now() - sentAt})
 }
 
+// setRung sets the rung of a request. If its session plays, setRung passes a change on to the listener and the server.
 func (o *Orchestrator) setRung(a control.SetRung) {
 	r := o.openRequests[a.ID]
 	if r == nil {
@@ -135,7 +143,7 @@
 	}
 }
 
-// move takes a playing session off its server; its viewer comes back to this front.
+// moveSession ends a playing session on its server; its viewer then returns to this front with a new request.
 func (o *Orchestrator) moveSession(a control.Move) {
 	r := o.openRequests[a.ID]
 	if r == nil || !r.playing {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,7 +1,8 @@
-// Package core is the heart of an edge, whatever protocol its viewers speak: one goroutine owns the
-// decision module, takes what connections and servers report over bounded queues, and hands the module's
-// actions to a Carrier. It decides nothing itself. It keeps what the runtime owes the module: each
-// request has one answer, each attempt one end, never two attempts of one request out at once.
+// Package core runs the decision module of an edge, independently of the protocol that its viewers use. One goroutine
+// owns the module, receives the reports of connections and servers over bounded queues, and passes the module's actions
+// to an Executor. The package makes no placement decisions itself. It enforces the guarantees that the module relies
+// on: each request gets exactly one answer, each attempt ends exactly once, and a request never has two attempts in
+// flight at the same time.
 package core
 
 import (
@@ -15,15 +16,15 @@
 	"rainpulley/control"
 )
 
-// Decider is the decision module: control.Controller, or a policy to compare it with.
+// Decider is the decision module: control.Controller, or another policy that it is compared with.
 type Decider interface {
 	Step(now time.Duration, events []control.Event) []control.Action
 }
 
-// Kind of an answer.
+// AnswerKind is the kind of an answer to a request.
 type AnswerKind int
 
-// Kinds of answers.
+// The kinds of answers.
 const (
 	Playing AnswerKind = iota + 1
 	Refused
@@ -42,25 +43,26 @@
 	return "none"
 }
 
-// Answer is what a request comes to.
+// Answer is the result of a request.
 type Answer struct {
 	Kind       AnswerKind
 	Server     string
 	Rung       int
-	Attempt    int           // that plays
-	RetryAfter time.Duration // with Refused: wait advised
-	Setup      any           // with Plays: what the carrier brought back
+	Attempt    int           // with Playing: number of the attempt that succeeded
+	RetryAfter time.Duration // with Refused: how long the viewer should wait before it retries
+	Setup      any           // with Playing: Result.Setup of the successful attempt
 }
 
-// Listener hears of one request. Its methods are called on the owner's goroutine and must not wait.
+// Listener receives the progress of one request. Its methods are called on the orchestrator's goroutine and must not
+// block.
 type Listener interface {
-	Answered(Answer)                 // once
-	Rung(rung int)                   // while it plays
-	Ended(o control.Outcome, m bool) // a session that played is over; m: it was moved
-	Closed()                         // nothing of the request is out any more; the last call
+	Answered(Answer)                           // at most once; not if the viewer leaves first or the session was adopted
+	Rung(rung int)                             // the rung of a playing session changed
+	Ended(outcome control.Outcome, moved bool) // a playing session ended; moved: it was taken off its server
+	Closed()                                   // the request is over and has no attempt in flight; the last call
 }
 
-// Attempt is one set-up that the carrier sends.
+// Attempt is one set-up that the executor sends to a server.
 type Attempt struct {
 	ID, Server    string
 	Number, Rung  int
@@ -69,19 +71,19 @@
 	Listener      Listener
 }
 
-// Result is how a set-up ended.
+// Result is the result of a set-up.
 type Result struct {
-	Outcome control.Outcome // Served: it plays
+	Outcome control.Outcome // control.Served: the session plays
 	Load    *control.LoadReport
 	Setup   any
-	Cleanup func() // if set, called once the owner has been told: what need not be ahead of the answer
+	Cleanup func() // if set, called after the result was queued: work that must not delay the answer
 }
 
-// Carrier carries out actions. SetUp runs in a goroutine of its own and returns when the attempt is no
-// longer out; when ctx ends, it must give the attempt up before it returns. The others must not wait.
+// Executor carries out the module's actions. SetUp is called in a goroutine of its own and returns when the attempt is
+// no longer in flight; when ctx ends, it must abandon the attempt before it returns. The other methods must not block.
 type Executor interface {
 	SetUp(ctx context.Context, a Attempt) Result
-	Release(id, server string, attempt int) // the server need not run it (any more)
+	Release(id, server string, attempt int) // the server does not have to run the session any longer
 	SetRung(a Attempt, rung int)
 	Probe(server string)
 	Subscribe()
@@ -89,54 +91,55 @@
 	Tell(to int, data string)
 }
 
-// Options of an owner.
+// Options configures an Orchestrator.
 type Options struct {
-	QueueSize   int           // requests waiting for a decision
-	MaxAttempts int           // attempts of one request; 0: not limited
-	Budget      Budget        // of further attempts
-	AnswerSlack time.Duration // after its deadline a request is still answered in time
+	QueueSize   int           // maximum number of requests that wait for a decision
+	MaxAttempts int           // maximum attempts for one request; 0: unlimited
+	Budget      Budget        // limits the attempts after a request's first
+	AnswerSlack time.Duration // how long after its deadline an answer to a request still counts as in time
 	Log         *slog.Logger
 	Decider     Decider
 	Executor    Executor
-	Now         func() time.Duration // rises, also over restarts
+	Now         func() time.Duration // never goes back, not even across restarts
 }
 
-// Budget of further attempts: in any Span, some and Share of the requests taken. The module keeps it. The owner
-// adds what the module cannot know: that an earlier instance may have spent the free ones a moment ago.
+// Budget limits further attempts, which are those after a request's first: in any Span, a fixed number of free ones
+// and Share of the accepted requests. The module enforces it. The orchestrator covers what the module cannot know: an
+// earlier instance of this process may have used the free attempts shortly before the restart.
 type Budget struct {
 	Span  time.Duration
 	Share float64
 }
 
-// Stats counts what an owner did; read by metrics.
+// Stats holds the counters of an Orchestrator, which the metrics read.
 type Stats struct {
 	Requests, QueueFull, Started, Refused, Failed             atomic.Int64
 	Attempts, FurtherAttempts, NotSent, Overdue, NotesDropped atomic.Int64
 	Open                                                      atomic.Int64
 }
 
-// Owner owns the module.
+// Orchestrator runs the decision module on one goroutine; see Run.
 type Orchestrator struct {
 	Options
 	Stats        Stats
-	requestQueue chan input // refused when full
-	eventQueue   chan input // waits when full: bounded by what is under way
-	noteQueue    chan input // dropped when full: the next one tells the same
+	requestQueue chan input // when full, requests are rejected
+	eventQueue   chan input // when full, senders block; the sessions and attempts in progress bound its length
+	noteQueue    chan input // when full, notes are dropped: the next note reports the current value again
 	done         chan struct{}
 
-	requestMu      sync.RWMutex // held to hand in a request: none may slip in behind the last look at the queue
-	requestsClosed bool         // under taking: no request is taken any more
+	requestMu      sync.RWMutex // read-locked to queue a request, so that none is queued after the final drain
+	requestsClosed bool         // guarded by requestMu: no more requests are accepted
 
 	openRequests    map[string]*request
 	startedAt       time.Duration
-	requestCount    int // requests, and attempts beyond their first, since startedAt
-	furtherAttempts int
+	requestCount    int // requests accepted since startedAt
+	furtherAttempts int // attempts after a request's first, since startedAt
 	timers          timerHeap
 	batch           []control.Event
 	ctx             context.Context
 }
 
-// input is one thing told to the owner.
+// input is one item of the orchestrator's queues.
 type input struct {
 	event      control.Event
 	request    *request
@@ -166,20 +169,21 @@
 )
 
 var (
-	errCancelled = errors.New("called off")
-	errTimedOut  = errors.New("no answer in time")
+	errCancelled = errors.New("attempt cancelled")
+	errTimedOut  = errors.New("attempt timed out")
 )
 
-// New returns an owner; Run must be called.
+// New returns an orchestrator; nothing is processed until Run is called.
 func New(o Options) *Orchestrator {
 	return &Orchestrator{Options: o, requestQueue: make(chan input, o.QueueSize), eventQueue: make(chan input, 4096),
 		noteQueue: make(chan input, 1024), done: make(chan struct{}), openRequests: map[string]*request{}}
 }
 
-// Queued is the number of requests that wait for the decision.
+// QueueLen returns the length of the request queue.
 func (o *Orchestrator) QueueLen() int { return len(o.requestQueue) }
 
-// Request hands in a request; false if the queue is full or the owner has ended, and then nothing is owed.
+// Submit queues a request for a decision. It returns false, and never calls l, if the queue is full or requests are no
+// longer accepted.
 func (o *Orchestrator) Submit(r control.Request, l Listener) bool {
 	o.requestMu.RLock()
 	defer o.requestMu.RUnlock()
@@ -196,18 +200,18 @@
 	}
 }
 
-// Adopt hands over a session that plays already, as an edge finds them after a restart. Nothing is owed
-// for it; its attempt counts as the first.
+// Adopt adds a session that already plays, such as one that an edge finds on a server after a restart. Its listener
+// receives no answer; the attempt that started the session counts as the first.
 func (o *Orchestrator) Adopt(r control.Request, rung int, l Listener) {
 	r.Playing = true
-	o.enqueue(input{kind: inputAdopted, request: &request{Request: r, listener: l, answered: true, playing: true, server: r.Server,
-		attempts: 1, rung: rung, sentAt: o.Now()}})
+	o.enqueue(input{kind: inputAdopted, request: &request{Request: r, listener: l, answered: true, playing: true,
+		server: r.Server, attempts: 1, rung: rung, sentAt: o.Now()}})
 }
 
-// Leave says that the viewer of a request went away, whether it waits or plays. An id may be used again by a later
-// request: only the one that the listener follows is meant. It goes behind the request itself: one that overtook it would
-// find nothing, and the session would play for nobody. It does not wait: a connection's reader that did would not see that
-// its other viewers leave.
+// ViewerLeft reports that the viewer of a request left, whether the request still waits or its session plays. A later
+// request may reuse the id, so only the request of this listener is affected. The report uses the request queue: if it
+// overtook its own request, it would find no request and the session would play without a viewer. The method does not
+// block: a blocked reader of a connection would not notice that other viewers on the connection leave.
 func (o *Orchestrator) ViewerLeft(id string, l Listener) {
 	in := input{kind: inputViewerLeft, id: id, listener: l}
 	select {
@@ -224,27 +228,28 @@
 	}
 }
 
-// PlayedOut says that a session came to its end.
+// SessionFinished reports that a session played to its end.
 func (o *Orchestrator) SessionFinished(id string) {
 	o.enqueue(input{kind: inputSessionFinished, id: id})
 }
 
-// Lost says that a server no longer runs these sessions. Like ServerEnded it may be called as soon as a set-up's answer
-// is there: a session whose loss came ahead of its start would stand for ever.
+// SessionsLost reports that a server no longer runs these sessions. Like EndedByServer, it may be called as soon as the
+// answer to a set-up has arrived: a loss that is queued before the session's start is kept until then. Otherwise the
+// session would stay open for ever.
 func (o *Orchestrator) SessionsLost(server string, ids []string) {
 	o.enqueue(input{kind: inputSessionsLost, server: server, sessionIDs: ids})
 }
 
-// ServerEnded says that a server ended a session that it runs. It may be called as soon as the set-up's answer
-// is there: what comes ahead of it in the queue is kept until the session plays.
-func (o *Orchestrator) EndedByServer(id, server string, how control.Outcome, l *control.LoadReport) {
-	o.enqueue(input{kind: inputEndedByServer, id: id, server: server, result: Result{Outcome: how, Load: l}})
+// EndedByServer reports that a server ended a session that it runs. It may be called as soon as the answer to the
+// set-up has arrived: an end that is queued before the set-up's result is kept until the session plays.
+func (o *Orchestrator) EndedByServer(id, server string, outcome control.Outcome, load *control.LoadReport) {
+	o.enqueue(input{kind: inputEndedByServer, id: id, server: server, result: Result{Outcome: outcome, Load: load}})
 }
 
-// Event tells the module a list, a probe's result or a message.
+// AddEvent queues an event for the module, such as a server list, the result of a probe or a message of another front.
 func (o *Orchestrator) AddEvent(e control.Event) { o.enqueue(input{event: e}) }
 
-// Note tells a note; one too many is dropped.
+// AddNote queues a note for the module. It drops the note if the queue is full.
 func (o *Orchestrator) AddNote(n control.Note) {
 	select {
 	case o.noteQueue <- input{event: n}:
@@ -253,8 +258,11 @@
 	}
 }
 
-// Inspect has look called on the owner's goroutine, between two steps of the module. It must not wait.
-func (o *Orchestrator) Inspect(look func()) { o.enqueue(input{kind: inputInspect, callback: look}) }
+// Inspect has callback called on the orchestrator's goroutine, between two steps of the module. The callback must not
+// block.
+func (o *Orchestrator) Inspect(callback func()) {
+	o.enqueue(input{kind: inputInspect, callback: callback})
+}
 
 func (o *Orchestrator) enqueue(in input) {
 	select {
@@ -263,10 +271,11 @@
 	}
 }
 
-// logsSessions tells whether the course of sessions is logged: its figures are not gathered for nothing.
+// infoEnabled reports whether the log is at info level, at which the progress of sessions is logged. Callers skip
+// gathering the attributes otherwise.
 func (o *Orchestrator) infoEnabled() bool { return o.Log.Enabled(context.Background(), slog.LevelInfo) }
 
-// Name is an outcome's word in logs.
+// OutcomeName returns the name of an outcome in logs.
 func OutcomeName(x control.Outcome) string {
 	names := [...]string{"served", "failed", "full", "timed out", "connect failed", "reset", "cancelled", "moot"}
 	if int(x) < len(names) {
--- a/internal/core/order_test.go
+++ b/internal/core/order_test.go
@@ -10,13 +10,15 @@
 	"rainpulley/control"
 )
 
-// TestRequestBehindEvents: a request is decided on with every event that was there before it, however the owner's
-// select picks. A request that overtook the first list was refused for want of servers.
+// TestRequestHandledAfterQueuedEvents checks that a request is decided on after every event that was queued before it,
+// whichever channel the orchestrator's select picks. A request that overtook the first server list was refused because
+// no server was known.
 func TestRequestHandledAfterQueuedEvents(t *testing.T) {
 	for i := range 200 {
 		handled := ""
-		o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
-			Now: func() time.Duration { return 0 },
+		o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler),
+			Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
+			Now:      func() time.Duration { return 0 },
 			Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 				switch e := e.(type) {
 				case control.ListUpdate:
@@ -29,49 +31,51 @@
 			})})
 		o.AddEvent(control.ListUpdate{Whole: true})
 		o.AddEvent(control.ListUpdate{})
-		e := newRecordingListener(t)
-		o.Submit(control.Request{ID: strconv.Itoa(i), GiveUpAt: time.Hour}, e)
+		l := newRecordingListener(t)
+		o.Submit(control.Request{ID: strconv.Itoa(i), GiveUpAt: time.Hour}, l)
 		ctx, stop := context.WithCancel(context.Background())
 		stopped := make(chan struct{})
 		go func() { o.Run(ctx); close(stopped) }()
-		e.waitAnswer()
+		l.waitAnswer()
 		stop()
 		<-stopped
 		if handled != "list list request" {
-			t.Fatalf("run %d: told %q", i, handled)
+			t.Fatalf("run %d: the module handled %q, want \"list list request\"", i, handled)
 		}
 	}
 }
 
-// TestRequestCrossesEnd: a request handed in while the owner ends is answered or not taken; none is taken and then
-// forgotten behind the last look at the queue.
+// TestRequestSubmittedDuringShutdown checks that a request that is submitted while the orchestrator stops is either
+// answered or rejected. A request that is queued after the final drain of the queue would never be answered.
 func TestRequestSubmittedDuringShutdown(t *testing.T) {
 	for range 300 {
-		o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
-			Now:     func() time.Duration { return 0 },
-			Decider: deciderFunc(func(time.Duration, control.Event) []control.Action { return nil })})
+		o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler),
+			Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
+			Now:      func() time.Duration { return 0 },
+			Decider:  deciderFunc(func(time.Duration, control.Event) []control.Action { return nil })})
 		ctx, stop := context.WithCancel(context.Background())
 		stopped := make(chan struct{})
 		go func() { o.Run(ctx); close(stopped) }()
-		e, accepted := newRecordingListener(t), make(chan bool)
-		go func() { accepted <- o.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, e) }()
+		l, accepted := newRecordingListener(t), make(chan bool)
+		go func() { accepted <- o.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, l) }()
 		stop()
 		if <-accepted {
-			e.waitAnswer()
+			l.waitAnswer()
 		}
 		<-stopped
-		if o.Submit(control.Request{ID: "y", GiveUpAt: time.Hour}, e) {
-			t.Fatal("taken by an owner that has ended")
+		if o.Submit(control.Request{ID: "y", GiveUpAt: time.Hour}, l) {
+			t.Fatal("a stopped orchestrator accepted a request")
 		}
 	}
 }
 
-// TestLeaveNeverWaits: with the queue full, a reader that tells of a leave goes on, and the leave still comes behind
-// its request.
+// TestViewerLeftDoesNotBlock checks that ViewerLeft does not block its caller, the reader of a connection, when the
+// request queue is full, and that it is still handled after its request.
 func TestViewerLeftDoesNotBlock(t *testing.T) {
 	handled := make(chan string, 16)
-	o := New(Options{QueueSize: 1, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
-		Now: func() time.Duration { return 0 },
+	o := New(Options{QueueSize: 1, Log: slog.New(slog.DiscardHandler),
+		Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
+		Now:      func() time.Duration { return 0 },
 		Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 			switch e := e.(type) {
 			case control.Request:
@@ -81,9 +85,9 @@
 			}
 			return nil
 		})})
-	e := newRecordingListener(t)
-	o.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, e) // fills it: nobody owns the module yet
-	o.ViewerLeft("x", e)                                       // would wait for ever
+	l := newRecordingListener(t)
+	o.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, l) // fills the queue: Run is not called yet
+	o.ViewerLeft("x", l)                                       // a blocking send would never return
 	ctx, stop := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
 	go func() { o.Run(ctx); close(stopped) }()
@@ -91,18 +95,19 @@
 		select {
 		case got := <-handled:
 			if got != want {
-				t.Errorf("told %q, want %q", got, want)
+				t.Errorf("the module handled %q, want %q", got, want)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatalf("not told %q", want)
+			t.Fatalf("the module did not handle %q within 5 s", want)
 		}
 	}
 	stop()
 	<-stopped
 }
 
-// TestLostCrossesStart: a server is found lost after its answer and ahead of the session's start in the queue; the
-// session starts and ends at once, instead of standing for ever. The loss of another server changes nothing.
+// TestSessionLostBeforeStart checks a server that is lost after it has answered a set-up, with the loss queued before
+// the set-up's result: the session starts and ends at once instead of staying open for ever. The loss of another server
+// has no effect.
 func TestSessionLostBeforeStart(t *testing.T) {
 	var h *harness
 	h = startHarness(t, 5, func(context.Context, Attempt) Result {
@@ -115,23 +120,25 @@
 		}
 		return nil
 	})
-	e := h.submit(t, "x", 5*time.Second)
-	e.waitClosed()
+	l := h.submit(t, "x", 5*time.Second)
+	l.waitClosed()
 	if got := h.loggedEvents(); got != "started a; ended a#0 reset final=true" {
 		t.Error(got)
 	}
-	e = h.submit(t, "y", 5*time.Second) // the other order: it plays when its server is lost
-	e.waitAnswer()
+	l = h.submit(t, "y", 5*time.Second) // the other order: the session plays when its server is lost
+	l.waitAnswer()
 	h.SessionsLost("a", []string{"y"})
-	e.waitClosed()
+	l.waitClosed()
 }
 
-// TestEndOfSessionCrossesEnd: a server's release waits as the owner is told to end; it is passed on.
+// TestSessionEndQueuedAtShutdown checks that the end of a session that is queued when the orchestrator stops still
+// reaches the listener.
 func TestSessionEndQueuedAtShutdown(t *testing.T) {
-	for range 50 { // a select that finds both picks either
+	for range 50 { // the orchestrator's select picks either channel if both are ready
 		blocked, unblock := make(chan struct{}), make(chan struct{})
-		o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
-			Now: func() time.Duration { return 0 },
+		o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler),
+			Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
+			Now:      func() time.Duration { return 0 },
 			Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 				if _, ok := e.(control.ProbeResult); ok {
 					close(blocked)
@@ -142,57 +149,60 @@
 		ctx, stop := context.WithCancel(context.Background())
 		stopped := make(chan struct{})
 		go func() { o.Run(ctx); close(stopped) }()
-		e := newRecordingListener(t)
-		o.Adopt(control.Request{ID: "x", Server: "s"}, 0, e)
+		l := newRecordingListener(t)
+		o.Adopt(control.Request{ID: "x", Server: "s"}, 0, l)
 		o.AddEvent(control.ProbeResult{})
 		<-blocked
 		o.EndedByServer("x", "s", control.Served, nil)
 		stop()
 		close(unblock)
 		<-stopped
-		if len(e.changes) != 1 || e.changes[0] != "ended served false" {
-			t.Fatalf("heard %q", e.changes)
+		if len(l.changes) != 1 || l.changes[0] != "ended served false" {
+			t.Fatalf("the listener received %q, want only \"ended served false\"", l.changes)
 		}
 	}
 }
 
-// TestFinishRequests: what waits is answered, what comes later is refused, and a session that plays still ends.
+// TestFinishRequests checks that FinishRequests fails a waiting request, that later requests are rejected, and that the
+// end of a playing session is still handled.
 func TestFinishRequests(t *testing.T) {
-	o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
-		Now:     func() time.Duration { return 0 },
-		Decider: deciderFunc(func(time.Duration, control.Event) []control.Action { return nil })})
+	o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler),
+		Executor: &fakeExecutor{t: t, inFlight: map[string]int{}},
+		Now:      func() time.Duration { return 0 },
+		Decider:  deciderFunc(func(time.Duration, control.Event) []control.Action { return nil })})
 	ctx, stop := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
 	go func() { o.Run(ctx); close(stopped) }()
 	playing, waiting := newRecordingListener(t), newRecordingListener(t)
 	o.Adopt(control.Request{ID: "x", Server: "s"}, 0, playing)
 	if !o.Submit(control.Request{ID: "y", GiveUpAt: time.Hour}, waiting) {
-		t.Fatal("not taken")
+		t.Fatal("the request was not accepted")
 	}
 	o.FinishRequests()
 	if a := waiting.waitAnswer(); a.Kind != Failed {
-		t.Errorf("answered %v", a.Kind)
+		t.Errorf("answer %v, want failed", a.Kind)
 	}
 	if o.Submit(control.Request{ID: "z", GiveUpAt: time.Hour}, newRecordingListener(t)) {
-		t.Error("a request is taken that nobody will answer")
+		t.Error("a request was accepted after FinishRequests")
 	}
 	o.EndedByServer("x", "s", control.Served, nil)
 	<-playing.closed
 	stop()
 	<-stopped
-	o.FinishRequests() // of an owner that has ended
+	o.FinishRequests() // returns although Run has ended
 }
 
-// TestEndBehindManyNotes: a server says many notes of a session and then its end, all ahead of the end of its set-up. Notes
-// may be dropped, the end is not: the session would stand for ever.
+// TestSessionEndKeptAfterManyEarlyNotes checks a server that sends many notes and then the end of a session before the
+// result of the set-up is known. Notes may be dropped. The end must not be: the session would stay open for ever.
 func TestSessionEndKeptAfterManyEarlyNotes(t *testing.T) {
 	sent, answered := make(chan struct{}), make(chan struct{})
-	c := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: func(context.Context, Attempt) Result {
+	executor := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: func(context.Context, Attempt) Result {
 		close(sent)
 		<-answered
 		return Result{Outcome: control.Served, Setup: "it plays"}
 	}}
-	o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: c, Now: func() time.Duration { return 0 },
+	o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: executor,
+		Now: func() time.Duration { return 0 },
 		Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 			if r, ok := e.(control.Request); ok {
 				return []control.Action{control.Send{ID: r.ID, Server: "s"}}
@@ -203,8 +213,8 @@
 	stopped := make(chan struct{})
 	go func() { o.Run(ctx); close(stopped) }()
 	defer func() { stop(); <-stopped }()
-	e, queued := newRecordingListener(t), make(chan struct{})
-	o.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
+	l, queued := newRecordingListener(t), make(chan struct{})
+	o.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, l)
 	<-sent
 	for i := range 10 * maxEarlyNotes {
 		o.AddEvent(control.Note{ID: "x", Server: "s", Kind: control.NoteLink, Value: float64(i)})
@@ -213,27 +223,29 @@
 	o.Inspect(func() { close(queued) })
 	<-queued
 	close(answered)
-	e.waitAnswer()
+	l.waitAnswer()
 	select {
-	case <-e.closed:
+	case <-l.closed:
 	case <-time.After(5 * time.Second):
-		t.Error("the session stands on")
+		t.Error("the session was not closed within 5 s")
 	}
 }
 
-// TestAnswerAheadOfPlacements: a server's answer comes while the first of many requests is decided on. It is passed on
-// behind that one decision: a viewer whose answer waits for others' placements may leave without it.
+// TestAnswerNotDelayedByQueuedRequests checks that a server's answer which arrives while the first of many requests is
+// decided on is passed on right after that decision. A viewer whose answer waits for the placements of others may leave
+// before it gets the answer.
 func TestAnswerNotDelayedByQueuedRequests(t *testing.T) {
 	const burst = 50
 	sent, ready := make(chan struct{}), make(chan struct{})
 	deciding, continueDeciding := make(chan struct{}), make(chan struct{})
-	c := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: func(context.Context, Attempt) Result {
+	executor := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: func(context.Context, Attempt) Result {
 		close(sent)
 		<-ready
 		return Result{Outcome: control.Served, Setup: "it plays"}
 	}}
-	decided := 0 // on the owner's goroutine
-	o := New(Options{QueueSize: burst, Log: slog.New(slog.DiscardHandler), Executor: c, Now: func() time.Duration { return 0 },
+	decided := 0 // accessed on the orchestrator's goroutine until the answer
+	o := New(Options{QueueSize: burst, Log: slog.New(slog.DiscardHandler), Executor: executor,
+		Now: func() time.Duration { return 0 },
 		Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 			r, ok := e.(control.Request)
 			switch {
@@ -252,8 +264,8 @@
 	stopped := make(chan struct{})
 	go func() { o.Run(ctx); close(stopped) }()
 	defer func() { stop(); <-stopped }()
-	e := &countingListener{recordingListener: newRecordingListener(t), count: &decided}
-	o.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
+	l := &countingListener{recordingListener: newRecordingListener(t), count: &decided}
+	o.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, l)
 	<-sent
 	blocked, unblock := make(chan struct{}), make(chan struct{})
 	o.Inspect(func() { close(blocked); <-unblock })
@@ -268,20 +280,20 @@
 		time.Sleep(time.Millisecond)
 	}
 	close(continueDeciding)
-	e.waitAnswer()
-	if e.countAtAnswer != 1 {
-		t.Errorf("the answer was passed on behind %d of %d decisions, want 1", e.countAtAnswer, burst)
+	l.waitAnswer()
+	if l.countAtAnswer != 1 {
+		t.Errorf("the answer was passed on after %d of %d decisions, want 1", l.countAtAnswer, burst)
 	}
 }
 
-// countingEar notes what a counter stood at when its request was answered.
+// countingListener is a recordingListener that also records the value of a counter at the time of the answer.
 type countingListener struct {
 	*recordingListener
 	count         *int
 	countAtAnswer int
 }
 
-func (e *countingListener) Answered(a Answer) {
-	e.countAtAnswer = *e.count
-	e.recordingListener.Answered(a)
+func (l *countingListener) Answered(a Answer) {
+	l.countAtAnswer = *l.count
+	l.recordingListener.Answered(a)
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -7,31 +7,31 @@
 	"rainpulley/control"
 )
 
-// request is one request from its arrival until nothing more can come of it.
+// request is the state of one request, from its arrival until its session has ended or it is over without one.
 type request struct {
 	control.Request
 	listener      Listener
 	answered      bool
-	viewerLeft    bool // the viewer left before the answer
+	viewerLeft    bool // before the answer
 	playing       bool
 	server        string
 	attempts      int
 	rung          int
-	inFlight      bool          // an attempt is out
-	acceptedAt    time.Duration // when the owner took it
+	inFlight      bool // an attempt is in flight
+	acceptedAt    time.Duration
 	cancelAttempt context.CancelCauseFunc
-	sentAt        time.Duration
+	sentAt        time.Duration // of the last attempt
 
-	// Of the server tried, what came ahead of the end of its set-up.
+	// Inputs from the server of the attempt in flight that arrived before the result of its set-up.
 	earlyNotes []input
-	earlyEnd   *input // of the session: kept whatever notes come, or it would stand for ever
+	earlyEnd   *input // end of the session; never dropped, because the session would then stay open for ever
 }
 
-// maxEarlyNotes bounds the notes that are kept of a server that says much before its set-up's end is known. The next
-// note tells the same as one that is dropped.
+// maxEarlyNotes bounds the notes that are kept for one session before the result of its set-up. Notes beyond it are
+// dropped: the next note reports the current value again.
 const maxEarlyNotes = 8
 
-// adopt counts a session once: one that is open already stays as it is.
+// adoptSession adds a session that already plays. It ignores a session whose id is already open.
 func (o *Orchestrator) adoptSession(r *request) {
 	if o.openRequests[r.ID] != nil {
 		r.listener.Closed()
@@ -46,7 +46,8 @@
 	}
 }
 
-// noteDue keeps a note that came ahead of its session's start, and takes the rung that the server has in force.
+// acceptNote reports whether a note is passed to the module now. A note that arrives before its session's start is kept
+// and handled after it. The rung that the server reports becomes the rung of the session.
 func (o *Orchestrator) acceptNote(n control.Note, in input) bool {
 	r := o.openRequests[n.ID]
 	if r == nil || r.server != n.Server {
@@ -66,7 +67,7 @@
 	return true
 }
 
-// serverEnded closes a session that its server ended; it is not released there any more.
+// handleEndedByServer closes a session that its server ended, without releasing it on that server.
 func (o *Orchestrator) handleEndedByServer(in input) {
 	r := o.openRequests[in.id]
 	switch {
@@ -80,14 +81,15 @@
 	}
 }
 
+// acceptRequest opens a request, sets its backstop timer and passes it to the module.
 func (o *Orchestrator) acceptRequest(r *request) {
-	if o.requestsClosed { // handed in before FinishRequests, and taken from the queue just ahead of it
+	if o.requestsClosed { // submitted before requests were closed, and still in the queue then
 		r.listener.Answered(Answer{Kind: Failed})
 		r.listener.Closed()
 		return
 	}
 	if o.openRequests[r.ID] != nil {
-		o.Log.Error("request id seen before", "session", r.ID)
+		o.Log.Error("request failed: its id is already in use", "session", r.ID)
 		r.listener.Answered(Answer{Kind: Failed})
 		r.listener.Closed()
 		return
@@ -100,7 +102,7 @@
 	o.addToBatch(r.Request)
 }
 
-// attemptEnded is told by the goroutine of a set-up.
+// handleAttemptEnded handles the result of a set-up, which runAttempt has queued.
 func (o *Orchestrator) handleAttemptEnded(in input) {
 	r := o.openRequests[in.id]
 	if r == nil {
@@ -116,7 +118,8 @@
 		r.playing = true
 		o.addToBatch(control.SessionStarted{ID: r.ID, Server: in.server, Attempt: in.attempt, Took: in.took})
 		o.addSetUpNotes(r, in)
-		o.answer(r, Answer{Kind: Playing, Server: in.server, Rung: r.rung, Attempt: in.attempt, Setup: in.result.Setup}, byServer)
+		o.answer(r, Answer{Kind: Playing, Server: in.server, Rung: r.rung, Attempt: in.attempt, Setup: in.result.Setup},
+			byServer)
 		for _, note := range earlyNotes {
 			o.handle(note)
 		}
@@ -125,35 +128,36 @@
 		}
 		return
 	}
-	if e.Outcome == control.Served { // nobody waits for it any more
+	if e.Outcome == control.Served { // the request is already answered or its viewer has left
 		e.Outcome = control.Cancelled
 	}
 	if mayStillRun(e.Outcome) {
 		o.Executor.Release(r.ID, in.server, in.attempt)
 	}
-	o.Log.Info("attempt ended", "session", r.ID, "server", in.server, "attempt", in.attempt, "outcome", OutcomeName(e.Outcome),
-		"took", in.took, "final", e.Final)
+	o.Log.Info("attempt ended", "session", r.ID, "server", in.server, "attempt", in.attempt,
+		"outcome", OutcomeName(e.Outcome), "took", in.took, "final", e.Final)
 	if e.Final {
 		o.closeRequest(r)
 	}
 	o.addToBatch(e)
 }
 
-// noteSetUp passes on what the set-up's answer reported, as notes at set-up do.
+// addSetUpNotes passes the load in a set-up's answer to the module, in the form of notes.
 func (o *Orchestrator) addSetUpNotes(r *request, in input) {
-	if l := in.result.Load; l != nil && l.Link != nil {
-		o.addToBatch(control.Note{ID: r.ID, Server: in.server, Kind: control.NoteLink, Value: *l.Link})
-		if l.Uplink != nil {
-			o.addToBatch(control.Note{ID: r.ID, Server: in.server, Kind: control.NoteUplink, Value: *l.Uplink})
+	if load := in.result.Load; load != nil && load.Link != nil {
+		o.addToBatch(control.Note{ID: r.ID, Server: in.server, Kind: control.NoteLink, Value: *load.Link})
+		if load.Uplink != nil {
+			o.addToBatch(control.Note{ID: r.ID, Server: in.server, Kind: control.NoteUplink, Value: *load.Uplink})
 		}
 	}
 }
 
-// mayStillRun tells outcomes after which the server may still run the set-up.
-func mayStillRun(x control.Outcome) bool {
-	return x != control.Full && x != control.ConnectFailed && x != control.NotSent
+// mayStillRun reports whether the server may still run the set-up after this outcome.
+func mayStillRun(outcome control.Outcome) bool {
+	return outcome != control.Full && outcome != control.ConnectFailed && outcome != control.NotSent
 }
 
+// handleViewerLeft ends a playing session whose viewer left, or withdraws a request that still waits.
 func (o *Orchestrator) handleViewerLeft(id string, l Listener) {
 	r := o.openRequests[id]
 	switch {
@@ -162,7 +166,8 @@
 		o.releaseAndEnd(id, control.Cancelled)
 	case !r.viewerLeft:
 		r.viewerLeft = true
-		o.Log.Info("request withdrawn", "session", r.ID, "server", r.server, "attempts", r.attempts, "out", r.inFlight, "after", o.Now()-r.acceptedAt)
+		o.Log.Info("request withdrawn", "session", r.ID, "server", r.server, "attempts", r.attempts, "out", r.inFlight,
+			"after", o.Now()-r.acceptedAt)
 		if !r.inFlight {
 			o.closeRequest(r)
 		}
@@ -170,49 +175,52 @@
 	}
 }
 
-// end closes a session that plays.
-func (o *Orchestrator) releaseAndEnd(id string, how control.Outcome) {
+// releaseAndEnd ends a playing session and releases it on its server, except after control.Reset: then the server no
+// longer runs it.
+func (o *Orchestrator) releaseAndEnd(id string, outcome control.Outcome) {
 	r := o.openRequests[id]
 	if r == nil || !r.playing {
 		return
 	}
-	if how != control.Reset {
+	if outcome != control.Reset {
 		o.Executor.Release(id, r.server, r.attempts-1)
 	}
-	o.endSession(r, how, nil)
+	o.endSession(r, outcome, nil)
 }
 
-// endSession tells viewer and module that a session no longer plays.
-func (o *Orchestrator) endSession(r *request, how control.Outcome, l *control.LoadReport) {
+// endSession notifies the listener and the module that a session no longer plays.
+func (o *Orchestrator) endSession(r *request, outcome control.Outcome, load *control.LoadReport) {
 	if o.infoEnabled() {
-		o.Log.Info("session ended", "session", r.ID, "server", r.server, "outcome", OutcomeName(how))
+		o.Log.Info("session ended", "session", r.ID, "server", r.server, "outcome", OutcomeName(outcome))
 	}
-	r.listener.Ended(how, false)
+	r.listener.Ended(outcome, false)
 	o.closeRequest(r)
-	o.addToBatch(control.AttemptEnded{ID: r.ID, Server: r.server, Attempt: r.attempts - 1, Outcome: how, Took: o.Now() - r.sentAt, Final: true,
-		Load: l})
+	o.addToBatch(control.AttemptEnded{ID: r.ID, Server: r.server, Attempt: r.attempts - 1, Outcome: outcome,
+		Took: o.Now() - r.sentAt, Final: true, Load: load})
 }
 
+// closeRequest removes a request that is over, and notifies its listener.
 func (o *Orchestrator) closeRequest(r *request) {
 	delete(o.openRequests, r.ID)
 	o.Stats.Open.Add(-1)
 	r.listener.Closed()
 }
 
-// answerSource is who ended a request with its answer, as logs name it.
+// answerSource is the origin of an answer, as logs name it.
 type answerSource string
 
 const (
-	byServer   answerSource = "server"   // the set-up stands there
-	byModule   answerSource = "module"   // refused or failed by decision
-	byBackstop answerSource = "backstop" // the module said nothing in time
-	byShutdown answerSource = "end"      // the owner ends
+	byServer   answerSource = "server"   // a set-up succeeded there
+	byModule   answerSource = "module"   // the module refused or failed the request
+	byBackstop answerSource = "backstop" // the module gave no answer in time
+	byShutdown answerSource = "end"      // the orchestrator stops or no longer accepts requests
 )
 
-// answer gives a request its one answer.
+// answer gives a request its only answer. It logs and drops a second one.
 func (o *Orchestrator) answer(r *request, a Answer, by answerSource) {
 	if r.answered {
-		o.Log.Error("second answer kept back", "session", r.ID, "answer", a.Kind.String(), "by", by)
+		o.Log.Error("second answer suppressed: the request is already answered",
+			"session", r.ID, "answer", a.Kind.String(), "by", by)
 		return
 	}
 	r.answered = true
--- a/internal/core/rig_test.go
+++ b/internal/core/rig_test.go
@@ -18,17 +18,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// scripted answers events by a function.
+// deciderFunc is a Decider that calls the function for each event.
 type deciderFunc func(now time.Duration, e control.Event) []control.Action
 
-func (s deciderFunc) Step(now time.Duration, events []control.Event) (out []control.Action) {
+func (f deciderFunc) Step(now time.Duration, events []control.Event) (out []control.Action) {
 	for _, e := range events {
-		out = append(out, s(now, e)...)
+		out = append(out, f(now, e)...)
 	}
 	return out
 }
 
-// carrier ends set-ups as told, and watches that no request has two attempts out.
+// fakeExecutor is an Executor whose set-ups end as setUp returns. It records the other calls, and reports an error if a
+// request has two attempts in flight.
 type fakeExecutor struct {
 	t        testing.TB
 	mu       sync.Mutex
@@ -38,100 +39,102 @@
 	calls    []string
 }
 
-func (c *fakeExecutor) SetUp(ctx context.Context, a Attempt) Result {
-	c.mu.Lock()
-	if c.inFlight[a.ID]++; c.inFlight[a.ID] > 1 {
-		c.t.Errorf("%s has %d attempts out", a.ID, c.inFlight[a.ID])
+func (f *fakeExecutor) SetUp(ctx context.Context, a Attempt) Result {
+	f.mu.Lock()
+	if f.inFlight[a.ID]++; f.inFlight[a.ID] > 1 {
+		f.t.Errorf("request %s has %d attempts in flight, want at most 1", a.ID, f.inFlight[a.ID])
 	}
-	c.mu.Unlock()
-	r := c.setUp(ctx, a)
-	c.mu.Lock()
-	c.inFlight[a.ID]--
-	c.mu.Unlock()
-	return r
+	f.mu.Unlock()
+	result := f.setUp(ctx, a)
+	f.mu.Lock()
+	f.inFlight[a.ID]--
+	f.mu.Unlock()
+	return result
 }
 
-func (c *fakeExecutor) record(s string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.calls = append(c.calls, s)
+func (f *fakeExecutor) record(call string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.calls = append(f.calls, call)
 }
 
-func (c *fakeExecutor) Release(id, server string, n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.released = append(c.released, fmt.Sprintf("%s@%s#%d", id, server, n))
+func (f *fakeExecutor) Release(id, server string, attempt int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.released = append(f.released, fmt.Sprintf("%s@%s#%d", id, server, attempt))
 }
 
-func (c *fakeExecutor) SetRung(a Attempt, rung int) { c.record(fmt.Sprint("rung ", a.ID, " ", rung)) }
+func (f *fakeExecutor) SetRung(a Attempt, rung int) { f.record(fmt.Sprint("rung ", a.ID, " ", rung)) }
 
-func (c *fakeExecutor) Probe(server string) { c.record("probe " + server) }
+func (f *fakeExecutor) Probe(server string) { f.record("probe " + server) }
 
-func (c *fakeExecutor) Subscribe() { c.record("subscribe") }
+func (f *fakeExecutor) Subscribe() { f.record("subscribe") }
 
-func (c *fakeExecutor) ReadList() { c.record("read") }
+func (f *fakeExecutor) ReadList() { f.record("read") }
 
-func (c *fakeExecutor) Tell(to int, data string) { c.record(fmt.Sprint("tell ", to, " ", data)) }
+func (f *fakeExecutor) Tell(to int, data string) { f.record(fmt.Sprint("tell ", to, " ", data)) }
 
-// ear is a listener that keeps what it heard.
+// recordingListener is a Listener that records its calls.
 type recordingListener struct {
 	t        testing.TB
 	mu       sync.Mutex
 	answers  []Answer
-	changes  []string
-	answered chan struct{} // closed at the answer
-	closed   chan struct{}
+	changes  []string      // calls of Rung and Ended
+	answered chan struct{} // closed by Answered
+	closed   chan struct{} // closed by Closed
 }
 
 func newRecordingListener(t testing.TB) *recordingListener {
 	return &recordingListener{t: t, answered: make(chan struct{}), closed: make(chan struct{})}
 }
 
-func (e *recordingListener) Answered(a Answer) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.answers = append(e.answers, a); len(e.answers) > 1 {
-		e.t.Error("second answer")
+func (l *recordingListener) Answered(a Answer) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.answers = append(l.answers, a); len(l.answers) > 1 {
+		l.t.Error("the listener received a second answer")
 		return
 	}
-	close(e.answered)
+	close(l.answered)
 }
 
-func (e *recordingListener) Rung(rung int) {
-	e.mu.Lock()
-	e.changes = append(e.changes, fmt.Sprint("rung ", rung))
-	e.mu.Unlock()
+func (l *recordingListener) Rung(rung int) {
+	l.mu.Lock()
+	l.changes = append(l.changes, fmt.Sprint("rung ", rung))
+	l.mu.Unlock()
 }
 
-func (e *recordingListener) Ended(outcome control.Outcome, moved bool) {
-	e.mu.Lock()
-	e.changes = append(e.changes, fmt.Sprint("ended ", OutcomeName(outcome), " ", moved))
-	e.mu.Unlock()
+func (l *recordingListener) Ended(outcome control.Outcome, moved bool) {
+	l.mu.Lock()
+	l.changes = append(l.changes, fmt.Sprint("ended ", OutcomeName(outcome), " ", moved))
+	l.mu.Unlock()
 }
 
-func (e *recordingListener) Closed() { close(e.closed) }
+func (l *recordingListener) Closed() { close(l.closed) }
 
-func (e *recordingListener) waitAnswer() Answer {
-	e.t.Helper()
+// waitAnswer waits for the answer and returns it.
+func (l *recordingListener) waitAnswer() Answer {
+	l.t.Helper()
 	select {
-	case <-e.answered:
+	case <-l.answered:
 	case <-time.After(5 * time.Second):
-		e.t.Fatal("no answer")
+		l.t.Fatal("the request was not answered within 5 s")
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.answers[0]
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.answers[0]
 }
 
-func (e *recordingListener) waitClosed() {
-	e.t.Helper()
+func (l *recordingListener) waitClosed() {
+	l.t.Helper()
 	select {
-	case <-e.closed:
+	case <-l.closed:
 	case <-time.After(5 * time.Second):
-		e.t.Fatal("request not closed")
+		l.t.Fatal("the request was not closed within 5 s")
 	}
 }
 
+// harness runs an orchestrator with a fakeExecutor and a decision function, and logs the events that the module gets.
 type harness struct {
 	*Orchestrator
 	executor *fakeExecutor
@@ -141,12 +144,13 @@
 	markersSent, markersSeen atomic.Int64
 }
 
-// events are what the module was told. An event of the test's own goes through the owner first: a listener
-// hears that a request is closed before the module is told its end, and what was told then is not all yet.
+// loggedEvents returns the events that the module got. It first passes a marker event through the orchestrator, because
+// a listener is notified that its request is closed before the module gets the corresponding event.
 func (h *harness) loggedEvents() string {
-	mark := control.PeerMessage{Data: strconv.FormatInt(h.markersSent.Add(1), 10)}
-	h.AddEvent(mark)
-	for deadline := time.Now().Add(10 * time.Second); h.markersSeen.Load() < h.markersSent.Load() && time.Now().Before(deadline); {
+	marker := control.PeerMessage{Data: strconv.FormatInt(h.markersSent.Add(1), 10)}
+	h.AddEvent(marker)
+	for deadline := time.Now().Add(10 * time.Second); h.markersSeen.Load() < h.markersSent.Load() &&
+		time.Now().Before(deadline); {
 		time.Sleep(100 * time.Microsecond)
 	}
 	h.mu.Lock()
@@ -154,15 +158,17 @@
 	return strings.Join(h.eventLog, "; ")
 }
 
-// start runs an owner whose module is a script.
-func startHarness(t *testing.T, maxAttempts int, setUp func(context.Context, Attempt) Result, decide deciderFunc) *harness {
+// startHarness runs an orchestrator whose module is decide. The orchestrator is stopped when the test ends.
+func startHarness(t *testing.T, maxAttempts int, setUp func(context.Context, Attempt) Result,
+	decide deciderFunc) *harness {
 	h := &harness{executor: &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: setUp}}
 	begin := time.Now()
 	logEvents := func(now time.Duration, e control.Event) []control.Action {
 		h.mu.Lock()
 		switch e := e.(type) {
 		case control.AttemptEnded:
-			h.eventLog = append(h.eventLog, fmt.Sprintf("ended %s#%d %s final=%v", e.Server, e.Attempt, OutcomeName(e.Outcome), e.Final))
+			h.eventLog = append(h.eventLog,
+				fmt.Sprintf("ended %s#%d %s final=%v", e.Server, e.Attempt, OutcomeName(e.Outcome), e.Final))
 		case control.SessionStarted:
 			h.eventLog = append(h.eventLog, "started "+e.Server)
 		case control.ViewerLeft:
@@ -175,8 +181,9 @@
 		h.mu.Unlock()
 		return decide(now, e)
 	}
-	h.Orchestrator = New(Options{QueueSize: 64, MaxAttempts: maxAttempts, AnswerSlack: 40 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
-		Decider: deciderFunc(logEvents), Executor: h.executor, Now: func() time.Duration { return time.Since(begin) }})
+	h.Orchestrator = New(Options{QueueSize: 64, MaxAttempts: maxAttempts, AnswerSlack: 40 * time.Millisecond,
+		Log: slog.New(slog.DiscardHandler), Decider: deciderFunc(logEvents), Executor: h.executor,
+		Now: func() time.Duration { return time.Since(begin) }})
 	ctx, stop := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
 	go func() { h.Run(ctx); close(stopped) }()
@@ -184,27 +191,30 @@
 	return h
 }
 
+// submit submits a request whose deadline is due from now.
 func (h *harness) submit(t *testing.T, id string, due time.Duration) *recordingListener {
-	e := newRecordingListener(t)
-	if !h.Submit(control.Request{ID: id, GiveUpAt: h.Now() + due}, e) {
-		t.Fatal("not taken")
+	l := newRecordingListener(t)
+	if !h.Submit(control.Request{ID: id, GiveUpAt: h.Now() + due}, l) {
+		t.Fatal("the request was not accepted")
 	}
-	return e
+	return l
 }
 
 func setUpServes(context.Context, Attempt) Result { return Result{Outcome: control.Served} }
 
+// setUpHangs waits until the attempt is cancelled or times out.
 func setUpHangs(ctx context.Context, _ Attempt) Result {
 	<-ctx.Done()
 	return Result{Outcome: control.Reset}
 }
 
-// one sends each request to a, then by next to where it says.
+// sendToA returns a module that sends each request to server a. It returns next's actions when an attempt has ended.
 func sendToA(next func(e control.AttemptEnded) []control.Action) deciderFunc {
 	return func(_ time.Duration, e control.Event) []control.Action {
 		switch e := e.(type) {
 		case control.Request:
-			return []control.Action{control.SetRung{ID: e.ID, Rung: 2}, control.Send{ID: e.ID, Server: "a", Timeout: 50 * time.Millisecond}}
+			return []control.Action{control.SetRung{ID: e.ID, Rung: 2},
+				control.Send{ID: e.ID, Server: "a", Timeout: 50 * time.Millisecond}}
 		case control.AttemptEnded:
 			if !e.Final && next != nil {
 				return next(e)
--- a/internal/core/run.go
+++ b/internal/core/run.go
@@ -7,17 +7,18 @@
 	"rainpulley/control"
 )
 
-// Run works until ctx ends. Attempts that are out then are given up.
+// Run processes the queues and timers until ctx ends. It then fails the waiting requests and abandons the attempts in
+// flight.
 func (o *Orchestrator) Run(ctx context.Context) {
 	defer close(o.done)
 	o.ctx, o.startedAt = ctx, o.Now()
 	o.step(nil) // the module sets its first timers
-	clock := time.NewTimer(time.Hour)
-	defer clock.Stop()
-	var rested time.Time
+	wakeUp := time.NewTimer(time.Hour)
+	defer wakeUp.Stop()
+	var lastPause time.Time
 	for {
-		clock.Reset(o.untilNextTimer())
-		placing := false
+		wakeUp.Reset(o.untilNextTimer())
+		hasRequest := false
 		select {
 		case <-ctx.Done():
 			o.finish()
@@ -25,42 +26,42 @@
 		case in := <-o.eventQueue:
 			o.handle(in)
 		case in := <-o.requestQueue:
-			placing = in.kind == inputRequest
+			hasRequest = in.kind == inputRequest
 			o.handleRequest(in)
 		case in := <-o.noteQueue:
 			o.handle(in)
-		case <-clock.C:
+		case <-wakeUp.C:
 		}
-		o.drainQueues(placing)
+		o.drainQueues(hasRequest)
 		o.fireTimers()
 		for len(o.batch) > 0 {
 			b := o.batch
 			o.batch = nil
 			o.step(b)
 		}
-		if len(o.requestQueue) > 0 && time.Since(rested) >= maxBusy {
+		if len(o.requestQueue) > 0 && time.Since(lastPause) >= maxBusy {
 			time.Sleep(ioPause)
-			rested = time.Now()
+			lastPause = time.Now()
 		}
 	}
 }
 
 const (
-	// maxUnrested is how long the owner decides on one request after another before it rests. On one processor the runtime
-	// looks at the network only when nothing else can run, or every 10 ms: without a rest, answers of servers would stay in
-	// their sockets for as long as a rush of requests takes.
+	// maxBusy is how long the orchestrator decides on queued requests before it pauses. On one processor the Go runtime
+	// polls the network only when no goroutine can run, or every 10 ms: without a pause, answers of servers would stay
+	// in their sockets until a burst of requests is processed.
 	maxBusy = time.Millisecond
-	// ioTurn is how long it rests; the system's timers make up to a millisecond of it.
+	// ioPause is the length of the pause. The resolution of the system's timers can extend it to a millisecond.
 	ioPause = 50 * time.Microsecond
 )
 
-// maxBatch bounds how much is told in one step, so that timers keep their time.
+// maxBatch bounds the inputs that are handled in one step, so that timers are not delayed.
 const maxBatch = 256
 
-// drain takes what else waits; ends before requests, so that a decision rests on the latest. No more than one request is
-// taken for a step, which decides on it: a placement takes long, and the answer to another request, which may come
-// meanwhile, must not wait for many of them. Placing tells that one was taken already.
-func (o *Orchestrator) drainQueues(placing bool) {
+// drainQueues handles the other queued inputs. Events come before requests, so that a decision uses the latest state.
+// One step handles at most one request: a placement takes long, and the answer to another request, which may arrive in
+// the meantime, must not wait for many placements. hasRequest reports whether the step already has its request.
+func (o *Orchestrator) drainQueues(hasRequest bool) {
 	for range maxBatch {
 		select {
 		case in := <-o.eventQueue:
@@ -69,12 +70,12 @@
 		default:
 		}
 		requests := o.requestQueue
-		if placing {
+		if hasRequest {
 			requests = nil
 		}
 		select {
 		case in := <-requests:
-			placing = in.kind == inputRequest
+			hasRequest = in.kind == inputRequest
 			o.handleRequest(in)
 		case in := <-o.noteQueue:
 			o.handle(in)
@@ -84,16 +85,17 @@
 	}
 }
 
-// takeRequest takes a request behind the events that were there before it: a select that finds both picks either, and
-// a request that overtook the first list was refused for want of servers (seen right after the start).
+// handleRequest handles a request after the events that were queued before it. A select with both queues ready picks
+// either one: right after the start, a request that overtook the first server list was refused because no server was
+// known.
 func (o *Orchestrator) handleRequest(in input) {
 	for range maxBatch {
-		if in.kind != inputRequest { // a leave: what came behind it finds its viewer gone
+		if in.kind != inputRequest { // the viewer left: events that are handled later find the request withdrawn
 			break
 		}
 		select {
-		case e := <-o.eventQueue:
-			o.handle(e)
+		case event := <-o.eventQueue:
+			o.handle(event)
 			continue
 		default:
 		}
@@ -102,8 +104,10 @@
 	o.handle(in)
 }
 
+// addToBatch adds an event to the batch that the next step passes to the module.
 func (o *Orchestrator) addToBatch(e control.Event) { o.batch = append(o.batch, e) }
 
+// handle processes one queued input.
 func (o *Orchestrator) handle(in input) {
 	switch in.kind {
 	case inputEvent:
@@ -127,13 +131,14 @@
 		o.handleEndedByServer(in)
 	case inputSessionsLost:
 		for _, id := range in.sessionIDs {
-			o.handleEndedByServer(input{kind: inputEndedByServer, id: id, server: in.server, result: Result{Outcome: control.Reset}})
+			o.handleEndedByServer(input{kind: inputEndedByServer, id: id, server: in.server,
+				result: Result{Outcome: control.Reset}})
 		}
 	}
 }
 
-// FinishRequests answers every request that still waits as failed, gives up their attempts and has Request refuse all
-// that come later. Sessions that play are looked after until Run's context ends. It returns when that is done.
+// FinishRequests fails every request that still waits, abandons its attempt and makes Submit reject all later requests.
+// It returns when that is done. Playing sessions are still managed until the context of Run ends.
 func (o *Orchestrator) FinishRequests() {
 	done := make(chan struct{})
 	o.Inspect(func() {
@@ -146,21 +151,22 @@
 	}
 }
 
-// finish ends the owner. What was told before is taken first: an answer or an end of a session among it is passed on.
+// finish handles the events that are still queued when Run stops, then fails the waiting requests. Answers and ends of
+// sessions among the queued events thereby still reach their listeners.
 func (o *Orchestrator) finish() {
 	o.handleQueuedEvents()
 	o.failRequests()
 	o.handleQueuedEvents()
 }
 
-// takeEvents takes the events that are there by now.
+// handleQueuedEvents handles the events that are queued at the time of the call.
 func (o *Orchestrator) handleQueuedEvents() {
 	for range len(o.eventQueue) {
 		o.handle(<-o.eventQueue)
 	}
 }
 
-// failRequests answers what waits, and takes no request any more.
+// failRequests fails the waiting requests and those still in the queue, and stops accepting requests.
 func (o *Orchestrator) failRequests() {
 	for _, r := range o.openRequests {
 		if r.cancelAttempt != nil && !r.playing {
--- a/internal/core/run_test.go
+++ b/internal/core/run_test.go
@@ -16,30 +16,33 @@
 	"rainpulley/control"
 )
 
-// Every other action reaches the carrier; a move ends the session and marks it.
+// TestActionsReachExecutor checks that the remaining actions are passed to the executor, and that a Move ends the
+// session and marks it as moved.
 func TestActionsReachExecutor(t *testing.T) {
 	h := startHarness(t, 5, setUpServes, func(_ time.Duration, e control.Event) []control.Action {
 		switch e := e.(type) {
 		case control.Request:
-			return []control.Action{control.Send{ID: e.ID, Server: "a"}, control.Probe{Server: "p"}, control.Subscribe{}, control.ReadList{},
-				control.SendToPeer{Front: 3, Data: "d"}}
+			return []control.Action{control.Send{ID: e.ID, Server: "a"}, control.Probe{Server: "p"}, control.Subscribe{},
+				control.ReadList{}, control.SendToPeer{Front: 3, Data: "d"}}
 		case control.SessionStarted:
-			return []control.Action{control.SetRung{ID: e.ID, Rung: 4}, control.SetRung{ID: e.ID, Rung: 4}, control.Move{ID: e.ID}}
+			return []control.Action{control.SetRung{ID: e.ID, Rung: 4}, control.SetRung{ID: e.ID, Rung: 4},
+				control.Move{ID: e.ID}}
 		}
 		return nil
 	})
-	e := h.submit(t, "x", time.Second)
-	e.waitAnswer()
-	e.waitClosed()
+	l := h.submit(t, "x", time.Second)
+	l.waitAnswer()
+	l.waitClosed()
 	if got := strings.Join(h.executor.calls, "; "); got != "probe p; subscribe; read; tell 3 d; rung x 4" {
 		t.Error(got)
 	}
-	if got := strings.Join(e.changes, "; "); got != "rung 4; ended cancelled true" {
+	if got := strings.Join(l.changes, "; "); got != "rung 4; ended cancelled true" {
 		t.Error(got)
 	}
 }
 
-// Requests faster than the queue drains are turned away at once; what was taken is answered.
+// TestFullQueueRejectsRequests checks that requests are rejected at once while the queue is full, and that every
+// accepted request is answered.
 func TestFullQueueRejectsRequests(t *testing.T) {
 	block := make(chan struct{})
 	h := startHarness(t, 5, setUpServes, func(_ time.Duration, e control.Event) []control.Action {
@@ -52,28 +55,29 @@
 	var accepted []*recordingListener
 	rejected := 0
 	for i := range 1000 {
-		e := newRecordingListener(t)
-		if h.Submit(control.Request{ID: fmt.Sprint(i), GiveUpAt: h.Now() + 10*time.Second}, e) {
-			accepted = append(accepted, e)
+		l := newRecordingListener(t)
+		if h.Submit(control.Request{ID: fmt.Sprint(i), GiveUpAt: h.Now() + 10*time.Second}, l) {
+			accepted = append(accepted, l)
 		} else {
 			rejected++
 		}
 	}
 	if rejected < 1000-64-maxBatch-1 || len(accepted) < 64 {
-		t.Errorf("%d taken, %d turned away", len(accepted), rejected)
+		t.Errorf("%d requests accepted, %d rejected", len(accepted), rejected)
 	}
 	close(block)
-	for _, e := range accepted {
-		if a := e.waitAnswer(); a.Kind != Refused {
+	for _, l := range accepted {
+		if a := l.waitAnswer(); a.Kind != Refused {
 			t.Fatalf("answer %+v", a)
 		}
 	}
 }
 
-// When the owner ends, what it owes is answered.
+// TestStopFailsWaitingRequests checks that the waiting requests are failed when the orchestrator stops.
 func TestStopFailsWaitingRequests(t *testing.T) {
 	h := &harness{executor: &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: setUpHangs}}
-	h.Orchestrator = New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: h.executor, Now: func() time.Duration { return 0 },
+	h.Orchestrator = New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: h.executor,
+		Now: func() time.Duration { return 0 },
 		Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 			if q, ok := e.(control.Request); ok {
 				return []control.Action{control.Send{ID: q.ID, Server: "a"}}
@@ -83,21 +87,21 @@
 	ctx, stop := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
 	go func() { h.Run(ctx); close(stopped) }()
-	e := newRecordingListener(t)
-	h.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, e)
+	l := newRecordingListener(t)
+	h.Submit(control.Request{ID: "x", GiveUpAt: time.Hour}, l)
 	for h.Stats.Attempts.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	stop()
 	<-stopped
-	if a := e.waitAnswer(); a.Kind != Failed {
+	if a := l.waitAnswer(); a.Kind != Failed {
 		t.Errorf("answer %+v", a)
 	}
-	h.ViewerLeft("x", e) // after the end: does not wait for ever
+	h.ViewerLeft("x", l) // does not block after the orchestrator has stopped
 }
 
-// Whatever a module orders and servers do, each request has one answer in time, each attempt one end, and
-// no request two attempts out.
+// TestRandomModule checks the guarantees of the package with random actions of the module and random results of
+// set-ups: each request gets one answer in time, each attempt ends once, and no request has two attempts in flight.
 func TestRandomModule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
@@ -114,7 +118,7 @@
 			}
 		}
 		servers := []string{"a", "b", "c"}
-		act := func(id string) control.Action {
+		randomAction := func(id string) control.Action {
 			switch draw(8) {
 			case 0:
 				return control.Refuse{ID: id}
@@ -147,33 +151,34 @@
 				id = e.ID
 			}
 			for range draw(3) {
-				out = append(out, act(id))
+				out = append(out, randomAction(id))
 			}
 			return out
 		}
-		c := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: setUp}
+		executor := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: setUp}
 		begin := time.Now()
-		o := New(Options{QueueSize: 64, MaxAttempts: 4, AnswerSlack: 10 * time.Millisecond, Log: slog.New(slog.DiscardHandler), Executor: c,
+		o := New(Options{QueueSize: 64, MaxAttempts: 4, AnswerSlack: 10 * time.Millisecond,
+			Log: slog.New(slog.DiscardHandler), Executor: executor,
 			Decider: deciderFunc(decide), Now: func() time.Duration { return time.Since(begin) }})
 		ctx, stop := context.WithCancel(context.Background())
 		stopped := make(chan struct{})
 		go func() { o.Run(ctx); close(stopped) }()
 		var listeners []*recordingListener
 		for i := range n {
-			e := newRecordingListener(t)
-			listeners = append(listeners, e)
-			o.Submit(control.Request{ID: fmt.Sprint(i), GiveUpAt: o.Now() + 20*time.Millisecond}, e)
+			l := newRecordingListener(t)
+			listeners = append(listeners, l)
+			o.Submit(control.Request{ID: fmt.Sprint(i), GiveUpAt: o.Now() + 20*time.Millisecond}, l)
 			if draw(4) == 0 {
 				left := draw(i + 1)
 				o.ViewerLeft(fmt.Sprint(left), listeners[left])
 			}
 		}
-		for i, e := range listeners {
+		for i, l := range listeners {
 			select {
-			case <-e.answered:
-			case <-e.closed: // its viewer left
+			case <-l.answered:
+			case <-l.closed: // its viewer left
 			case <-time.After(5 * time.Second):
-				rt.Fatalf("request %d has no answer", i)
+				rt.Fatalf("request %d was not answered within 5 s", i)
 			}
 		}
 		stop()
@@ -181,13 +186,15 @@
 	})
 }
 
-// An edge that was killed forgets its further attempts; its next instance has no free part of the budget until a
-// span is over, so that both together keep it.
+// TestBudgetAfterRestart checks that an edge has no free further attempts during the first span after its start. A
+// killed edge loses its count of further attempts, so only then do both instances together stay within the budget.
 func TestBudgetAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
-		c := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: func(context.Context, Attempt) Result { return Result{Outcome: control.Failed} }}
-		o := New(Options{QueueSize: 64, MaxAttempts: 5, AnswerSlack: 40 * time.Millisecond, Log: slog.New(slog.DiscardHandler), Executor: c,
+		executor := &fakeExecutor{t: t, inFlight: map[string]int{},
+			setUp: func(context.Context, Attempt) Result { return Result{Outcome: control.Failed} }}
+		o := New(Options{QueueSize: 64, MaxAttempts: 5, AnswerSlack: 40 * time.Millisecond,
+			Log: slog.New(slog.DiscardHandler), Executor: executor,
 			Budget: Budget{Span: 10 * time.Second, Share: 0.2}, Now: func() time.Duration { return time.Since(begin) },
 			Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 				switch e := e.(type) {
@@ -206,21 +213,21 @@
 			})})
 		ctx, stop := context.WithCancel(context.Background())
 		go o.Run(ctx)
-		ask := func(n int) {
+		submitAndWait := func(n int) {
 			for range n {
-				e := newRecordingListener(t)
-				o.Submit(control.Request{ID: fmt.Sprint(o.Stats.Requests.Load()), GiveUpAt: o.Now() + time.Second}, e)
-				<-e.closed
+				l := newRecordingListener(t)
+				o.Submit(control.Request{ID: fmt.Sprint(o.Stats.Requests.Load()), GiveUpAt: o.Now() + time.Second}, l)
+				<-l.closed
 			}
 		}
-		ask(20)
+		submitAndWait(20)
 		if got := o.Stats.FurtherAttempts.Load(); got != 4 {
-			t.Errorf("%d further attempts of 20 requests right after the start, want 0.2 of them", got)
+			t.Errorf("%d further attempts for 20 requests right after the start, want 4: a share of 0.2", got)
 		}
 		time.Sleep(10 * time.Second)
-		ask(3)
+		submitAndWait(3)
 		if got := o.Stats.FurtherAttempts.Load(); got != 7 {
-			t.Errorf("%d further attempts, want the module's word to stand after the span", got)
+			t.Errorf("%d further attempts, want 7: after the first span only the module limits them", got)
 		}
 		stop()
 		synctest.Wait()
--- a/internal/core/rush_test.go
+++ b/internal/core/rush_test.go
@@ -10,10 +10,11 @@
 	"rainpulley/control"
 )
 
-// BenchmarkRush is a rush of 200 requests at once, each refused by a module that takes no time.
+// BenchmarkRequestBurst measures a burst of 200 requests, each of which the module refuses without any work.
 func BenchmarkRequestBurst(b *testing.B) {
 	const burst = 200
-	o := New(Options{QueueSize: burst, Log: slog.New(slog.DiscardHandler), Executor: &fakeExecutor{t: b, inFlight: map[string]int{}}, Now: func() time.Duration { return 0 },
+	o := New(Options{QueueSize: burst, Log: slog.New(slog.DiscardHandler),
+		Executor: &fakeExecutor{t: b, inFlight: map[string]int{}}, Now: func() time.Duration { return 0 },
 		Decider: deciderFunc(func(_ time.Duration, e control.Event) []control.Action {
 			if r, ok := e.(control.Request); ok {
 				return []control.Action{control.Refuse{ID: r.ID}}
--- a/internal/core/sameid_test.go
+++ b/internal/core/sameid_test.go
@@ -8,9 +8,10 @@
 	"rainpulley/control"
 )
 
-// The tests of this file have an id used again by a later request. What concerns the earlier one leaves that alone.
+// In the tests of this file, a later request reuses the id of an earlier one. Late inputs for the earlier request must
+// not affect the later one.
 
-// failsFirst is a module that fails the first request at once and sends on those behind it.
+// failFirstRequest returns a module that fails the first request at once and sends the later ones to server a.
 func failFirstRequest() deciderFunc {
 	later := false
 	return func(now time.Duration, e control.Event) []control.Action {
@@ -22,10 +23,12 @@
 	}
 }
 
-// TestLeaveOfEarlierRequest: the leave of a request comes late, when another one is open under its id.
+// TestViewerLeftOfEarlierRequest checks a report that the viewer of the earlier request left, which arrives when the
+// later request is already open.
 func TestViewerLeftOfEarlierRequest(t *testing.T) {
 	release := make(chan struct{})
-	h := startHarness(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} }, failFirstRequest())
+	h := startHarness(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} },
+		failFirstRequest())
 	earlier := h.submit(t, "x", time.Minute)
 	earlier.waitClosed()
 	later := h.submit(t, "x", time.Minute)
@@ -33,17 +36,19 @@
 	for h.QueueLen() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	h.loggedEvents() // by now the owner has seen what it took
+	h.loggedEvents() // after this the orchestrator has handled the report
 	close(release)
 	if a := later.waitAnswer(); a.Kind != Playing {
 		t.Errorf("answer %+v", a)
 	}
 }
 
-// TestBackstopOfEarlierRequest: the deadline of a request comes when another one is open under its id, which has more time.
+// TestBackstopOfEarlierRequest checks the backstop timer of the earlier request, which fires when the later request is
+// open and its deadline is still far away.
 func TestBackstopOfEarlierRequest(t *testing.T) {
 	release := make(chan struct{})
-	h := startHarness(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} }, failFirstRequest())
+	h := startHarness(t, 5, func(context.Context, Attempt) Result { <-release; return Result{Outcome: control.Served} },
+		failFirstRequest())
 	earlier := h.submit(t, "x", 20*time.Millisecond)
 	earlier.waitClosed()
 	later := h.submit(t, "x", time.Minute)
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -6,15 +6,15 @@
 	"rainpulley/control"
 )
 
-// timer is one that the module set, or the backstop of a request's answer.
+// timer is a timer of the module, or the backstop timer of a request.
 type timer struct {
 	at       time.Duration
 	order    uint64
 	label    string
-	backstop *request // whose answer is due; nil: a timer of the module
+	backstop *request // the request whose answer is due; nil for a timer of the module
 }
 
-// timerHeap keeps timers by time, those of one time in the order in which they were set.
+// timerHeap is a heap of timers by time; timers of the same time fire in the order in which they were set.
 type timerHeap struct {
 	entries   []timer
 	lastOrder uint64
@@ -30,12 +30,12 @@
 	t.order = h.lastOrder
 	h.entries = append(h.entries, t)
 	for i := len(h.entries) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !h.less(i, up) {
+		parent := (i - 1) / 2
+		if !h.less(i, parent) {
 			break
 		}
-		h.entries[i], h.entries[up] = h.entries[up], h.entries[i]
-		i = up
+		h.entries[i], h.entries[parent] = h.entries[parent], h.entries[i]
+		i = parent
 	}
 }
 
@@ -44,20 +44,21 @@
 	h.entries[0] = h.entries[last]
 	h.entries = h.entries[:last]
 	for i := 0; ; {
-		low := i
-		for c := 2*i + 1; c <= 2*i+2 && c < last; c++ {
-			if h.less(c, low) {
-				low = c
+		first := i
+		for child := 2*i + 1; child <= 2*i+2 && child < last; child++ {
+			if h.less(child, first) {
+				first = child
 			}
 		}
-		if low == i {
+		if first == i {
 			return t
 		}
-		h.entries[i], h.entries[low] = h.entries[low], h.entries[i]
-		i = low
+		h.entries[i], h.entries[first] = h.entries[first], h.entries[i]
+		i = first
 	}
 }
 
+// untilNextTimer returns the time until the next timer is due, and an hour if there is none.
 func (o *Orchestrator) untilNextTimer() time.Duration {
 	if len(o.timers.entries) == 0 {
 		return time.Hour
@@ -65,8 +66,8 @@
 	return max(o.timers.entries[0].at-o.Now(), 0)
 }
 
-// fire tells timers that are due. The backstop answers a request of which the module said nothing in
-// time: a viewer that waits for ever is worse than one that is told of a failure.
+// fireTimers handles the timers that are due. Those of the module become events. A backstop timer fails a request that
+// the module has not answered in time, because a reported failure is better for the viewer than an endless wait.
 func (o *Orchestrator) fireTimers() {
 	now := o.Now()
 	for len(o.timers.entries) > 0 && o.timers.entries[0].at <= now {
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -1,6 +1,6 @@
-// Package delivery tracks messages that must reach a peer although the connections to it come and go. A message that
-// was written on a connection which ended before the peer confirmed it may be lost, and is sent again on the next
-// one. The package has no clock and no I/O: the caller tells what happened and when.
+// Package delivery tracks messages that must reach a peer even if connections to it end. A message that was sent on a
+// connection which ended before the peer confirmed the message may be lost, so it is sent again on the next connection.
+// The package has no clock and does no I/O: the caller reports what happened and when.
 package delivery
 
 import (
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// ConnectionID names one connection; an ID is never used twice.
+// ConnectionID identifies one connection; an ID is never reused.
 type ConnectionID uint64
 
-// Message is one message that is owed to the peer.
+// Message is one message to the peer.
 type Message[T any] struct {
 	Key   string
 	Value T
 }
 
-// Pending holds the messages to one peer that have not surely arrived. A message is waiting until it is sent on a
-// connection, and waiting again if that connection ends soon after. It is forgotten once the peer has confirmed it, or
-// when its lifetime is over. The zero value is not usable; see New.
+// Pending holds the messages to one peer whose delivery is not certain. A message waits until it is sent on a
+// connection, and waits again if that connection ends soon after. It is removed once the peer has confirmed it or its
+// lifetime has expired. The zero value is not usable; see New.
 type Pending[T any] struct {
 	lifetime   time.Duration
 	lossWindow time.Duration
@@ -29,28 +29,29 @@
 	lastOrder  uint64
 }
 
-// entry is one message and where it is.
+// entry is one message and the state of its delivery.
 type entry[T any] struct {
 	value   T
-	order   uint64 // of the message among all that were added
+	order   uint64 // position among all messages in the order in which they were added
 	addedAt time.Duration
-	sentOn  ConnectionID // the last one
+	sentOn  ConnectionID // connection on which the message was last sent
 	sentAt  time.Duration
 }
 
-// New returns an empty set. A message is kept for lifetime after it was added. A message whose connection ended more
-// than doubt after it was sent counts as delivered.
-func New[T any](lifetime, doubt time.Duration) *Pending[T] {
-	return &Pending[T]{lifetime: lifetime, lossWindow: doubt, waiting: map[string]*entry[T]{}, sent: map[string]*entry[T]{}}
+// New returns an empty Pending. A message is kept for at most lifetime after it was added. A message whose connection
+// ended more than lossWindow after the message was sent counts as delivered.
+func New[T any](lifetime, lossWindow time.Duration) *Pending[T] {
+	return &Pending[T]{lifetime: lifetime, lossWindow: lossWindow,
+		waiting: map[string]*entry[T]{}, sent: map[string]*entry[T]{}}
 }
 
-// Len is the number of messages that are held, sent or not.
+// Len returns the number of messages that are held, sent or not.
 func (p *Pending[T]) Len() int { return len(p.waiting) + len(p.sent) }
 
-// HasWaiting tells whether a message has to be sent.
+// HasWaiting reports whether a message has to be sent.
 func (p *Pending[T]) HasWaiting() bool { return len(p.waiting) > 0 }
 
-// Add holds a message as waiting. A message under a key that is held already is ignored.
+// Add adds a waiting message. It ignores a message whose key is already held.
 func (p *Pending[T]) Add(key string, value T, now time.Duration) {
 	if p.waiting[key] != nil || p.sent[key] != nil {
 		return
@@ -59,7 +60,7 @@
 	p.waiting[key] = &entry[T]{value: value, order: p.lastOrder, addedAt: now}
 }
 
-// Waiting lists the messages that have to be sent, in the order in which they were added.
+// Waiting returns the messages that have to be sent, in the order in which they were added.
 func (p *Pending[T]) Waiting() []Message[T] {
 	messages := make([]Message[T], 0, len(p.waiting))
 	for key, e := range p.waiting {
@@ -71,7 +72,7 @@
 	return messages
 }
 
-// Sent says that a waiting message was handed to a connection.
+// MarkSent records that a waiting message was passed to a connection for sending.
 func (p *Pending[T]) MarkSent(key string, on ConnectionID, now time.Duration) {
 	e := p.waiting[key]
 	if e == nil {
@@ -82,15 +83,15 @@
 	p.sent[key] = e
 }
 
-// Confirmed says that the peer has the message.
+// Confirm removes a message that the peer has received.
 func (p *Pending[T]) Confirm(key string) {
 	delete(p.waiting, key)
 	delete(p.sent, key)
 }
 
-// ConnectionEnded says that a connection is over. What was sent on it a short time ago waits again; what was sent
-// earlier has arrived and is forgotten. It returns how many messages wait again.
-func (p *Pending[T]) ConnectionEnded(ended ConnectionID, now time.Duration) (again int) {
+// ConnectionEnded records that a connection has ended. Messages that were sent on it within the loss window wait again;
+// those that were sent earlier count as delivered and are removed. It returns how many messages wait again.
+func (p *Pending[T]) ConnectionEnded(ended ConnectionID, now time.Duration) (requeued int) {
 	for key, e := range p.sent {
 		if e.sentOn != ended {
 			continue
@@ -98,14 +99,14 @@
 		delete(p.sent, key)
 		if now-e.sentAt <= p.lossWindow {
 			p.waiting[key] = e
-			again++
+			requeued++
 		}
 	}
-	return again
+	return requeued
 }
 
-// Expire forgets messages whose lifetime is over, and lists the keys of those that were still waiting, in the order in
-// which they were added.
+// Expire removes the messages whose lifetime has expired and returns the keys of those that were still waiting, in the
+// order in which they were added.
 func (p *Pending[T]) Expire(now time.Duration) (undelivered []string) {
 	for _, m := range p.Waiting() {
 		if now-p.waiting[m.Key].addedAt > p.lifetime {
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -16,16 +16,16 @@
 	noConnection ConnectionID = 0
 )
 
-// modelEntry is one message in the plainest model: a list that is searched.
+// modelEntry is one message of the reference model, which is a list.
 type modelEntry struct {
 	key     string
 	addedAt time.Duration
-	sentOn  ConnectionID // noConnection while it waits
+	sentOn  ConnectionID // noConnection while the message waits
 	sentAt  time.Duration
-	settled bool // confirmed, or its connection outlived the doubt
+	settled bool // confirmed, or its connection outlasted the loss window
 }
 
-// pendingMachine drives a Pending and its model through random interleavings.
+// pendingMachine is a rapid state machine that applies random operations to a Pending and to its model.
 type pendingMachine struct {
 	pending *Pending[int]
 	model   []*modelEntry
@@ -45,7 +45,7 @@
 
 func (m *pendingMachine) drawEntry(t *rapid.T) *modelEntry {
 	if len(m.model) == 0 {
-		t.Skip("nothing added")
+		t.Skip("no message was added")
 	}
 	return rapid.SampledFrom(m.model).Draw(t, "entry")
 }
@@ -122,7 +122,7 @@
 	m.model = slices.DeleteFunc(m.model, func(e *modelEntry) bool { return m.now-e.addedAt > lifetime })
 }
 
-// Check compares what waits, and that nothing is held that has settled.
+// Check compares the waiting messages with the model, and checks that no settled message is held.
 func (m *pendingMachine) Check(t *rapid.T) {
 	m.model = slices.DeleteFunc(m.model, func(e *modelEntry) bool { return e.settled })
 	var want []string
@@ -142,11 +142,12 @@
 		t.Fatalf("HasWaiting %v with %v waiting", m.pending.HasWaiting(), want)
 	}
 	if m.pending.Len() != len(m.model) {
-		t.Fatalf("holds %d, want %d", m.pending.Len(), len(m.model))
+		t.Fatalf("holds %d messages, want %d", m.pending.Len(), len(m.model))
 	}
 }
 
-// TestInterleavings: whatever the order of events, a message waits, is on a connection that lives, or has arrived.
+// TestInterleavings checks that, in any order of operations, a message waits, is on an open connection or counts as
+// delivered.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &pendingMachine{pending: New[int](lifetime, lossWindow)}
