--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,7 +7,7 @@
 	"rainpulley/control"
 )
 
-// A front creates one controller, feeds it what it sees and carries out the answers.
+// A front creates one controller, passes its observations in as events and carries out the returned actions.
 func Example() {
 	c, err := control.New(control.Settings{
 		Ladder: []float64{300, 700}, RungWorth: []float64{0.5, 1},
@@ -22,7 +22,9 @@
 	c.Step(now, []control.Event{control.ListUpdate{Whole: true, Servers: []control.Server{
 		{ID: "box-1", State: control.Ready}, {ID: "box-2", State: control.Draining},
 	}}})
-	for _, action := range c.Step(now, []control.Event{control.Request{ID: "v1", BestRung: 1, GiveUpAt: now + 4*time.Second}}) {
+	for _, action := range c.Step(now, []control.Event{
+		control.Request{ID: "v1", BestRung: 1, GiveUpAt: now + 4*time.Second},
+	}) {
 		fmt.Printf("%T %+v\n", action, action)
 	}
 	// Output:
--- a/control/invariants_test.go
+++ b/control/invariants_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestInvariants feeds random events and checks the rules on the actions.
+// TestInvariants passes random events to a controller and checks that its actions obey the rules: one attempt at a time
+// to a ready server, one answer for each request, no repeat of an at-most-once set-up, and limits on seats and rungs.
 func TestInvariants(t *testing.T) {
 	for seed := range uint64(60) {
 		checkInvariants(t, seed)
@@ -18,64 +19,67 @@
 	}
 }
 
+// openRequest is the state of a request as its events and actions imply it.
 type openRequest struct {
-	class         int
-	due           time.Duration
-	server        string
-	out, playing  bool
-	answered, ran bool
-	best          int
+	class                int
+	due                  time.Duration
+	server               string
+	inProgress, playing  bool
+	answered, mayHaveRun bool
+	best                 int
 }
 
+// checkInvariants runs the test with one seed.
 func checkInvariants(t *testing.T, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 2))
-	set := testSettings()
-	set.BudgetSpan, set.BudgetFree, set.BudgetShare = 5*time.Second, 3, 0.3
-	f := startFront(t, set)
-	state := map[string]ServerState{}
+	settings := testSettings()
+	settings.BudgetSpan, settings.BudgetFree, settings.BudgetShare = 5*time.Second, 3, 0.3
+	f := startFront(t, settings)
+	states := map[string]ServerState{}
 	for i := range 6 {
-		state[fmt.Sprint("s", i)] = Ready
+		states[fmt.Sprint("s", i)] = Ready
 	}
-	reqs, ids := map[string]*openRequest{}, []string{}
-	apply := func(out []Action) {
-		for _, a := range out {
+	requests, ids := map[string]*openRequest{}, []string{}
+	apply := func(actions []Action) {
+		for _, a := range actions {
 			switch a := a.(type) {
 			case Send:
-				q := reqs[a.ID]
-				if q.out || q.answered {
-					t.Errorf("%s: sent while out %v, answered %v", a.ID, q.out, q.answered)
+				q := requests[a.ID]
+				if q.inProgress || q.answered {
+					t.Errorf("%s: sent while attempt in progress: %v, answered: %v", a.ID, q.inProgress, q.answered)
 				}
-				if state[a.Server] != Ready {
-					t.Errorf("%s: sent to %s in state %v", a.ID, a.Server, state[a.Server])
+				if states[a.Server] != Ready {
+					t.Errorf("%s: sent to server %s in state %v", a.ID, a.Server, states[a.Server])
 				}
-				if q.ran && q.class == 1 {
-					t.Errorf("%s: paid set-up repeated", a.ID)
+				if q.mayHaveRun && q.class == 1 {
+					t.Errorf("%s: at-most-once set-up repeated", a.ID)
 				}
-				q.out, q.server = true, a.Server
+				q.inProgress, q.server = true, a.Server
 				n := 0
-				for _, o := range reqs {
-					if o.class == 3 && o.out {
+				for _, o := range requests {
+					if o.class == 3 && o.inProgress {
 						n++
 					}
 				}
-				if n > set.Classes[3].Seats {
-					t.Errorf("%d sessions, %d seats", n, set.Classes[3].Seats)
+				if n > settings.Classes[3].Seats {
+					t.Errorf("%d sessions of one title, want at most %d", n, settings.Classes[3].Seats)
 				}
 			case Refuse:
-				q := reqs[a.ID]
-				if q.answered || q.out || q.ran && (q.class == 1 || q.class == 2) {
-					t.Errorf("%s: wrong refusal %+v", a.ID, q)
+				q := requests[a.ID]
+				if q.answered || q.inProgress || q.mayHaveRun && (q.class == 1 || q.class == 2) {
+					t.Errorf("%s: refused in state %+v", a.ID, q)
 				}
 				q.answered = true
 			case Fail:
-				if q := reqs[a.ID]; q.answered || q.out {
-					t.Errorf("%s: wrong failure", a.ID)
+				if q := requests[a.ID]; q.answered || q.inProgress {
+					t.Errorf("%s: failed although it was answered or an attempt is in progress", a.ID)
 				} else {
 					q.answered = true
 				}
 			case SetRung:
-				if q := reqs[a.ID]; a.Rung < set.Classes[q.class].MinRung || a.Rung > max(q.best, set.Classes[q.class].MinRung) {
-					t.Errorf("%s: rung %d", a.ID, a.Rung)
+				if q := requests[a.ID]; a.Rung < settings.Classes[q.class].MinRung ||
+					a.Rung > max(q.best, settings.Classes[q.class].MinRung) {
+					t.Errorf("%s: rung %d is out of range", a.ID, a.Rung)
 				}
 			}
 		}
@@ -86,15 +90,16 @@
 		case k < 3 || len(ids) == 0:
 			id := fmt.Sprint("r", i)
 			q := &openRequest{class: r.IntN(4), due: f.now + 4*time.Second, best: r.IntN(2) + 1}
-			reqs[id], ids = q, append(ids, id)
-			apply(f.step(Request{ID: id, Class: q.class, Title: 1, HomeCell: r.IntN(6), CellSpan: 3 + r.IntN(3), BestRung: q.best, GiveUpAt: q.due}))
-			if !q.out && !q.answered {
-				t.Errorf("%s: neither sent nor answered", id)
+			requests[id], ids = q, append(ids, id)
+			apply(f.step(Request{ID: id, Class: q.class, Title: 1, HomeCell: r.IntN(6), CellSpan: 3 + r.IntN(3),
+				BestRung: q.best, GiveUpAt: q.due}))
+			if !q.inProgress && !q.answered {
+				t.Errorf("%s: request was neither sent nor answered", id)
 			}
 		case k < 7:
 			id := ids[r.IntN(len(ids))]
-			q := reqs[id]
-			if !q.out {
+			q := requests[id]
+			if !q.inProgress {
 				continue
 			}
 			if !q.playing && r.IntN(2) == 0 {
@@ -102,22 +107,22 @@
 				apply(f.step(SessionStarted{ID: id, Server: q.server}))
 				continue
 			}
-			o := Outcome(r.IntN(8))
-			q.out = false
-			q.ran = q.ran || o != Full && o != ConnectFailed && o != NotSent
-			final := q.playing || o == Served
+			outcome := Outcome(r.IntN(8))
+			q.inProgress = false
+			q.mayHaveRun = q.mayHaveRun || outcome != Full && outcome != ConnectFailed && outcome != NotSent
+			final := q.playing || outcome == Served
 			q.answered = q.answered || final
-			apply(f.step(AttemptEnded{ID: id, Server: q.server, Outcome: o, Final: final}))
-			if !q.out && !q.answered {
-				t.Errorf("%s: ended with %v and left without an answer", id, o)
+			apply(f.step(AttemptEnded{ID: id, Server: q.server, Outcome: outcome, Final: final}))
+			if !q.inProgress && !q.answered {
+				t.Errorf("%s: not answered after its attempt ended with outcome %v", id, outcome)
 			}
 		case k < 8:
 			s := fmt.Sprint("s", r.IntN(6))
-			state[s] = ServerState(r.IntN(3))
+			states[s] = ServerState(r.IntN(3))
 			if r.IntN(2) == 0 {
-				state[s] = Ready
+				states[s] = Ready
 			}
-			line := Server{ID: s, Cell: int(s[1] - '0'), Zone: int(s[1]-'0') % 3, State: state[s], Weight: 1}
+			line := Server{ID: s, Cell: int(s[1] - '0'), Zone: int(s[1]-'0') % 3, State: states[s], Weight: 1}
 			if r.IntN(4) == 0 {
 				line.Started = f.now - time.Second
 			}
@@ -130,6 +135,7 @@
 	}
 }
 
+// TestSameEventsSameActions checks that the decisions are deterministic for a given seed.
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() (all []Action) {
 		f := startFront(t, testSettings())
@@ -145,6 +151,6 @@
 		return all
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Error("the same events gave other actions")
+		t.Error("the same events resulted in different actions")
 	}
 }
--- a/control/list.go
+++ b/control/list.go
@@ -1,10 +1,11 @@
 package control
 
-// The server list, and what links and uplinks are told to give.
+// Updates of the server list, and the configured capacities of links and uplinks.
 
 import "time"
 
-// list follows the server list. A failed subscription is asked for again after a while.
+// handleListUpdate applies an update of the server list. After a failure, it subscribes again with a random
+// delay.
 func (c *Controller) handleListUpdate(u ListUpdate) {
 	if u.Failed {
 		if c.cfg.MustSubscribe {
@@ -28,17 +29,18 @@
 	c.updateCapacities()
 }
 
-// sizeLinks sets what links and uplinks are told to give. Where the weight tells no size,
-// the kind's streams do. What was learned of a link stays.
+// updateCapacities sets the capacities of links and uplinks from the settings. Where the weight does not
+// give the size of a link, the stream slots of the server's kind do. The learned capacity of a known link
+// is kept.
 func (c *Controller) updateCapacities() {
-	unit, sum := 0.0, 0.0
+	ratePerSlot, slotTotal := 0.0, 0.0
 	for _, s := range c.sortedServers {
 		if s.State != Gone {
-			sum += float64(c.slots(s))
+			slotTotal += float64(c.slots(s))
 		}
 	}
-	if sum > 0 {
-		unit = c.cfg.TotalLinkRate / sum
+	if slotTotal > 0 {
+		ratePerSlot = c.cfg.TotalLinkRate / slotTotal
 	}
 	c.racks = c.racks[:min(len(c.racks), max(c.cfg.Racks, 1))]
 	for len(c.racks) < max(c.cfg.Racks, 1) {
@@ -47,33 +49,33 @@
 	for _, r := range c.racks {
 		r.servers = r.servers[:0]
 	}
-	part := c.cfg.RackUplinkRate * float64(c.cfg.Racks) / c.cfg.TotalLinkRate
-	links := make([]float64, len(c.racks))
+	uplinkRatio := c.cfg.RackUplinkRate * float64(c.cfg.Racks) / c.cfg.TotalLinkRate
+	rackLinks := make([]float64, len(c.racks))
 	for _, s := range c.sortedServers {
-		told := unit * float64(c.slots(s))
+		linkCapacity := ratePerSlot * float64(c.slots(s))
 		if c.cfg.WeightMode == WeightSize && s.Weight > 0 && c.cfg.LinkRatePerWeight > 0 {
-			told = s.Weight * c.cfg.LinkRatePerWeight
+			linkCapacity = s.Weight * c.cfg.LinkRatePerWeight
 		}
 		if s.capacity == 0 {
-			s.capacity = told
+			s.capacity = linkCapacity
 		}
 		if s.State != Gone || len(s.sessions) > 0 {
 			c.racks[s.rackIndex].servers = append(c.racks[s.rackIndex].servers, s)
 		}
 		if s.State != Gone {
-			links[s.rackIndex] += told
+			rackLinks[s.rackIndex] += linkCapacity
 		}
 	}
 	for i, r := range c.racks {
-		prior := 0.0
+		configured := 0.0
 		if c.cfg.Racks > 0 && c.cfg.TotalLinkRate > 0 {
-			prior = part * links[i]
+			configured = uplinkRatio * rackLinks[i]
 		}
-		if r.configuredCapacity > 0 && prior > 0 {
-			r.capacity *= prior / r.configuredCapacity
+		if r.configuredCapacity > 0 && configured > 0 {
+			r.capacity *= configured / r.configuredCapacity
 		} else {
-			r.capacity = prior
+			r.capacity = configured
 		}
-		r.configuredCapacity = prior
+		r.configuredCapacity = configured
 	}
 }
--- a/control/load.go
+++ b/control/load.go
@@ -1,6 +1,6 @@
 package control
 
-// The load estimate: what is believed of links and uplinks, from own sessions and reports.
+// The load estimate of links and uplinks, from the own sessions and reports.
 
 import (
 	"cmp"
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// fullness blends the own sessions with the reports: the others' part as last reported,
-// which fades to the fleet's mean with age, and the own part as it is now.
+// utilization estimates the utilization of a server's link: the current rate of the own sessions plus the
+// other fronts' part as last reported. As the report ages, the mean of the fleet replaces the latter.
 func (c *Controller) utilization(s *server) float64 {
 	return c.estimateUtilization(s, c.meanUtilization())
 }
 
-// blend is a server's fullness, given the fleet's mean.
+// estimateUtilization is utilization for a given mean of the fleet.
 func (c *Controller) estimateUtilization(s *server, mean float64) float64 {
 	if s.capacity <= 0 {
 		return mean
@@ -26,12 +26,13 @@
 	if !s.hasReport {
 		return own + mean*float64(c.cfg.Fronts-1)/float64(c.cfg.Fronts)
 	}
-	say := math.Exp2(-float64(c.now-s.othersUpdatedAt) / float64(reportHalfLife))
-	return own + s.othersUtilization*say + max(0, mean-own)*(1-say)
+	weight := math.Exp2(-float64(c.now-s.othersUpdatedAt) / float64(reportHalfLife))
+	return own + s.othersUtilization*weight + max(0, mean-own)*(1-weight)
 }
 
-// mean is the mean fullness of the servers heard from; before any was, the own sessions times the
-// number of fronts, or a guess where a front knows of none. It is worked out anew after a change only.
+// meanUtilization returns the mean utilization of the servers for which there is a report. Without any
+// report it is extrapolated from the own sessions by the number of fronts, or assumed if there are none.
+// The value is cached until one of its inputs changes.
 func (c *Controller) meanUtilization() float64 {
 	if !c.meanValid {
 		c.meanValid, c.cachedMean = true, c.computeMeanUtilization()
@@ -41,28 +42,30 @@
 
 func (c *Controller) computeMeanUtilization() float64 {
 	c.meanServerVisits += len(c.sortedServers)
-	sum, n, own, all := 0.0, 0.0, 0.0, 0.0
+	sum, reported, ownTotal, capacityTotal := 0.0, 0.0, 0.0, 0.0
 	for _, s := range c.sortedServers {
 		if s.State == Ready && s.capacity > 0 {
-			own, all = own+s.ownRate, all+s.capacity
+			ownTotal, capacityTotal = ownTotal+s.ownRate, capacityTotal+s.capacity
 			if s.hasReport {
-				sum, n = sum+s.othersUtilization+s.ownRate/s.capacity, n+1
+				sum, reported = sum+s.othersUtilization+s.ownRate/s.capacity, reported+1
 			}
 		}
 	}
 	switch {
-	case n > 0:
-		return sum / n
-	case own > 0:
-		return own * float64(c.cfg.Fronts) / all
+	case reported > 0:
+		return sum / reported
+	case ownTotal > 0:
+		return ownTotal * float64(c.cfg.Fronts) / capacityTotal
 	}
 	return assumedUtilization
 }
 
-// alive is told by a note on a session that played before the last failure: the server did not restart,
-// so what failed was an answer or the way to it. One doubt stays, which paid set-ups heed.
+// clearRestartSuspicion handles a note about a session that played before the last failure. Since the
+// session survived, the server did not restart: an answer or the connection was lost. One failure remains
+// counted, because of which at-most-once set-ups still avoid the server.
 func (c *Controller) clearRestartSuspicion(s *server, x *session) {
-	if s.failures > 0 && x != nil && x.assignedTo == s && x.playing && x.startedAt < s.lastFailureAt-c.cfg.NoteDelay {
+	if s.failures > 0 && x != nil && x.assignedTo == s && x.playing &&
+		x.startedAt < s.lastFailureAt-c.cfg.NoteDelay {
 		s.failures, s.mayHaveRestarted = 1, false
 	}
 }
@@ -74,48 +77,51 @@
 	}
 }
 
-// load takes a load report.
-func (c *Controller) applyLoadReport(s *server, l *LoadReport, when time.Duration) {
-	if l == nil {
+// applyLoadReport updates the estimate from a load report as of the time when.
+func (c *Controller) applyLoadReport(s *server, report *LoadReport, when time.Duration) {
+	if report == nil {
 		return
 	}
-	if v := cmp.Or(l.Link, l.CappedLink); v != nil {
-		c.applyLinkReport(s, *v, when, loadReportWeight)
+	if link := cmp.Or(report.Link, report.CappedLink); link != nil {
+		c.applyLinkReport(s, *link, when, loadReportWeight)
 		s.freshReport = s.freshReport || c.cfg.LinkNoteInterval == 0
 	}
 	streams := -1
-	if l.Streams != nil {
-		streams = int(*l.Streams + 0.5)
+	if report.Streams != nil {
+		streams = int(*report.Streams + 0.5)
 	}
 	c.updateStreams(s, streams)
-	if l.Link != nil && c.cfg.AllowPeerMessages {
-		c.queueReport(s, *l.Link, streams, false)
+	if report.Link != nil && c.cfg.AllowPeerMessages {
+		c.queueReport(s, *report.Link, streams, false)
 	}
-	if l.Uplink != nil {
-		c.applyUplinkReport(c.racks[s.rackIndex], *l.Uplink, when, true, false)
+	if report.Uplink != nil {
+		c.applyUplinkReport(c.racks[s.rackIndex], *report.Uplink, when, true, false)
 	}
 }
 
-// believe takes a reported fullness of a link as it was at a time: what is beyond the own rate
-// of that time is the others'. A report below the own part alone means a larger link.
-func (c *Controller) applyLinkReport(s *server, full float64, when time.Duration, weight float64) {
-	if !(full >= 0) || s.capacity <= 0 {
+// applyLinkReport updates the estimate of a link from its reported utilization at the time when. The part
+// beyond the own rate at that time is attributed to the other fronts. A report below the own part alone
+// means that the link is larger than estimated.
+func (c *Controller) applyLinkReport(s *server, reported float64, when time.Duration, weight float64) {
+	if !(reported >= 0) || s.capacity <= 0 {
 		return
 	}
-	full = min(full, maxReportedUtilization)
+	reported = min(reported, maxReportedUtilization)
 	own := sampleAt(s.ownRateHistory, when) / s.capacity
-	if own > full && full > 0.1 {
-		s.capacity *= 1 + linkLearningRate*(min(own/full, 1.5)-1)
-		own = full
-	}
-	own -= (s.peerRateChange - sampleAt(s.peerRateHistory, when)) / s.capacity // what others told since belongs to them
-	c.updateOthers(s, full-own, weight)
-	if full >= nearlyFullThreshold {
+	if own > reported && reported > 0.1 {
+		s.capacity *= 1 + linkLearningRate*(min(own/reported, 1.5)-1)
+		own = reported
+	}
+	// Rate changes that other fronts reported since then add to the others' part.
+	own -= (s.peerRateChange - sampleAt(s.peerRateHistory, when)) / s.capacity
+	c.updateOthers(s, reported-own, weight)
+	if reported >= nearlyFullThreshold {
 		s.lastFullAt = c.now
 	}
 }
 
-// hear takes what the others' part of a link's fullness is said to be.
+// updateOthers updates the other fronts' part of a link's utilization by a report of the given weight. A
+// first report, or one after an old report, replaces the estimate.
 func (c *Controller) updateOthers(s *server, others, weight float64) {
 	if !s.hasReport || c.now-s.othersUpdatedAt > reportHalfLife {
 		weight = 1
@@ -124,9 +130,11 @@
 	s.hasReport, s.othersUpdatedAt, c.meanValid = true, c.now, false
 }
 
-// believeUplink learns what a rack's uplink gives from its fullness at a time.
-func (c *Controller) applyUplinkReport(r *rack, full float64, when time.Duration, told, note bool) {
-	if !(full > 0.05) || r.configuredCapacity <= 0 {
+// applyUplinkReport updates the estimated capacity of a rack's uplink from its reported utilization at the
+// time when. measured is false if the utilization is inferred from a short share; note is true if it comes
+// from a note.
+func (c *Controller) applyUplinkReport(r *rack, reported float64, when time.Duration, measured, note bool) {
+	if !(reported > 0.05) || r.configuredCapacity <= 0 {
 		return
 	}
 	ownThen, ownNow := 0.0, 0.0
@@ -134,23 +142,24 @@
 		ownThen += sampleAt(s.ownRateHistory, when)
 		ownNow += s.ownRate
 	}
-	seen := max(c.uplinkRate(r)+ownThen-ownNow, 0) / full
-	seen = min(max(seen, r.configuredCapacity/6), r.configuredCapacity*2)
-	r.capacity += uplinkLearningRate * (seen - r.capacity)
-	r.utilizationReported, r.freshReport = r.utilizationReported || told, r.freshReport || note || c.cfg.LinkNoteInterval == 0
+	observed := max(c.uplinkRate(r)+ownThen-ownNow, 0) / reported
+	observed = min(max(observed, r.configuredCapacity/6), r.configuredCapacity*2)
+	r.capacity += uplinkLearningRate * (observed - r.capacity)
+	r.utilizationReported, r.freshReport = r.utilizationReported || measured,
+		r.freshReport || note || c.cfg.LinkNoteInterval == 0
 }
 
-// note takes a note on a playing session. A short share is the link's doing if the link is
-// thought full, else the uplink's.
+// handleNote processes a note about a playing session. A note about a session that started within NoteDelay
+// came with the set-up and is current; others are as old as NoteDelay.
 func (c *Controller) handleNote(e Note) {
 	s, x := c.serversByID[e.Server], c.sessions[e.ID]
 	if s == nil {
 		return
 	}
-	late := c.now - c.cfg.NoteDelay
-	then, atSetUp := late, x != nil && x.startedAt > late
+	delayed := c.now - c.cfg.NoteDelay
+	when, atSetUp := delayed, x != nil && x.startedAt > delayed
 	if atSetUp {
-		then = c.now
+		when = c.now
 	}
 	s.lastNoteAt = c.now
 	switch e.Kind {
@@ -161,32 +170,36 @@
 		}
 	case NoteLink:
 		c.clearRestartSuspicion(s, x)
-		part := s.ownRate / max(s.capacity, 1) / max(e.Value, 0.1)
-		if c.cfg.AllowPeerMessages && (atSetUp || c.rng.Float64() < reportersPerNote*part) {
+		ownPart := s.ownRate / max(s.capacity, 1) / max(e.Value, 0.1)
+		if c.cfg.AllowPeerMessages && (atSetUp || c.rng.Float64() < reportersPerNote*ownPart) {
 			c.queueReport(s, e.Value, -1, !atSetUp)
 		}
-		c.applyLinkReport(s, e.Value, then, reportWeight)
+		c.applyLinkReport(s, e.Value, when, reportWeight)
 		if !atSetUp {
 			s.freshReport, c.lastLinkNoteAt = true, c.now
 		}
 	case NoteUplink:
-		c.applyUplinkReport(c.racks[s.rackIndex], e.Value, then, true, true)
+		c.applyUplinkReport(c.racks[s.rackIndex], e.Value, when, true, true)
 	case NoteShare:
-		c.handleShortShare(s, e.Value, late)
+		c.handleShortShare(s, e.Value, delayed)
 	}
 }
 
-func (c *Controller) handleShortShare(s *server, share float64, then time.Duration) {
+// handleShortShare processes the part of a session's rate that was delivered at the time when. A short
+// share is attributed to the server's link if that was nearly full lately. Else it is attributed to the
+// uplink, unless the uplink's utilization is reported or its capacity is unknown.
+func (c *Controller) handleShortShare(s *server, share float64, when time.Duration) {
 	if !(share >= 0) {
 		return
 	}
 	s.lastShortShareAt = c.now
-	full := 1 / max(share, stalledShare)
+	implied := 1 / max(share, stalledShare) // utilization that explains the share
 	r, link := c.racks[s.rackIndex], c.utilization(s)
-	wasFull := link >= nearlyFullThreshold || s.lastFullAt > 0 && c.now-s.lastFullAt < c.cfg.NoteDelay+settleTime
+	wasFull := link >= nearlyFullThreshold ||
+		s.lastFullAt > 0 && c.now-s.lastFullAt < c.cfg.NoteDelay+settleTime
 	if wasFull || r.capacity <= 0 || r.utilizationReported {
-		if link >= nearlyFullThreshold && share < overloadThreshold && link < full {
-			c.applyLinkReport(s, full, then, reportWeight)
+		if link >= nearlyFullThreshold && share < overloadThreshold && link < implied {
+			c.applyLinkReport(s, implied, when, reportWeight)
 			s.freshReport = true
 		}
 		return
@@ -194,6 +207,6 @@
 	r.recovering = share >= r.lastShortShare+0.02 && c.now-r.lastShortShareAt < stepInterval
 	r.lastShortShare, r.lastShortShareAt = share, c.now
 	if share < overloadThreshold && !r.recovering {
-		c.applyUplinkReport(r, full, then, false, true)
+		c.applyUplinkReport(r, implied, when, false, true)
 	}
 }
--- a/control/load_test.go
+++ b/control/load_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-func TestShortShareStepsDown(t *testing.T) {
+// A link whose reported utilization is above 1 makes its sessions step down.
+func TestOverloadedLinkStepsDown(t *testing.T) {
 	f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
 	for i := range 6 {
 		id := fmt.Sprint(i)
@@ -16,40 +17,45 @@
 	f.now += 5 * time.Second
 	f.step(Note{Server: "s0", Kind: NoteLink, Value: 1.5})
 	if r, ok := findAction[SetRung](f.step(TimerFired{"beat"})); !ok || r.Rung > 1 {
-		t.Errorf("no step down on an over-asked link: %v", r)
+		t.Errorf("no step down on an overloaded link: %v", r)
 	}
 }
 
-func TestRoomThatLastsStepsUp(t *testing.T) {
+// A session steps up if a note reports its link as nearly empty.
+func TestFreeCapacityStepsUp(t *testing.T) {
 	f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
 	f.step(Request{ID: "a", Playing: true, Server: "s0", BestRung: 2, ExpectedLength: time.Minute})
 	f.step(Note{ID: "a", Server: "s0", Kind: NoteRung, Value: 0})
 	f.now += 5 * time.Second
 	f.step(Note{ID: "a", Server: "s0", Kind: NoteLink, Value: 0.06})
 	if r, ok := findAction[SetRung](f.step(TimerFired{"beat"})); !ok || r.Rung < 1 {
-		t.Error("no step up on an empty link")
+		t.Error("no step up on a nearly empty link")
 	}
 }
 
-func TestSilenceOfOneServerOnly(t *testing.T) {
+// Missing notes make a server suspect only while notes about other servers arrive. If all notes stop, the delivery of
+// the notes failed.
+func TestMissingNotesOfOneServer(t *testing.T) {
 	f := startFront(t, testSettings())
-	a := f.startSession("a", 0)
+	server := f.startSession("a", 0)
 	note := func(s string) { f.step(Note{Server: s, Kind: NoteLink, Value: .1}) }
 	other := "s0"
-	if a == other {
+	if server == other {
 		other = "s1"
 	}
 	f.now += 14 * time.Second
-	if f.c.notesOverdue(f.c.serversByID[a]) {
-		t.Error("suspected while no server is heard: the notes are at fault")
+	if f.c.notesOverdue(f.c.serversByID[server]) {
+		t.Error("the server is suspected although notes about all servers stopped")
 	}
 	note(other)
-	if !f.c.notesOverdue(f.c.serversByID[a]) {
-		t.Error("a server that others outlive is not suspected")
+	if !f.c.notesOverdue(f.c.serversByID[server]) {
+		t.Error("the server is not suspected although only its notes stopped")
 	}
 }
 
-func TestLateShareBlamesLinkThatWasFull(t *testing.T) {
+// Notes are delayed: a short share is attributed to a link that was full a short time ago, even if a newer report shows
+// free capacity. Without a full link it is attributed to the uplink.
+func TestDelayedShortShareIsAttributedToFullLink(t *testing.T) {
 	f := startOneRackFront(t, 5000)
 	before := f.c.racks[0].capacity
 	f.reportLinks(1.3)
@@ -57,55 +63,58 @@
 	f.now += time.Second
 	f.step(Note{Server: "s0", Kind: NoteShare, Value: .8})
 	if f.c.racks[0].capacity != before {
-		t.Error("the uplink was blamed for a link that was full")
+		t.Error("the short share was attributed to the uplink although the link was full")
 	}
 	f.now += 10 * time.Second
 	f.step(Note{Server: "s0", Kind: NoteShare, Value: .8})
 	if f.c.racks[0].capacity >= before {
-		t.Error("a short share on a link with room does not point at the uplink")
+		t.Error("the short share was not attributed to the uplink although the link has free capacity")
 	}
 }
 
-func TestUplinkWithoutComplaintGrows(t *testing.T) {
+// The estimated capacity of a heavily used uplink grows as long as no short share is reported.
+func TestUplinkCapacityGrowsWithoutShortShares(t *testing.T) {
 	f := startOneRackFront(t, 2000)
 	before := f.c.racks[0].capacity
 	f.reportLinks(.9)
 	f.step(Note{Server: "s1", Kind: NoteLink, Value: .9})
 	f.step(TimerFired{"beat"})
 	if f.c.racks[0].capacity <= before {
-		t.Error("no growth")
+		t.Error("the estimated capacity of the uplink did not grow")
 	}
 }
 
-func TestProbesWhereReportsNeedThem(t *testing.T) {
-	set := testSettings()
-	set.ReportMode, set.AllowProbes, set.LinkNoteInterval = ReportsByProbe, true, 0
-	f := startFront(t, set)
-	seen := map[string]bool{}
+// Each request probes another server if load reports arrive by probes, and the results decide the placement. If reports
+// arrive in answers, there are no probes.
+func TestProbesOnlyForReportsByProbe(t *testing.T) {
+	settings := testSettings()
+	settings.ReportMode, settings.AllowProbes, settings.LinkNoteInterval = ReportsByProbe, true, 0
+	f := startFront(t, settings)
+	probed := map[string]bool{}
 	for i := range 6 {
-		p, ok := findAction[Probe](f.request(fmt.Sprint(i), 0))
-		if !ok || seen[p.Server] {
-			t.Fatalf("request %d: probe of %q, seen before: %v", i, p.Server, seen[p.Server])
+		probe, ok := findAction[Probe](f.request(fmt.Sprint(i), 0))
+		if !ok || probed[probe.Server] {
+			t.Fatalf("request %d: probe of %q, probed before: %v", i, probe.Server, probed[probe.Server])
 		}
-		seen[p.Server] = true
-		full := 0.9
-		if p.Server == "s3" {
-			full = 0.1
+		probed[probe.Server] = true
+		link := 0.9
+		if probe.Server == "s3" {
+			link = 0.1
 		}
 		f.now += 300 * ms
-		f.step(ProbeResult{Server: p.Server, OK: true, Load: &LoadReport{Link: &full}})
+		f.step(ProbeResult{Server: probe.Server, OK: true, Load: &LoadReport{Link: &link}})
 	}
 	if got := f.sentTo(f.request("z", 0)); got != "s3" {
-		t.Errorf("sent to %q, the probes found s3 the least loaded", got)
+		t.Errorf("sent to %q, want s3, which has the least load by the probes", got)
 	}
-	set.ReportMode = ReportsInAnswers
-	if _, ok := findAction[Probe](startFront(t, set).request("a", 0)); ok {
-		t.Error("probes where answers report")
+	settings.ReportMode = ReportsInAnswers
+	if _, ok := findAction[Probe](startFront(t, settings).request("a", 0)); ok {
+		t.Error("probe sent although load reports arrive in answers")
 	}
 }
 
-// A note on a session that outlived a failure shows that the server did not restart.
-func TestNotesTellThatAServerLives(t *testing.T) {
+// A note about a session that started before a failure shows that the server did not restart, so it gets no slow start.
+func TestNoteOnOlderSessionDisprovesRestart(t *testing.T) {
 	f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
 	f.startSession("a", 0)
 	f.now += 5 * time.Second
@@ -116,16 +125,16 @@
 	f.request("c", 0)
 	f.step(SessionStarted{ID: "c", Server: "s0"})
 	if f.sentTo(f.request("d", 0)) == "" {
-		t.Error("a server whose old session plays on is paced as if restarted")
+		t.Error("slow start applies to a server whose older session still plays")
 	}
 }
 
-// Fronts that cannot tell each other what they took step up by less at one report.
-func TestStepsUpAlone(t *testing.T) {
-	taken := func(peers bool) (n int) {
-		set := testSettings()
-		set.AllowPeerMessages, set.Racks = peers, 0
-		f := startFront(t, set, Server{ID: "s0", State: Ready, Weight: 5})
+// Without messages between fronts, a front steps up by less after one report: all fronts use the same free capacity.
+func TestSmallerStepsUpWithoutPeers(t *testing.T) {
+	stepsUp := func(peers bool) (n int) {
+		settings := testSettings()
+		settings.AllowPeerMessages, settings.Racks = peers, 0
+		f := startFront(t, settings, Server{ID: "s0", State: Ready, Weight: 5})
 		for i := range 12 {
 			id := fmt.Sprint("x", i)
 			f.step(Request{ID: id, Server: "s0", CellSpan: 6, BestRung: 2, Playing: true, ExpectedLength: time.Minute})
@@ -140,7 +149,7 @@
 		}
 		return n
 	}
-	if alone, together := taken(false), taken(true); alone == 0 || alone >= together {
-		t.Errorf("%d steps up alone, %d with peers", alone, together)
+	if alone, together := stepsUp(false), stepsUp(true); alone == 0 || alone >= together {
+		t.Errorf("%d steps up without messages between fronts, %d with them; want fewer, but some", alone, together)
 	}
 }
--- a/control/message.go
+++ b/control/message.go
@@ -7,52 +7,52 @@
 	"strings"
 )
 
-// Messages between fronts are short texts of base-64 digits: a kind that also tells the version, the
-// sender's stamp, then fields. Whom to ask and how long to wait is decided in keepers.go, what a report weighs in
-// load.go; here they are written, read and kept.
+// Messages between fronts are short texts: a letter for the kind and version, then base-64 digits for the sender's
+// stamp and the fields of that kind. This file encodes, decodes and applies them. queryCollectors decides which fronts
+// to query and how long to wait for them; the functions of load.go weigh the reported utilizations.
 
-// messageKind is the first letter of a message. A later version takes other letters.
+// messageKind is the first letter of a message. A later version of the format must use other letters.
 type messageKind byte
 
 const (
-	messageUpdate messageKind = 'n' // a change of the sender's own sessions at a server
-	messageQuery  messageKind = 'q' // what is known of a title's holders
-	messageReply  messageKind = 'a' // what the keeper knows of them
+	messageUpdate messageKind = 'n' // the sender's own sessions at a server changed, or it received a load report
+	messageQuery  messageKind = 'q' // asks for the load of a title's holders
+	messageReply  messageKind = 'a' // load of these holders as the collector knows it
 )
 
-// message is one of the three kinds.
+// message is a decoded message of any kind.
 type message struct {
 	kind               messageKind
 	stamp              int
-	homeCell, cellSpan int            // question: the title's cells
-	reports            []serverReport // news: one entry
+	homeCell, cellSpan int            // query: the title's cells
+	reports            []serverReport // update: exactly one; reply: any number
 }
 
-// about is what a message says of one server.
+// serverReport is the part of a message that reports on one server.
 type serverReport struct {
 	shortID      int
-	utilization  float64 // fullness of the link, under 0 if not known
-	streams      int     // streams that it runs, under 0 if not known
-	delayed      bool    // news: full is from a note, as late as notes are
-	rateChange   int     // news: change of the rate asked, in units
-	streamChange int     // news: change of the streams held
+	utilization  float64 // of the link; negative if unknown
+	streams      int     // streams that the server runs; negative if unknown
+	delayed      bool    // update: utilization comes from a note, and is as old as Settings.NoteDelay
+	rateChange   int     // update: change of the sender's own rate, in units of rateUnit
+	streamChange int     // update: change of the number of the sender's own sessions
 }
 
 const (
 	base64Digits    = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_"
-	stampModulus    = 1 << 18 // stamps and marks take three digits
+	stampModulus    = 1 << 18 // stamps and short IDs have three digits
 	utilizationUnit = 1.0 / 32
 )
 
-// markOf is a short name of a server, the same at every front.
+// shortIDOf returns a short ID of a server, a hash that is the same at every front.
 func shortIDOf(id string) int {
-	h := fnv.New32a()
-	h.Write([]byte(id))
-	v := h.Sum32()
-	return int((v ^ v>>18) % stampModulus)
+	hash := fnv.New32a()
+	hash.Write([]byte(id))
+	sum := hash.Sum32()
+	return int((sum ^ sum>>18) % stampModulus)
 }
 
-// put appends a number in n digits, clipped to what they hold.
+// appendBase64 appends v as n base-64 digits, clipped to the range that they can hold.
 func appendBase64(b []byte, v, n int) []byte {
 	v = min(max(v, 0), 1<<(6*n)-1)
 	for i := n - 1; i >= 0; i-- {
@@ -61,73 +61,74 @@
 	return b
 }
 
-// encode writes a message.
+// encodeMessage returns the text form of a message.
 func encodeMessage(m message) string {
 	b := appendBase64([]byte{byte(m.kind)}, m.stamp, 3)
 	if m.kind == messageQuery {
 		return string(appendBase64(appendBase64(b, m.homeCell, 2), m.cellSpan, 1))
 	}
-	for _, a := range m.reports {
-		b = appendBase64(b, a.shortID, 3)
-		full, late := 63, 0
-		if a.utilization >= 0 {
-			full = min(int(a.utilization/utilizationUnit+0.5), 62)
+	for _, report := range m.reports {
+		b = appendBase64(b, report.shortID, 3)
+		utilization, delayed := 63, 0
+		if report.utilization >= 0 {
+			utilization = min(int(report.utilization/utilizationUnit+0.5), 62)
 		}
-		if a.delayed {
-			late = 1
+		if report.delayed {
+			delayed = 1
 		}
-		b = appendBase64(appendBase64(b, full, 1), a.streams+1, 1)
+		b = appendBase64(appendBase64(b, utilization, 1), report.streams+1, 1)
 		if m.kind == messageUpdate {
-			b = appendBase64(appendBase64(b, a.rateChange*2+late+2048, 2), a.streamChange+32, 1)
+			b = appendBase64(appendBase64(b, report.rateChange*2+delayed+2048, 2), report.streamChange+32, 1)
 		}
 	}
 	return string(b)
 }
 
-// decode reads a message; false if it is none of this version's.
+// decodeMessage parses a message; ok is false if it is malformed or of another version.
 func decodeMessage(text string) (m message, ok bool) {
 	if len(text) < 4 || len(text) > 256 {
 		return m, false
 	}
-	var v [256]int
+	var digits [256]int
 	for i := 1; i < len(text); i++ {
-		v[i] = strings.IndexByte(base64Digits, text[i])
-		if v[i] < 0 {
+		digits[i] = strings.IndexByte(base64Digits, text[i])
+		if digits[i] < 0 {
 			return m, false
 		}
 	}
-	m.kind, m.stamp = messageKind(text[0]), v[1]<<12|v[2]<<6|v[3]
-	rest, each := len(text)-4, 5
+	m.kind, m.stamp = messageKind(text[0]), digits[1]<<12|digits[2]<<6|digits[3]
+	payload, reportLen := len(text)-4, 5
 	switch m.kind {
 	case messageQuery:
-		m.homeCell, m.cellSpan = v[4]<<6|v[5], v[6]
-		return m, rest == 3
+		m.homeCell, m.cellSpan = digits[4]<<6|digits[5], digits[6]
+		return m, payload == 3
 	case messageUpdate:
-		if each = 8; rest != each {
+		if reportLen = 8; payload != reportLen {
 			return m, false
 		}
 	case messageReply:
-		if rest%each != 0 {
+		if payload%reportLen != 0 {
 			return m, false
 		}
 	default:
 		return m, false
 	}
-	for i := 4; i < len(text); i += each {
-		a := serverReport{shortID: v[i]<<12 | v[i+1]<<6 | v[i+2], utilization: float64(v[i+3]) * utilizationUnit, streams: v[i+4] - 1}
-		if v[i+3] == 63 {
-			a.utilization = -1
+	for i := 4; i < len(text); i += reportLen {
+		report := serverReport{shortID: digits[i]<<12 | digits[i+1]<<6 | digits[i+2],
+			utilization: float64(digits[i+3]) * utilizationUnit, streams: digits[i+4] - 1}
+		if digits[i+3] == 63 {
+			report.utilization = -1
 		}
 		if m.kind == messageUpdate {
-			change := v[i+5]<<6 | v[i+6]
-			a.delayed, a.rateChange, a.streamChange = change&1 == 1, change>>1-1024, v[i+7]-32
+			change := digits[i+5]<<6 | digits[i+6]
+			report.delayed, report.rateChange, report.streamChange = change&1 == 1, change>>1-1024, digits[i+7]-32
 		}
-		m.reports = append(m.reports, a)
+		m.reports = append(m.reports, report)
 	}
 	return m, true
 }
 
-// answered places the requests that wait for no keeper any more.
+// placeAnswered places the requests for which no reply is pending any more.
 func (c *Controller) placeAnswered() {
 	var ready []*session
 	c.awaitingReplies = slices.DeleteFunc(c.awaitingReplies, func(x *session) bool {
@@ -141,8 +142,8 @@
 	}
 }
 
-// peer takes a message of another front. What is malformed, of another version, old, repeated or from
-// nobody known changes nothing.
+// handlePeerMessage processes a message of another front. It ignores a message that is malformed, of another version,
+// out of order, repeated or from an unknown front.
 func (c *Controller) handlePeerMessage(e PeerMessage) {
 	m, ok := decodeMessage(e.Data)
 	if !ok || !c.cfg.AllowPeerMessages || e.From < 0 || e.From >= c.cfg.Fronts || e.From == c.cfg.Position ||
@@ -154,10 +155,10 @@
 		c.sendMessage(e.From, message{kind: messageReply, reports: c.collectedReports(m)})
 	case messageReply:
 		c.unansweredQueries = 0
-		for _, a := range m.reports {
-			if s := c.serversByShortID[a.shortID]; s != nil && s.capacity > 0 {
-				c.updateOthers(s, max(a.utilization-s.ownRate/s.capacity, 0), collectorWeight)
-				c.updateStreams(s, a.streams)
+		for _, report := range m.reports {
+			if s := c.serversByShortID[report.shortID]; s != nil && s.capacity > 0 {
+				c.updateOthers(s, max(report.utilization-s.ownRate/s.capacity, 0), collectorWeight)
+				c.updateStreams(s, report.streams)
 			}
 		}
 		for _, x := range c.awaitingReplies {
@@ -167,91 +168,93 @@
 		}
 		c.placeAnswered()
 	case messageUpdate:
-		for _, a := range m.reports {
-			if s := c.serversByShortID[a.shortID]; s != nil && s.capacity > 0 {
-				c.applyPeerUpdate(s, a)
+		for _, report := range m.reports {
+			if s := c.serversByShortID[report.shortID]; s != nil && s.capacity > 0 {
+				c.applyPeerUpdate(s, report)
 			}
 		}
 	}
 }
 
-// knowledge is what a keeper answers: the holders that it heard of lately.
-func (c *Controller) collectedReports(m message) (known []serverReport) {
+// collectedReports returns a collector's reply to a query: the load of the holders for which it has recent reports.
+func (c *Controller) collectedReports(m message) (reports []serverReport) {
 	for _, s := range c.sortedServers {
-		if s.State != Ready || c.collectorOf(s.Cell) != c.cfg.Position || !s.inCellRange(m.homeCell, m.cellSpan, c.cfg.Cells) ||
-			!s.hasReport || c.now-s.othersUpdatedAt > reportHalfLife || len(known) >= 2*cellsPerCollector {
+		if s.State != Ready || c.collectorOf(s.Cell) != c.cfg.Position ||
+			!s.inCellRange(m.homeCell, m.cellSpan, c.cfg.Cells) ||
+			!s.hasReport || c.now-s.othersUpdatedAt > reportHalfLife || len(reports) >= 2*cellsPerCollector {
 			continue
 		}
-		a := serverReport{shortID: shortIDOf(s.ID), utilization: c.utilization(s), streams: -1}
+		report := serverReport{shortID: shortIDOf(s.ID), utilization: c.utilization(s), streams: -1}
 		if c.now-s.streamsUpdatedAt < collectorStreamsMaxAge && s.streamsUpdatedAt > 0 {
-			a.streams = s.otherStreams + len(s.sessions)
+			report.streams = s.otherStreams + len(s.sessions)
 		}
-		known = append(known, a)
+		reports = append(reports, report)
 	}
-	return known
+	return reports
 }
 
-// news takes at the keeper what another front did at a server, and what it heard of its load.
-func (c *Controller) applyPeerUpdate(s *server, a serverReport) {
-	kb := float64(a.rateChange) * c.rateUnit()
-	s.peerRateChange, s.lastPeerUpdateAt = s.peerRateChange+kb, c.now
+// applyPeerUpdate records, at the collector, another front's changes at a server and the load report that it received.
+func (c *Controller) applyPeerUpdate(s *server, report serverReport) {
+	change := float64(report.rateChange) * c.rateUnit()
+	s.peerRateChange, s.lastPeerUpdateAt = s.peerRateChange+change, c.now
 	s.peerRateHistory = appendSample(s.peerRateHistory, c.now, s.peerRateChange, historyRetention)
-	s.othersUtilization = max(s.othersUtilization+kb/s.capacity, 0)
+	s.othersUtilization = max(s.othersUtilization+change/s.capacity, 0)
 	c.meanValid = false
 	if c.now-s.streamsUpdatedAt < collectorStreamsMaxAge {
-		s.otherStreams, s.streamsUpdatedAt = max(s.otherStreams+a.streamChange, 0), c.now
+		s.otherStreams, s.streamsUpdatedAt = max(s.otherStreams+report.streamChange, 0), c.now
 	}
-	c.updateStreams(s, a.streams)
-	if a.utilization >= 0 {
+	c.updateStreams(s, report.streams)
+	if report.utilization >= 0 {
 		when := c.now
-		if a.delayed {
+		if report.delayed {
 			when -= c.cfg.NoteDelay
 		}
-		c.applyLinkReport(s, a.utilization, when, reportWeight)
+		c.applyLinkReport(s, report.utilization, when, reportWeight)
 	}
 }
 
-// runs takes a count of all the streams at a server; under 0 none was told.
+// updateStreams records a reported count of all streams at a server; a negative count is unknown and ignored.
 func (c *Controller) updateStreams(s *server, streams int) {
 	if streams >= 0 {
 		s.streamsUpdatedAt, s.otherStreams = c.now, max(streams-len(s.sessions), 0)
 	}
 }
 
+// rateUnit is the unit of rate changes in messages, in kB/s.
 func (c *Controller) rateUnit() float64 { return c.cfg.Ladder[0] / 8 }
 
-// tell sends the keepers what changed in this step.
+// sendUpdates sends the collectors what changed at their servers in this step.
 func (c *Controller) sendUpdates() {
 	for _, s := range c.changedServers {
 		s.changed = false
-		k := c.collectorOf(s.Cell)
-		if !c.cfg.AllowPeerMessages || c.seesMostServers || k == c.cfg.Position || s.State != Ready {
+		collector := c.collectorOf(s.Cell)
+		if !c.cfg.AllowPeerMessages || c.seesMostServers || collector == c.cfg.Position || s.State != Ready {
 			s.pendingReport = nil
 			continue
 		}
-		a := serverReport{utilization: -1, streams: -1}
+		report := serverReport{utilization: -1, streams: -1}
 		if s.pendingReport != nil {
-			a, s.pendingReport = *s.pendingReport, nil
+			report, s.pendingReport = *s.pendingReport, nil
 		}
-		a.shortID = shortIDOf(s.ID)
-		a.rateChange = int(math.Round((s.ownRate - s.publishedRate) / c.rateUnit()))
-		a.streamChange = len(s.sessions) - s.publishedStreams
-		if a.rateChange == 0 && a.streamChange == 0 && a.utilization < 0 {
+		report.shortID = shortIDOf(s.ID)
+		report.rateChange = int(math.Round((s.ownRate - s.publishedRate) / c.rateUnit()))
+		report.streamChange = len(s.sessions) - s.publishedStreams
+		if report.rateChange == 0 && report.streamChange == 0 && report.utilization < 0 {
 			continue
 		}
-		s.publishedRate, s.publishedStreams = s.publishedRate+float64(a.rateChange)*c.rateUnit(), len(s.sessions)
-		c.sendMessage(k, message{kind: messageUpdate, reports: []serverReport{a}})
+		s.publishedRate, s.publishedStreams = s.publishedRate+float64(report.rateChange)*c.rateUnit(), len(s.sessions)
+		c.sendMessage(collector, message{kind: messageUpdate, reports: []serverReport{report}})
 	}
 	c.changedServers = c.changedServers[:0]
 }
 
-// shareReport has the keeper told of a link report at the end of the step.
-func (c *Controller) queueReport(s *server, full float64, streams int, late bool) {
-	s.pendingReport = &serverReport{utilization: full, streams: streams, delayed: late}
+// queueReport has a report of a link's utilization sent to the collector at the end of the step.
+func (c *Controller) queueReport(s *server, utilization float64, streams int, delayed bool) {
+	s.pendingReport = &serverReport{utilization: utilization, streams: streams, delayed: delayed}
 	c.markChanged(s)
 }
 
-// say sends a message with the next stamp.
+// sendMessage sends a message with the next stamp to another front.
 func (c *Controller) sendMessage(to int, m message) {
 	m.stamp = c.nextStamp()
 	c.emit(SendToPeer{to, encodeMessage(m)})
--- a/control/rig_test.go
+++ b/control/rig_test.go
@@ -8,17 +8,20 @@
 
 const ms = time.Millisecond
 
-// settings is a fleet of six cells in two racks, three fronts and the three effects.
+// testSettings returns settings for a fleet of six cells, two racks and three fronts, with a class for each effect and
+// one with a limit of seats.
 func testSettings() Settings {
 	return Settings{
 		Fronts: 3, Ladder: []float64{100, 200, 400}, RungWorth: []float64{0.3, 0.6, 1},
-		Cells: 6, Racks: 2, StreamSlotsByKind: []int{20}, TotalLinkRate: 12000, LinkRatePerWeight: 2000, WeightMode: WeightSize,
-		NoteDelay: time.Second, LinkNoteInterval: 3 * time.Second, SwitchCost: 500 * ms,
+		Cells: 6, Racks: 2, StreamSlotsByKind: []int{20}, TotalLinkRate: 12000, LinkRatePerWeight: 2000,
+		WeightMode: WeightSize,
+		NoteDelay:  time.Second, LinkNoteInterval: 3 * time.Second, SwitchCost: 500 * ms,
 		ReportMode: ReportsInAnswers, AllowCancel: true, AllowRetryAfter: true, MaxAttempts: 4, MaxRetryAfter: 500 * ms,
 		DrainGrace: time.Second, Ramp: 10 * time.Second, StartShare: 0.4, BurstFactor: 2.5, BurstSpan: 1500 * ms,
 		Classes: []Class{
 			{Name: "plain", Worth: 1, MaxRung: 2, Aim: time.Second, Deadline: 4 * time.Second},
-			{Name: "paid", Worth: 2, MaxRung: 2, MinRung: 1, Aim: time.Second, Deadline: 4 * time.Second, Effect: AtMostOnce},
+			{Name: "paid", Worth: 2, MaxRung: 2, MinRung: 1, Aim: time.Second, Deadline: 4 * time.Second,
+				Effect: AtMostOnce},
 			{Name: "once", Worth: 1, MaxRung: 2, Aim: time.Second, Deadline: 4 * time.Second, Effect: Deduplicated,
 				Scope: ScopeZone, DedupWindow: 2 * time.Second},
 			{Name: "seated", Worth: 1, MaxRung: 2, Aim: time.Second, Deadline: 4 * time.Second, Seats: 2},
@@ -26,16 +29,17 @@
 	}
 }
 
-// front drives one controller.
+// testFront drives one controller in a test. Tests advance its clock by hand.
 type testFront struct {
 	t   *testing.T
 	c   *Controller
 	now time.Duration
 }
 
-func startFront(t *testing.T, set Settings, servers ...Server) *testFront {
+// startFront creates a controller and passes it the list of servers, or a list of six servers with one in each cell.
+func startFront(t *testing.T, settings Settings, servers ...Server) *testFront {
 	t.Helper()
-	c, err := New(set, 7)
+	c, err := New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,48 +55,54 @@
 
 func (f *testFront) step(events ...Event) []Action { return f.c.Step(f.now, events) }
 
+// request requests a session of a class; all six servers have the title.
 func (f *testFront) request(id string, class int) []Action {
-	return f.step(Request{ID: id, Class: class, Title: 1, HomeCell: 0, CellSpan: 6, BestRung: 2, GiveUpAt: f.now + 4*time.Second})
+	return f.step(Request{ID: id, Class: class, Title: 1, HomeCell: 0, CellSpan: 6, BestRung: 2,
+		GiveUpAt: f.now + 4*time.Second})
 }
 
-// link reports each server's link fullness.
-func (f *testFront) reportLinks(full ...float64) {
-	for i, v := range full {
+// reportLinks reports the link utilization of each server.
+func (f *testFront) reportLinks(utilizations ...float64) {
+	for i, v := range utilizations {
 		f.step(Note{Server: fmt.Sprint("s", i), Kind: NoteLink, Value: v})
 	}
 }
 
-func findAction[A Action](out []Action) (found A, ok bool) {
-	for _, a := range out {
-		if a, is := a.(A); is {
+// findAction returns the first action of a type.
+func findAction[A Action](actions []Action) (found A, ok bool) {
+	for _, a := range actions {
+		if a, matches := a.(A); matches {
 			return a, true
 		}
 	}
 	return found, false
 }
 
-func (f *testFront) sentTo(out []Action) string {
-	s, _ := findAction[Send](out)
-	return s.Server
+// sentTo returns the server of the first Send, or the empty string if there is none.
+func (f *testFront) sentTo(actions []Action) string {
+	send, _ := findAction[Send](actions)
+	return send.Server
 }
 
+// startSession requests a session that starts at once, and returns its server.
 func (f *testFront) startSession(id string, class int) string {
 	f.t.Helper()
-	s := f.sentTo(f.request(id, class))
-	if s == "" {
-		f.t.Fatalf("%s was not sent", id)
+	server := f.sentTo(f.request(id, class))
+	if server == "" {
+		f.t.Fatalf("%s: no attempt was sent", id)
 	}
-	f.step(SessionStarted{ID: id, Server: s})
-	return s
+	f.step(SessionStarted{ID: id, Server: server})
+	return server
 }
 
-func (f *testFront) endAttempt(id, server string, o Outcome) []Action {
-	return f.step(AttemptEnded{ID: id, Server: server, Outcome: o})
+func (f *testFront) endAttempt(id, server string, outcome Outcome) []Action {
+	return f.step(AttemptEnded{ID: id, Server: server, Outcome: outcome})
 }
 
-// oneRack is a front over two servers behind one uplink.
+// startOneRackFront creates a controller with two servers in the same rack. uplink is the mean uplink rate of a rack.
 func startOneRackFront(t *testing.T, uplink float64) *testFront {
-	set := testSettings()
-	set.RackUplinkRate = uplink
-	return startFront(t, set, Server{ID: "s0", State: Ready, Weight: 1}, Server{ID: "s1", Cell: 2, State: Ready, Weight: 1})
+	settings := testSettings()
+	settings.RackUplinkRate = uplink
+	return startFront(t, settings, Server{ID: "s0", State: Ready, Weight: 1},
+		Server{ID: "s1", Cell: 2, State: Ready, Weight: 1})
 }
--- a/control/serverlist.go
+++ b/control/serverlist.go
@@ -1,18 +1,18 @@
 package control
 
-// Bookkeeping of the server list: who is known, in order of ids, and by which short name.
+// Bookkeeping of the server list: the known servers, sorted by ID, and the assignment of short IDs.
 
 import (
 	"slices"
 	"strings"
 )
 
-// byID orders servers by their ids.
+// compareByID orders servers by ID.
 func compareByID(a, b *server) int { return strings.Compare(a.ID, b.ID) }
 
-// merge applies a list update and returns the servers that it tells something of, in order of their ids. Its cost grows with
-// what is told: one server that changes does not have thousands of others put in order again.
-func (c *Controller) mergeList(u ListUpdate) (told []*server) {
+// mergeList applies a list update and returns the servers that it mentions, sorted by ID. Its sorting cost grows with
+// the size of the update: a change of one server does not sort thousands of others again.
+func (c *Controller) mergeList(u ListUpdate) (updated []*server) {
 	if u.Whole {
 		for _, s := range c.sortedServers {
 			s.State = Gone
@@ -27,42 +27,43 @@
 			added = append(added, s)
 		}
 		s.Server = line
-		told = append(told, s)
+		updated = append(updated, s)
 	}
-	slices.SortFunc(told, compareByID)
+	slices.SortFunc(updated, compareByID)
 	slices.SortFunc(added, compareByID)
 	c.sortedServers = mergeSorted(c.sortedServers, added)
-	return slices.Compact(told) // one that is told twice is as told last
+	return slices.Compact(updated) // a server that is mentioned twice has the values of its last line
 }
 
-// mergeOrdered puts servers into others, both in order of their ids.
-func mergeSorted(order, added []*server) []*server {
+// mergeSorted merges two lists of servers that are both sorted by ID.
+func mergeSorted(sorted, added []*server) []*server {
 	if len(added) == 0 {
-		return order
+		return sorted
 	}
-	merged := make([]*server, 0, len(order)+len(added))
-	for len(order) > 0 && len(added) > 0 {
-		next := &order
-		if compareByID(added[0], order[0]) < 0 {
+	merged := make([]*server, 0, len(sorted)+len(added))
+	for len(sorted) > 0 && len(added) > 0 {
+		next := &sorted
+		if compareByID(added[0], sorted[0]) < 0 {
 			next = &added
 		}
 		merged, *next = append(merged, (*next)[0]), (*next)[1:]
 	}
-	return append(append(merged, order...), added...)
+	return append(append(merged, sorted...), added...)
 }
 
-// mark gives a server its short name; of two with the same one the later in order of ids has it.
+// registerShortID registers a server under its short ID. If two servers have the same short ID, it belongs to the one
+// with the higher ID.
 func (c *Controller) registerShortID(s *server) {
-	name := shortIDOf(s.ID)
-	if holder := c.serversByShortID[name]; holder == nil || compareByID(holder, s) <= 0 {
-		c.serversByShortID[name] = s
+	id := shortIDOf(s.ID)
+	if owner := c.serversByShortID[id]; owner == nil || compareByID(owner, s) <= 0 {
+		c.serversByShortID[id] = s
 	}
 }
 
-// forgetGone drops servers that are gone for long and run nothing any more: where servers are replaced by new
-// ones all day, they would grow without end.
+// removeGoneServers removes the servers that have been gone for long and run no own sessions any more. Without it the
+// lists would grow without bound where servers are replaced by new ones all day.
 func (c *Controller) removeGoneServers() {
-	forgotten := false
+	removed := false
 	for _, s := range c.sortedServers {
 		switch {
 		case s.State != Gone:
@@ -71,10 +72,10 @@
 			s.goneSince = c.now
 		case c.now-s.goneSince > goneServerRetention && len(s.sessions) == 0:
 			delete(c.serversByID, s.ID)
-			forgotten = true
+			removed = true
 		}
 	}
-	if !forgotten {
+	if !removed {
 		return
 	}
 	c.sortedServers = slices.DeleteFunc(c.sortedServers, func(s *server) bool { return c.serversByID[s.ID] != s })
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// decisionFiles are the files that hold decisions, as deploy/balancer.toml lists them.
+// decisionFiles are the files that implement decisions. deploy/balancer.toml must list them as policy.
 var decisionFiles = []string{"keepers.go", "list.go", "load.go", "placement.go", "request.go", "room.go", "rungs.go", "slowstart.go", "tuning.go"}
 
-// TestModuleSize holds the limits on the files of the module, and that every file with decisions is listed as policy: a
-// file of the package is either listed, or one of interface, bookkeeping and messages.
+// TestModuleSize checks the limits on lines and columns of the package's files, and that deploy/balancer.toml lists
+// exactly the files with decisions as policy. The other files are those with the API, bookkeeping and messages.
 func TestModuleSize(t *testing.T) {
 	const maxLines, maxColumns = 480, 110
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -29,7 +29,7 @@
 			continue
 		}
 		if listed := strings.Contains(string(deploy), `"control/`+name+`"`); listed != slices.Contains(decisionFiles, name) || !listed && !slices.Contains(others, name) {
-			t.Errorf("%s: listed as policy: %v", name, listed)
+			t.Errorf("%s: listed as policy in balancer.toml: %v; this differs from the list of the test", name, listed)
 		}
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -41,11 +41,11 @@
 				lines++
 			}
 			if w := len([]rune(strings.ReplaceAll(line, "\t", "    "))); w > maxColumns && slices.Contains(decisionFiles, name) {
-				t.Errorf("%s: line %d is %d columns wide", name, n+1, w)
+				t.Errorf("%s: line %d is too long: %d columns", name, n+1, w)
 			}
 		}
 		if lines > maxLines {
-			t.Errorf("%s: %d lines that are not blank, %d at most", name, lines, maxLines)
+			t.Errorf("%s: %d non-blank lines, want at most %d", name, lines, maxLines)
 		}
 	}
 }
--- a/control/state.go
+++ b/control/state.go
@@ -15,50 +15,50 @@
 	now            time.Duration
 	actions        []Action
 	serversByID    map[string]*server
-	sortedServers  []*server // by id
+	sortedServers  []*server // by ID
 	racks          []*rack
 	sessions       map[string]*session
-	requestTimes   []time.Duration         // requests, for the attempt budget
-	retryTimes     []time.Duration         // attempts beyond a request's first
-	tenantRequests map[int][]time.Duration // requests of a tenant in the last second
+	requestTimes   []time.Duration         // arrivals of requests, for the retry budget
+	retryTimes     []time.Duration         // starts of attempts after a request's first, for the retry budget
+	tenantRequests map[int][]time.Duration // arrivals of each tenant's requests in the last second
 	tickStarted    bool
-	subscribing    bool // a subscription was asked for and has not failed
-	lastLinkNoteAt time.Duration
+	subscribing    bool          // a subscription was requested and has not failed
+	lastLinkNoteAt time.Duration // link notes at set-up do not count
 
-	awaitingReplies   []*session      // for answers of keepers
-	meanOwnRate       float64         // kB/s, mean rung of own playing sessions
-	seesMostServers   bool            // own sessions at most servers
-	unansweredQueries int             // questions in a row that no keeper answered
-	lastStamp         int             // of the last message sent
-	peerStamps        map[int]int     // of the last message taken from each front
-	changedServers    []*server       // own sessions changed in this step
-	serversByShortID  map[int]*server // by the short names that messages use
+	awaitingReplies   []*session      // requests that wait for replies of collectors
+	meanOwnRate       float64         // kB/s, mean ladder rate of the own playing sessions
+	seesMostServers   bool            // this front has sessions at more than a set part of the ready servers
+	unansweredQueries int             // consecutive queries without a reply
+	lastStamp         int             // stamp of the last message sent
+	peerStamps        map[int]int     // stamp of the last message accepted from each front
+	changedServers    []*server       // servers with own sessions or reports that changed in this step
+	serversByShortID  map[int]*server // by the short IDs used in messages
 
-	hasHolds       bool          // some room is held
-	holdsUpdatedAt time.Duration // when holds were told
+	hasHolds       bool          // capacity is reserved for announced sessions
+	holdsUpdatedAt time.Duration // time of the last HoldsUpdate
 
 	cachedMean       float64
-	meanValid        bool // nothing that the mean rests on changed since it was worked out
-	meanServerVisits int  // servers looked at for means; tests bound it
-	uplinkSums       int  // uplinks summed up; tests bound it
+	meanValid        bool // no input of cachedMean changed since it was computed
+	meanServerVisits int  // servers visited to compute means; tests check an upper bound
+	uplinkSums       int  // uplink rates summed; tests check an upper bound
 
-	comparingServers bool // servers are compared: nothing changes that their load rests on
-	comparisonCount  int  // so far
+	comparingServers bool // servers are being compared: no input of their load changes
+	comparisonCount  int
 }
 
-// New returns the controller of one front, or an error if the settings make no sense.
-func New(set Settings, seed uint64) (*Controller, error) {
-	set, err := normalizeSettings(set)
+// New returns the controller of one front, or an error if the settings are invalid.
+func New(settings Settings, seed uint64) (*Controller, error) {
+	settings, err := normalizeSettings(settings)
 	if err != nil {
 		return nil, err
 	}
-	set.Fronts = max(set.Fronts, 1)
-	return &Controller{cfg: set, rng: rand.New(rand.NewPCG(seed, 1)), serversByID: map[string]*server{},
+	settings.Fronts = max(settings.Fronts, 1)
+	return &Controller{cfg: settings, rng: rand.New(rand.NewPCG(seed, 1)), serversByID: map[string]*server{},
 		sessions: map[string]*session{}, tenantRequests: map[int][]time.Duration{},
 		peerStamps: map[int]int{}, serversByShortID: map[int]*server{}}, nil
 }
 
-// Step takes what the front saw at a time and returns what it is to do.
+// Step processes the events that the front observed at a time, in order, and returns the actions to carry out.
 func (c *Controller) Step(now time.Duration, events []Event) []Action {
 	c.now, c.actions = max(now, c.now), nil
 	if !c.tickStarted {
@@ -116,43 +116,44 @@
 
 func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
-// server is what one front knows of one server. What is concluded from it lives in load.go and placement.go.
+// server is the state that one front keeps for one server. The estimates and decisions based on it are in load.go and
+// placement.go.
 type server struct {
 	Server
 	rackIndex      int
-	capacity       float64    // kB/s, as learned
-	sessions       []*session // from Send (or hand-over) to Ended, in order of arrival
-	ownRate        float64    // kB/s, the own sessions' rate
-	ownRateHistory []sample   // own rate asked, oldest first
+	capacity       float64    // kB/s of the link, adjusted by reports
+	sessions       []*session // from Send or hand-over to AttemptEnded, in order of arrival
+	ownRate        float64    // kB/s, requested by the own sessions
+	ownRateHistory []sample   // recent values of ownRate, oldest first
 
-	othersUtilization float64 // rest of the link's fullness, beyond the own sessions
+	othersUtilization float64 // part of the link's utilization that other fronts' sessions cause
 	othersUpdatedAt   time.Duration
-	hasReport         bool // others was ever reported
-	freshReport       bool // a report came since the last correction
+	hasReport         bool // othersUtilization was reported at least once
+	freshReport       bool // a report arrived since the rungs were last adjusted
 	otherStreams      int
-	streamsUpdatedAt  time.Duration // when otherStreams was reported
-	fullUntil         time.Duration // turned a set-up away for its streams
-	lastFullAt        time.Duration // link thought full
-	lastShortShareAt  time.Duration // last note of a share
-	lastNoteAt        time.Duration // last note of any kind
-	failures          int           // set-ups and sessions lost in a row
-	failedSetUps      int           // set-ups that came to nothing since it last served
+	streamsUpdatedAt  time.Duration // time of the last update of otherStreams
+	fullUntil         time.Duration // end of the pause after the server rejected a set-up as full
+	lastFullAt        time.Duration // last time at which the estimate had the link nearly full
+	lastShortShareAt  time.Duration // time of the last note about a short share
+	lastNoteAt        time.Duration // time of the last note about any of its sessions
+	failures          int           // consecutive set-ups and sessions lost
+	failedSetUps      int           // unsuccessful set-ups since the last successful one
 	avoidUntil        time.Duration
 	lastFailureAt     time.Duration
-	mayHaveRestarted  bool          // may have restarted since
-	coldFrom          time.Duration // 0: warm
-	goneSince         time.Duration // when it was first seen to be gone; 0: listed
-	rateLimitedSince  time.Duration
-	waitFactor        float64 // part of its gap that this front waits before the next set-up
+	mayHaveRestarted  bool          // a failure may have been a restart
+	coldFrom          time.Duration // start of the slow start; 0: none
+	goneSince         time.Duration // time at which a list update first found it gone; 0: listed
+	rateLimitedSince  time.Duration // time from which the slow start's allowance accumulates
+	waitFactor        float64       // part of the interval between set-ups that this front waits before the next
 	lastSetUpAt       time.Duration
 	probeInFlight     bool
 
 	holds            []Hold
-	publishedRate    float64 // kB/s and streams that the keeper was told of
+	publishedRate    float64 // kB/s and streams last reported to the collector
 	publishedStreams int
-	changed          bool
-	pendingReport    *serverReport // a report that the keeper should hear of
-	peerRateChange   float64       // kB/s, sum of the changes that other fronts told
+	changed          bool          // listed in Controller.changedServers
+	pendingReport    *serverReport // load report to pass to the collector
+	peerRateChange   float64       // kB/s, sum of the changes reported by other fronts
 	peerRateHistory  []sample
 	lastPeerUpdateAt time.Duration
 }
@@ -162,40 +163,40 @@
 	rate float64
 }
 
-// session is one request from its arrival to the end of its last attempt.
+// session is a request, from its arrival to the end of its last attempt.
 type session struct {
 	Request
 	class             *Class
 	worth             float64
-	pendingCollectors []int   // keepers asked before the choice
-	assignedTo        *server // while an attempt is out or playing
+	pendingCollectors []int   // fronts whose replies the placement waits for
+	assignedTo        *server // set while an attempt is in progress or the session plays
 	rung              int
-	attempts          int
+	attempts          int // attempts sent so far
 	triedServers      []*server
 	mayHaveRunOn      *server       // first server where a set-up may have run
-	mayHaveRunAt      time.Duration // when it was sent there
-	sentAt            time.Duration
+	mayHaveRunAt      time.Duration // time at which that set-up was sent
+	sentAt            time.Duration // start of the last attempt
 	startedAt         time.Duration
 	playing           bool
-	done              bool // answered or gone: nothing more is owed
+	done              bool // the request was answered or its viewer left: no answer is due any more
 }
 
-// rack is the shared uplink of some servers.
+// rack is a group of servers with a shared uplink.
 type rack struct {
-	cachedRate float64 // rate asked of it, as of a comparison
+	cachedRate float64 // requested rate of the uplink, computed during a comparison of servers
 	cachedFor  int     // number of that comparison
 
 	servers             []*server
-	capacity            float64 // kB/s, as learned
+	capacity            float64 // kB/s, adjusted by reports
 	configuredCapacity  float64 // kB/s, from the settings
-	utilizationReported bool    // its fullness is reported
-	freshReport         bool
+	utilizationReported bool    // a report of the uplink's utilization was received
+	freshReport         bool    // a report arrived since the rungs were last adjusted
 	lastShortShareAt    time.Duration
-	lastShortShare      float64 // last share that pointed at the uplink
-	recovering          bool    // the share rises already
+	lastShortShare      float64 // last short share attributed to the uplink
+	recovering          bool    // the share already rises again
 	lastStepDownAt      time.Duration
-	allowanceSetAt      time.Duration // last time that allowance was set
-	stepUpAllowance     float64       // kB/s that own sessions may still step up by
+	allowanceSetAt      time.Duration // last time that stepUpAllowance was set
+	stepUpAllowance     float64       // kB/s by which the own sessions may still step up
 }
 
 func (s *server) addSession(x *session) {
@@ -210,7 +211,7 @@
 	x.assignedTo = nil
 }
 
-// settingUp counts the attempts out that do not play yet.
+// pendingSetUps counts the attempts in progress whose sessions do not play yet.
 func (s *server) pendingSetUps() (n int) {
 	for _, x := range s.sessions {
 		if !x.playing {
@@ -220,31 +221,31 @@
 	return n
 }
 
-// record notes the own rate asked, and forgets samples older than keep.
-func appendSample(h []sample, now time.Duration, kb float64, keep time.Duration) []sample {
-	if n := len(h); n > 0 && h[n-1].at == now {
-		h[n-1].rate = kb
+// appendSample records a value at the time now and removes the samples that ended before now minus retention.
+func appendSample(samples []sample, now time.Duration, value float64, retention time.Duration) []sample {
+	if n := len(samples); n > 0 && samples[n-1].at == now {
+		samples[n-1].rate = value
 	} else {
-		h = append(h, sample{now, kb})
+		samples = append(samples, sample{now, value})
 	}
 	cut := 0
-	for cut < len(h)-1 && h[cut+1].at <= now-keep {
+	for cut < len(samples)-1 && samples[cut+1].at <= now-retention {
 		cut++
 	}
-	return slices.Delete(h, 0, cut)
+	return slices.Delete(samples, 0, cut)
 }
 
-// at is the recorded value at a time.
-func sampleAt(h []sample, t time.Duration) float64 {
-	for i := len(h) - 1; i >= 0; i-- {
-		if h[i].at <= t {
-			return h[i].rate
+// sampleAt returns the recorded rate at the time t, or 0 if there is no sample as old as that.
+func sampleAt(samples []sample, t time.Duration) float64 {
+	for i := len(samples) - 1; i >= 0; i-- {
+		if samples[i].at <= t {
+			return samples[i].rate
 		}
 	}
 	return 0
 }
 
-// within drops times older than span before now.
+// recent removes the times that are span or more before now. times is sorted.
 func recent(times []time.Duration, now, span time.Duration) []time.Duration {
 	i := 0
 	for i < len(times) && times[i] <= now-span {
@@ -253,8 +254,8 @@
 	return times[i:]
 }
 
-// Own is the number of own sessions that the module believes to be at a server, set-ups too. For comparison with
-// what passes on the sockets.
+// OwnSessionCount returns the number of own sessions at a server as the controller has it, set-ups included. Tests and
+// monitoring compare it with the sessions that are open on the connections.
 func (c *Controller) OwnSessionCount(server string) int {
 	if s := c.serversByID[server]; s != nil {
 		return len(s.sessions)
@@ -262,15 +263,17 @@
 	return 0
 }
 
-// holds reports whether the server's cell is one of span in a row from home.
-func (s *server) inCellRange(home, span, cells int) bool {
+// inCellRange reports whether the server's cell is one of span consecutive cells from first on. Cell numbers wrap
+// around at cells.
+func (s *server) inCellRange(first, span, cells int) bool {
 	if cells <= 0 || span <= 0 {
 		return true
 	}
-	return ((s.Cell-home)%cells+cells)%cells < span
+	return ((s.Cell-first)%cells+cells)%cells < span
 }
 
-// has reports whether a server has x's title: told by name, or by its cells.
+// hasTitle reports whether a server has x's title: it is one of the named holders or, if none are named, in one of the
+// title's cells.
 func (c *Controller) hasTitle(x *session, s *server) bool {
 	if x.Holders == nil {
 		return s.inCellRange(x.HomeCell, x.CellSpan, c.cfg.Cells)
@@ -279,7 +282,7 @@
 	return ok
 }
 
-// streams is what a server runs at most; 0 if nobody told.
+// slots returns the number of streams that a server runs at most; 0 if it is not configured.
 func (c *Controller) slots(s *server) int {
 	if s.Kind < 0 || s.Kind >= len(c.cfg.StreamSlotsByKind) {
 		return 0
@@ -287,29 +290,29 @@
 	return c.cfg.StreamSlotsByKind[s.Kind]
 }
 
-// rate is what a session asks of its link at a rung.
+// sessionRate returns the rate in kB/s that a session requests of its server's link at a rung.
 func (c *Controller) sessionRate(x *session, rung int) float64 {
 	return c.cfg.Ladder[rung] * x.class.RateFactor
 }
 
-// alike tells other sessions of x's title and class.
+// sameTitleAndClass reports whether y is another session of x's title and class.
 func (x *session) sameTitleAndClass(y *session) bool {
 	return y != x && y.class == x.class && y.Title == x.Title
 }
 
-// shares tells sessions that can share a live stream at one server and rung.
+// canShareStream reports whether x and y can share a live stream if they play at the same server and rung.
 func (c *Controller) canShareStream(x, y *session) bool {
 	return x.class.Live && c.cfg.JoinRateFactor > 0 && c.cfg.JoinRateFactor < 1 && x.sameTitleAndClass(y)
 }
 
-// changed works out and records the own rate after a change at a server.
+// updateOwnRate recomputes and records the own rate at a server after a change of its sessions.
 func (c *Controller) updateOwnRate(s *server) {
 	s.ownRate, c.meanValid = c.sumOwnRate(s), false
 	s.ownRateHistory = appendSample(s.ownRateHistory, c.now, s.ownRate, historyRetention)
 	c.markChanged(s)
 }
 
-// touch notes that there may be news of a server.
+// markChanged has sendUpdates check at the end of the step whether the collector needs an update about a server.
 func (c *Controller) markChanged(s *server) {
 	if !s.changed {
 		s.changed = true
@@ -317,23 +320,25 @@
 	}
 }
 
-// nextStamp is higher than every one before, also after a restart.
+// nextStamp returns a stamp, modulo stampModulus, that is above all earlier ones, also those sent before a restart of
+// the front: a stamp is at least the time in units of 10 ms.
 func (c *Controller) nextStamp() int {
 	c.lastStamp = max(c.lastStamp+1, int(c.now/(10*time.Millisecond)))
 	return c.lastStamp % stampModulus
 }
 
-// newer takes a stamp that is higher than the last one of that front.
+// acceptStamp reports whether a stamp is newer than the last one accepted from a front, and if so records it. Stamps
+// wrap around: newer means higher by less than half of stampModulus.
 func (c *Controller) acceptStamp(from, stamp int) bool {
 	last, known := c.peerStamps[from]
-	if ahead := (stamp - last + stampModulus) % stampModulus; known && (ahead == 0 || ahead >= stampModulus/2) {
+	if diff := (stamp - last + stampModulus) % stampModulus; known && (diff == 0 || diff >= stampModulus/2) {
 		return false
 	}
 	c.peerStamps[from] = stamp
 	return true
 }
 
-// seated counts the front's sessions of x's title and class, set-ups too.
+// countSeats counts the front's other sessions of x's title and class, set-ups included.
 func (c *Controller) countSeats(x *session) (n int) {
 	for _, s := range c.sortedServers {
 		for _, y := range s.sessions {
@@ -345,19 +350,21 @@
 	return n
 }
 
-// spare is what own sessions at a server could free by stepping down.
-func (c *Controller) reclaimableRate(s *server) (kb float64) {
+// reclaimableRate returns the rate that the own playing sessions at a server would free by stepping down to their
+// lowest rung.
+func (c *Controller) reclaimableRate(s *server) (rate float64) {
 	for _, x := range s.sessions {
 		if x.playing {
-			kb += c.sessionRate(x, x.rung) - c.sessionRate(x, min(x.rung, x.class.MinRung))
+			rate += c.sessionRate(x, x.rung) - c.sessionRate(x, min(x.rung, x.class.MinRung))
 		}
 	}
-	return kb
+	return rate
 }
 
-// uplink is the rate asked of a rack's uplink. While servers are compared nothing changes that it rests on, and it is
-// summed up once for each rack: a sum for each server that is compared grows with the square of the fleet.
-func (c *Controller) uplinkRate(r *rack) (kb float64) {
+// uplinkRate returns the rate requested of a rack's uplink. During a comparison of servers its inputs do not change, so
+// the sum is computed once for each rack: with a sum for each compared server, the cost would grow with the square of
+// the fleet's size.
+func (c *Controller) uplinkRate(r *rack) (rate float64) {
 	if !c.comparingServers {
 		return c.sumUplinkRate(r)
 	}
@@ -367,34 +374,35 @@
 	return r.cachedRate
 }
 
-// compare has look run while nothing changes that a server's load rests on.
-func (c *Controller) compareServers(look func()) {
+// compareServers runs compare with cached uplink rates. compare must not change any input of a server's load.
+func (c *Controller) compareServers(compare func()) {
 	c.comparisonCount++
 	c.comparingServers = true
-	look()
+	compare()
 	c.comparingServers = false
 }
 
-func (c *Controller) sumUplinkRate(r *rack) (kb float64) {
+func (c *Controller) sumUplinkRate(r *rack) (rate float64) {
 	c.uplinkSums++
 	mean := c.meanUtilization()
 	for _, s := range r.servers {
-		kb += c.estimateUtilization(s, mean) * s.capacity
+		rate += c.estimateUtilization(s, mean) * s.capacity
 	}
-	return kb
+	return rate
 }
 
-// ownRate is the own sessions' rate at a server; viewers of one live title at one rung share a stream.
-func (c *Controller) sumOwnRate(s *server) (kb float64) {
+// sumOwnRate returns the rate that the own sessions request of a server. Viewers of one live title at one rung share a
+// stream.
+func (c *Controller) sumOwnRate(s *server) (rate float64) {
 	for i, x := range s.sessions {
-		kb += c.sessionRate(x, x.rung) * c.addedRateFactor(x, x.rung, s.sessions[:i])
+		rate += c.sessionRate(x, x.rung) * c.addedRateFactor(x, x.rung, s.sessions[:i])
 	}
-	return kb
+	return rate
 }
 
-// added is the part of its rate that x adds beside others.
-func (c *Controller) addedRateFactor(x *session, rung int, beside []*session) float64 {
-	for _, y := range beside {
+// addedRateFactor returns the part of its rate that x adds at a rung to a server that runs the other sessions.
+func (c *Controller) addedRateFactor(x *session, rung int, others []*session) float64 {
+	for _, y := range others {
 		if c.canShareStream(x, y) && y.rung == rung {
 			return c.cfg.JoinRateFactor
 		}
@@ -402,37 +410,39 @@
 	return 1
 }
 
-// checked returns the settings with gaps filled, or what makes no sense in them.
-func normalizeSettings(set Settings) (Settings, error) {
-	if len(set.Ladder) == 0 || len(set.RungWorth) != len(set.Ladder) {
-		return set, errors.New("control: the ladder needs a worth for each of its rungs, and one rung at least")
+// normalizeSettings validates the settings and returns them with defaults filled in.
+func normalizeSettings(settings Settings) (Settings, error) {
+	if len(settings.Ladder) == 0 || len(settings.RungWorth) != len(settings.Ladder) {
+		return settings, errors.New("control: the ladder must have at least one rung, and a worth for each rung")
 	}
-	for i, kb := range set.Ladder {
-		if !(kb > 0) || (i > 0 && kb < set.Ladder[i-1]) {
-			return set, errors.New("control: the ladder's rates must be positive and rising")
+	for i, rate := range settings.Ladder {
+		if !(rate > 0) || (i > 0 && rate < settings.Ladder[i-1]) {
+			return settings, errors.New("control: the rates of the ladder must be positive and in rising order")
 		}
 	}
-	for _, d := range []time.Duration{set.DrainGrace, set.Ramp, set.BurstSpan, set.BudgetSpan, set.NoteDelay,
-		set.LinkNoteInterval, set.SwitchCost, set.MaxRetryAfter, set.ListReadInterval} {
+	for _, d := range []time.Duration{settings.DrainGrace, settings.Ramp, settings.BurstSpan, settings.BudgetSpan,
+		settings.NoteDelay, settings.LinkNoteInterval, settings.SwitchCost, settings.MaxRetryAfter,
+		settings.ListReadInterval} {
 		if d < 0 {
-			return set, errors.New("control: a time in the settings is negative")
+			return settings, errors.New("control: a duration in the settings is negative")
 		}
 	}
-	set.Classes = slices.Clone(set.Classes)
-	for i := range set.Classes {
-		k := &set.Classes[i]
-		k.MaxRung = min(k.MaxRung, len(set.Ladder)-1)
-		if k.RateFactor <= 0 {
-			k.RateFactor = 1
+	settings.Classes = slices.Clone(settings.Classes)
+	for i := range settings.Classes {
+		class := &settings.Classes[i]
+		class.MaxRung = min(class.MaxRung, len(settings.Ladder)-1)
+		if class.RateFactor <= 0 {
+			class.RateFactor = 1
 		}
-		if k.MinRung < 0 || k.MinRung > k.MaxRung || k.Aim < 0 || k.Deadline < 0 || k.DedupWindow < 0 {
-			return set, errors.New("control: a class has no rung or a negative time: " + k.Name)
+		if class.MinRung < 0 || class.MinRung > class.MaxRung ||
+			class.Aim < 0 || class.Deadline < 0 || class.DedupWindow < 0 {
+			return settings, errors.New("control: a class has no valid rung or a negative duration: " + class.Name)
 		}
 	}
-	return set, nil
+	return settings, nil
 }
 
-// stream is the own session that x could share a live stream with at a server.
+// findSharedStream returns an own session at a server with which x can share a live stream, or nil.
 func (c *Controller) findSharedStream(x *session, s *server) *session {
 	for _, y := range s.sessions {
 		if c.canShareStream(x, y) {
@@ -442,22 +452,23 @@
 	return nil
 }
 
-// ownSessions tells at what part of the ready servers the front has sessions, and their mean rung in kB/s.
-func (c *Controller) ownSessionStats() (view, rung float64) {
-	ready, seen, playing := 0, 0, 0
+// ownSessionStats returns the part of the ready servers at which this front has sessions, and the mean ladder rate in
+// kB/s of those sessions that play.
+func (c *Controller) ownSessionStats() (coverage, meanRate float64) {
+	ready, withSessions, playing := 0, 0, 0
 	for _, s := range c.sortedServers {
 		if s.State != Ready {
 			continue
 		}
 		ready++
 		if len(s.sessions) > 0 {
-			seen++
+			withSessions++
 		}
 		for _, x := range s.sessions {
 			if x.playing {
-				rung, playing = rung+c.cfg.Ladder[x.rung], playing+1
+				meanRate, playing = meanRate+c.cfg.Ladder[x.rung], playing+1
 			}
 		}
 	}
-	return float64(seen) / float64(max(ready, 1)), rung / float64(max(playing, 1))
+	return float64(withSessions) / float64(max(ready, 1)), meanRate / float64(max(playing, 1))
 }
