--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,4 @@
-// Command drill runs instances of the module on the simulator's wire.
+// Command drill runs instances of the decision module for a simulator, over JSON lines on standard input and output.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	}
 }
 
-// serve answers each line of in with a line on out until in ends.
+// serve reads lines from in until its end and writes one reply line to out for each.
 func serve(in io.Reader, out io.Writer) error {
 	host := wire.NewHost()
 	r := bufio.NewReaderSize(in, 1<<20)
@@ -33,8 +33,8 @@
 			if lineErr != nil {
 				return lineErr
 			}
-			if _, werr := out.Write(reply); werr != nil {
-				return werr
+			if _, writeErr := out.Write(reply); writeErr != nil {
+				return writeErr
 			}
 		}
 		if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// answer turns a panic of the module into an Exception.
+// handleLine returns the reply to a line; a panic of the decision code is returned as an Exception reply.
 func handleLine(host *wire.Host, line []byte) (reply []byte, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -16,13 +16,13 @@
 	}
 }
 
-func TestServeStopsOnMalformed(t *testing.T) {
+func TestServeStopsOnMalformedLine(t *testing.T) {
 	var out bytes.Buffer
 	err := serve(strings.NewReader("{\"wall\":1,\"seq\":4,\"happened\":[]}\nnonsense\n"), &out)
 	if err == nil || !strings.Contains(err.Error(), "malformed batch") {
 		t.Errorf("error %v", err)
 	}
 	if bytes.Count(out.Bytes(), []byte("\n")) != 1 {
-		t.Errorf("more than replies on the wire: %q", out.String())
+		t.Errorf("output has more than the reply: %q", out.String())
 	}
 }
--- a/control/keepers.go
+++ b/control/keepers.go
@@ -1,52 +1,55 @@
 package control
 
-// What is asked of others ahead of a choice: keepers of reports, and servers by probes.
+// Queries before a placement: to the collectors of reports, and to servers by probes.
 
 import "slices"
 
-// keeper is the front that collects what fronts tell of the servers of a cell. Cells in a row share
-// one, so that a question or two cover a title's holders.
+// collectorOf returns the position of the front that collects the reports on a cell's servers. Consecutive
+// cells share a collector, so that one or two queries cover the holders of a title.
 func (c *Controller) collectorOf(cell int) int {
 	return ((cell/cellsPerCollector)%c.cfg.Fronts + c.cfg.Fronts) % c.cfg.Fronts
 }
 
-// ask puts a question to the keepers of a title's holders; the choice waits for them a moment. Where
-// questions go unanswered, or the viewer is about to give up, it does not wait: answers serve later requests.
-func (c *Controller) queryCollectors(x *session) bool {
+// queryCollectors queries the collectors of a title's holders and reports whether the placement waits for
+// their replies. It does not wait if recent queries remained unanswered or the viewer is about to give up;
+// the replies then help later requests.
+func (c *Controller) queryCollectors(sess *session) bool {
 	if !c.cfg.AllowPeerMessages || c.seesMostServers {
 		return false
 	}
 	for _, s := range c.sortedServers {
-		k := c.collectorOf(s.Cell)
-		known := len(s.sessions) > 0 && c.now-s.othersUpdatedAt < c.cfg.LinkNoteInterval+c.cfg.NoteDelay
-		if !known && k != c.cfg.Position && s.State == Ready && c.hasTitle(x, s) &&
-			len(x.pendingCollectors) < maxQueriesPerRequest && !slices.Contains(x.pendingCollectors, k) {
-			x.pendingCollectors = append(x.pendingCollectors, k)
-			home, span := x.HomeCell, x.CellSpan
-			if x.Holders != nil { // not in a row: all in this keeper's row is asked
+		collector := c.collectorOf(s.Cell)
+		current := len(s.sessions) > 0 && c.now-s.othersUpdatedAt < c.cfg.LinkNoteInterval+c.cfg.NoteDelay
+		if !current && collector != c.cfg.Position && s.State == Ready && c.hasTitle(sess, s) &&
+			len(sess.pendingCollectors) < maxQueriesPerRequest &&
+			!slices.Contains(sess.pendingCollectors, collector) {
+			sess.pendingCollectors = append(sess.pendingCollectors, collector)
+			home, span := sess.HomeCell, sess.CellSpan
+			if sess.Holders != nil { // the cells are not consecutive: query all cells of this collector
 				home, span = s.Cell/cellsPerCollector*cellsPerCollector, cellsPerCollector
 			}
-			c.sendMessage(k, message{kind: messageQuery, homeCell: home, cellSpan: span})
+			c.sendMessage(collector, message{kind: messageQuery, homeCell: home, cellSpan: span})
 		}
 	}
-	if len(x.pendingCollectors) == 0 {
+	if len(sess.pendingCollectors) == 0 {
 		return false
 	}
-	if c.unansweredQueries >= maxUnansweredQueries || x.GiveUpAt > 0 && x.GiveUpAt-c.now < 2*collectorReplyTimeout {
-		x.pendingCollectors = nil
+	if c.unansweredQueries >= maxUnansweredQueries ||
+		sess.GiveUpAt > 0 && sess.GiveUpAt-c.now < 2*collectorReplyTimeout {
+		sess.pendingCollectors = nil
 		return false
 	}
-	c.awaitingReplies = append(c.awaitingReplies, x)
-	c.emit(SetTimer{collectorReplyTimeout, "look " + x.ID})
+	c.awaitingReplies = append(c.awaitingReplies, sess)
+	c.emit(SetTimer{collectorReplyTimeout, "look " + sess.ID})
 	return true
 }
 
-// probe asks the holder that was heard of longest ago for its load: one probe a request, so that the
-// price of probes stays in step with the traffic.
-func (c *Controller) probeHolder(x *session) {
+// probeHolder probes the holder whose load was reported the longest ago. One probe per request keeps the
+// cost of probes proportional to the traffic.
+func (c *Controller) probeHolder(sess *session) {
 	var oldest *server
 	for _, s := range c.sortedServers {
-		if s.State != Ready || s.probeInFlight || !c.hasTitle(x, s) {
+		if s.State != Ready || s.probeInFlight || !c.hasTitle(sess, s) {
 			continue
 		}
 		if oldest == nil || s.othersUpdatedAt < oldest.othersUpdatedAt {
--- a/control/placement.go
+++ b/control/placement.go
@@ -1,6 +1,6 @@
 package control
 
-// The choice of a server, and the rung that a session starts at.
+// Choice of the server and of the initial rung of a session.
 
 import (
 	"math"
@@ -8,135 +8,147 @@
 	"time"
 )
 
-// place sends a request to a server, or ends it. The least loaded holder with room decides;
-// exceptions, each only where the one before found nobody: a holder where own sessions step
-// down to make room, then the best of the suspects whose trial is due.
-func (c *Controller) placeSession(x *session) {
-	unseated := x.class.Seats > 0 && c.countSeats(x) >= x.class.Seats
-	if c.now >= x.GiveUpAt && x.GiveUpAt > 0 || x.attempts > 0 && !c.mayResend(x) || unseated {
-		c.refuseOrFail(x)
+// placeSession sends a request to a server, or refuses or fails it. It prefers the least loaded holder with
+// enough headroom, then a holder where own sessions can step down to free the rate, then a suspect server
+// that may be tried again.
+func (c *Controller) placeSession(sess *session) {
+	noSeatLeft := sess.class.Seats > 0 && c.countSeats(sess) >= sess.class.Seats
+	if c.now >= sess.GiveUpAt && sess.GiveUpAt > 0 || sess.attempts > 0 && !c.mayResend(sess) || noSeatLeft {
+		c.refuseOrFail(sess)
 		return
 	}
 	var best *server
-	c.compareServers(func() { best = c.chooseServer(x) })
+	c.compareServers(func() { best = c.chooseServer(sess) })
 	if best == nil {
-		c.refuseOrFail(x)
+		c.refuseOrFail(sess)
 		return
 	}
-	c.sendAttempt(x, best)
+	c.sendAttempt(sess, best)
 }
 
-// choose is the server that a request goes to; nil where none will do.
-func (c *Controller) chooseServer(x *session) *server {
-	lowest := c.sessionRate(x, x.class.MinRung)
-	var roomy, crowded, suspect []*server
+// chooseServer returns the server to send a request to, or nil if no server is suitable.
+func (c *Controller) chooseServer(sess *session) *server {
+	minRate := c.sessionRate(sess, sess.class.MinRung)
+	var fitting, reclaimable, suspects []*server
 	for _, s := range c.sortedServers {
-		if !c.isEligible(x, s) {
+		if !c.isEligible(sess, s) {
 			continue
 		}
-		switch room := c.headroom(s, admissionLimit, x); {
-		case c.isSuspect(x, s):
-			suspect = append(suspect, s)
-		case room >= lowest*c.addedRateFactor(x, x.class.MinRung, s.sessions):
-			roomy = append(roomy, s)
-		case room+c.reclaimableRate(s) >= lowest:
-			crowded = append(crowded, s)
+		switch available := c.headroom(s, admissionLimit, sess); {
+		case c.isSuspect(sess, s):
+			suspects = append(suspects, s)
+		case available >= minRate*c.addedRateFactor(sess, sess.class.MinRung, s.sessions):
+			fitting = append(fitting, s)
+		case available+c.reclaimableRate(s) >= minRate:
+			reclaimable = append(reclaimable, s)
 		}
 	}
-	for _, group := range [][]*server{c.preferSharedStream(x, roomy), crowded, c.trialCandidates(x, suspect)} {
-		if s := c.leastLoaded(x, group); s != nil {
+	for _, group := range [][]*server{
+		c.preferSharedStream(sess, fitting), reclaimable, c.trialCandidates(sess, suspects),
+	} {
+		if s := c.leastLoaded(sess, group); s != nil {
 			return s
 		}
 	}
 	return nil
 }
 
-// allowed keeps the rules that no load can bend: listed and ready, holder of the title, a free
-// stream, the pace of a cold server, and the group that a deduplicated set-up is bound to.
-func (c *Controller) isEligible(x *session, s *server) bool {
-	if s.State != Ready || !c.hasTitle(x, s) || !c.slowStartAllows(s) {
+// isEligible checks the conditions that apply at any load: the server is listed as ready, has the title and
+// a free stream, its slow start allows a set-up, and it belongs to the servers that recognise a repeat of
+// the first attempt of a deduplicated set-up.
+func (c *Controller) isEligible(sess *session, s *server) bool {
+	if s.State != Ready || !c.hasTitle(sess, s) || !c.slowStartAllows(s) {
 		return false
 	}
-	others := s.otherStreams
+	otherStreams := s.otherStreams
 	if c.now-s.streamsUpdatedAt > streamReportMaxAge {
-		others = 0
+		otherStreams = 0
 	}
-	_, held := c.reservedForOthers(x, s)
-	if n := c.slots(s); n > 0 && others+len(s.sessions)+int(held) >= n || c.now < s.fullUntil {
+	_, reserved := c.reservedForOthers(sess, s)
+	if limit := c.slots(s); limit > 0 && otherStreams+len(s.sessions)+int(reserved) >= limit ||
+		c.now < s.fullUntil {
 		return false
 	}
-	if m := x.mayHaveRunOn; m != nil && x.class.Effect == Deduplicated {
-		if c.now-x.mayHaveRunAt >= x.class.DedupWindow || x.class.Scope == ScopeZone && s.Zone != m.Zone ||
-			x.class.Scope == ScopeCell && s.Cell != m.Cell {
+	if first := sess.mayHaveRunOn; first != nil && sess.class.Effect == Deduplicated {
+		if c.now-sess.mayHaveRunAt >= sess.class.DedupWindow ||
+			sess.class.Scope == ScopeZone && s.Zone != first.Zone ||
+			sess.class.Scope == ScopeCell && s.Cell != first.Cell {
 			return false
 		}
 	}
 	return true
 }
 
-// suspect judges by symptoms, whatever the cause: set-ups that failed or went unanswered, sessions
-// that broke, or silence while others are heard. Paid set-ups stay off such a server until it has
-// served again, since a doubtful end can be neither resent nor refused.
-func (c *Controller) isSuspect(x *session, s *server) bool {
-	if slices.Contains(x.triedServers, s) || c.notesOverdue(s) {
+// isSuspect judges a server by symptoms, whatever their cause: failed or unanswered set-ups, lost sessions,
+// or missing notes while other servers' notes arrive. At-most-once set-ups avoid such a server until it has
+// served a session again, because an attempt with an unknown outcome can be neither resent nor refused.
+func (c *Controller) isSuspect(sess *session, s *server) bool {
+	if slices.Contains(sess.triedServers, s) || c.notesOverdue(s) {
 		return true
 	}
-	return s.failures > 0 && (x.class.Effect != Idempotent || c.now < s.avoidUntil || s.pendingSetUps() > 0)
+	return s.failures > 0 &&
+		(sess.class.Effect != Idempotent || c.now < s.avoidUntil || s.pendingSetUps() > 0)
 }
 
-// silent tells a server whose notes stopped while other servers' went on. When all stop, the notes
-// are at fault and nobody is suspected; notes at set-up don't count as going on.
+// notesOverdue reports whether a server's notes stopped while notes of other servers still arrive. If the
+// notes of all servers stop, the delivery of notes is at fault and no server is suspect. Notes that arrive
+// at set-up are not evidence that notes still arrive.
 func (c *Controller) notesOverdue(s *server) bool {
 	if c.cfg.LinkNoteInterval <= 0 || len(s.sessions) == 0 {
 		return false
 	}
-	since := s.lastNoteAt
-	for _, x := range s.sessions {
-		if x.playing && x.startedAt > since {
-			since = x.startedAt
+	last := s.lastNoteAt
+	for _, sess := range s.sessions {
+		if sess.playing && sess.startedAt > last {
+			last = sess.startedAt
 		}
 	}
-	if since == 0 || s.pendingSetUps() == len(s.sessions) {
+	if last == 0 || s.pendingSetUps() == len(s.sessions) {
 		return false
 	}
 	limit := time.Duration(maxMissedNotes*float64(c.cfg.LinkNoteInterval)) + c.cfg.NoteDelay
-	return c.now-since > limit && c.now-c.lastLinkNoteAt < c.cfg.LinkNoteInterval
+	return c.now-last > limit && c.now-c.lastLinkNoteAt < c.cfg.LinkNoteInterval
 }
 
-// trials are the suspects worth a try when nobody else is left; those that x has not met come first.
-// A paid set-up only tries those of which one answer is missing, which may be all that is wrong.
-func (c *Controller) trialCandidates(x *session, suspects []*server) []*server {
-	if x.class.Effect == AtMostOnce {
-		worse := func(s *server) bool { return s.mayHaveRestarted || c.notesOverdue(s) || s.pendingSetUps() > 0 }
-		return slices.DeleteFunc(suspects, worse)
-	}
-	met := func(s *server) bool { return slices.Contains(x.triedServers, s) }
-	if untried := slices.DeleteFunc(slices.Clone(suspects), met); len(untried) > 0 {
+// trialCandidates returns the suspect servers to try when no other server is left, preferably those that the
+// request has not tried yet. An at-most-once set-up only tries servers whose sole symptom is one missing
+// answer, since the answer alone may have been lost.
+func (c *Controller) trialCandidates(sess *session, suspects []*server) []*server {
+	if sess.class.Effect == AtMostOnce {
+		excluded := func(s *server) bool {
+			return s.mayHaveRestarted || c.notesOverdue(s) || s.pendingSetUps() > 0
+		}
+		return slices.DeleteFunc(suspects, excluded)
+	}
+	tried := func(s *server) bool { return slices.Contains(sess.triedServers, s) }
+	if untried := slices.DeleteFunc(slices.Clone(suspects), tried); len(untried) > 0 {
 		return untried
 	}
 	return suspects
 }
 
-// shared keeps viewers of one live title together where streams can be shared.
-func (c *Controller) preferSharedStream(x *session, group []*server) []*server {
-	var with []*server
+// preferSharedStream returns the servers where the session can share a live stream of its title, or the
+// whole group if there is none.
+func (c *Controller) preferSharedStream(sess *session, group []*server) []*server {
+	var sharing []*server
 	for _, s := range group {
-		if c.findSharedStream(x, s) != nil {
-			with = append(with, s)
+		if c.findSharedStream(sess, s) != nil {
+			sharing = append(sharing, s)
 		}
 	}
-	if len(with) > 0 {
-		return with
+	if len(sharing) > 0 {
+		return sharing
 	}
 	return group
 }
 
-// leastLoaded is the design's choice: the least loaded link; of links as good as equal the one in
-// the less loaded rack, with a little for the own zone; then the seed decides.
-func (c *Controller) leastLoaded(x *session, group []*server) *server {
+// leastLoaded returns a server with a lightly utilized link. Of the links within the tie width of the lowest
+// utilization it takes the one with the lowest sum of the utilization of its rack's uplink, a small cost for
+// another zone and a random part of up to half the tie width.
+func (c *Controller) leastLoaded(sess *session, group []*server) *server {
 	least, width := math.Inf(1), tieWidth
 	for _, s := range group {
-		least = min(least, c.effectiveUtilization(x, s))
+		least = min(least, c.effectiveUtilization(sess, s))
 		if c.racks[s.rackIndex].utilizationReported {
 			width = reportedUplinkTieWidth
 		}
@@ -144,7 +156,7 @@
 	var best *server
 	bestCost := math.Inf(1)
 	for _, s := range group {
-		if c.effectiveUtilization(x, s) > least+width {
+		if c.effectiveUtilization(sess, s) > least+width {
 			continue
 		}
 		cost := c.rng.Float64() * width / 2
@@ -161,45 +173,48 @@
 	return best
 }
 
-// send starts an attempt at the rung that fits. Up to about the mean rung of the own sessions, a sign of
-// what the fleet affords, a newcomer may fill the link more: else it starts low and pays for switches.
-// Harm: where a crowd comes, links run short until the next note.
-func (c *Controller) sendAttempt(x *session, s *server) {
-	if x.attempts > 0 && c.cfg.BudgetSpan > 0 {
-		c.retryTimes = append(c.retryTimes, c.now) // mayResend dropped the old ones
-	}
-	x.rung = x.class.MinRung
-	s.addSession(x)
+// sendAttempt starts an attempt at the highest rung that fits. Up to about the mean rung of the own
+// sessions, which indicates what the fleet can afford, a new session may use more of the link: otherwise it
+// would start low and pay for rung changes. Trade-off: when many viewers arrive at once, links are short
+// until the next note.
+func (c *Controller) sendAttempt(sess *session, s *server) {
+	if sess.attempts > 0 && c.cfg.BudgetSpan > 0 {
+		c.retryTimes = append(c.retryTimes, c.now) // mayResend removed the expired entries
+	}
+	sess.rung = sess.class.MinRung
+	s.addSession(sess)
 	c.updateOwnRate(s)
-	if need := -c.headroom(s, admissionLimit, x); need > 0 {
-		c.stepDown(s.sessions, need, x)
+	if needed := -c.headroom(s, admissionLimit, sess); needed > 0 {
+		c.stepDown(s.sessions, needed, sess)
 	}
-	top := min(x.BestRung, x.class.MaxRung)
-	if y := c.findSharedStream(x, s); y != nil && y.rung <= top {
-		x.rung, top = y.rung, y.rung
+	maxRung := min(sess.BestRung, sess.class.MaxRung)
+	if shared := c.findSharedStream(sess, s); shared != nil && shared.rung <= maxRung {
+		sess.rung, maxRung = shared.rung, shared.rung
 		c.updateOwnRate(s)
 	}
-	for x.rung < top {
-		step := c.sessionRate(x, x.rung+1) - c.sessionRate(x, x.rung)
-		upTo, part := stepUpTarget, newSessionShare
-		if c.cfg.Ladder[x.rung+1] <= meanRungFraction*c.meanOwnRate {
-			upTo, part = meanRungTarget, meanRungShare
+	for sess.rung < maxRung {
+		stepRate := c.sessionRate(sess, sess.rung+1) - c.sessionRate(sess, sess.rung)
+		target, share := stepUpTarget, newSessionShare
+		if c.cfg.Ladder[sess.rung+1] <= meanRungFraction*c.meanOwnRate {
+			target, share = meanRungTarget, meanRungShare
 		}
-		link, _ := c.linkAndUplinkHeadroom(s, upTo, x)
-		_, uplink := c.linkAndUplinkHeadroom(s, stepUpTarget, x) // shared by many servers: more newcomers at once
-		room := min(link*part, uplink*max(part/4, 1/float64(c.cfg.Fronts)))
-		if kept := c.holdRatePerSession(x, s) - c.sessionRate(x, x.rung); kept > 0 && c.rng.Float64()*step < kept {
-			room = min(link, uplink) // the room was kept for it: others do not take it meanwhile
+		link, _ := c.linkAndUplinkHeadroom(s, target, sess)
+		// Many servers share an uplink, so more new sessions start on it at the same time.
+		_, uplink := c.linkAndUplinkHeadroom(s, stepUpTarget, sess)
+		available := min(link*share, uplink*max(share/4, 1/float64(c.cfg.Fronts)))
+		if reserved := c.holdRatePerSession(sess, s) - c.sessionRate(sess, sess.rung); reserved > 0 &&
+			c.rng.Float64()*stepRate < reserved {
+			available = min(link, uplink) // a hold reserves this capacity, so other sessions do not take it
 		}
-		if step > room && !c.swapSteps(x, s, step-max(room, 0)) {
+		if stepRate > available && !c.swapSteps(sess, s, stepRate-max(available, 0)) {
 			break
 		}
-		x.rung++
+		sess.rung++
 		c.updateOwnRate(s)
 	}
-	x.attempts++
-	x.triedServers = append(x.triedServers, s)
-	x.sentAt, s.lastSetUpAt, s.waitFactor = c.now, c.now, 1
-	c.emit(SetRung{x.ID, x.rung})
-	c.emit(Send{x.ID, s.ID, c.attemptTimeout(x)})
+	sess.attempts++
+	sess.triedServers = append(sess.triedServers, s)
+	sess.sentAt, s.lastSetUpAt, s.waitFactor = c.now, c.now, 1
+	c.emit(SetRung{sess.ID, sess.rung})
+	c.emit(Send{sess.ID, s.ID, c.attemptTimeout(sess)})
 }
--- a/control/request.go
+++ b/control/request.go
@@ -1,21 +1,21 @@
 package control
 
-// A request's life: arrival, attempts and their ends, retries, refusal.
+// Handling of requests: arrival, attempts and their outcomes, retries and refusals.
 
 import "time"
 
-// request takes a viewer's request and settles it at once: a set-up or a refusal.
+// handleRequest takes a viewer's request and places or refuses it at once, or after the collectors' replies.
 func (c *Controller) handleRequest(e Request) {
 	if e.Class < 0 || e.Class >= len(c.cfg.Classes) || c.sessions[e.ID] != nil {
 		return
 	}
-	k := &c.cfg.Classes[e.Class]
-	x := &session{Request: e, class: k, worth: k.Worth, rung: k.MinRung}
-	c.sessions[e.ID] = x
+	class := &c.cfg.Classes[e.Class]
+	sess := &session{Request: e, class: class, worth: class.Worth, rung: class.MinRung}
+	c.sessions[e.ID] = sess
 	if e.Playing {
-		x.attempts, x.playing, x.done, x.startedAt = 1, true, true, c.now
+		sess.attempts, sess.playing, sess.done, sess.startedAt = 1, true, true, c.now
 		if s := c.serversByID[e.Server]; s != nil {
-			s.addSession(x)
+			s.addSession(sess)
 			c.updateOwnRate(s)
 			s.publishedRate, s.publishedStreams = s.ownRate, len(s.sessions)
 		}
@@ -27,38 +27,40 @@
 	if e.Tenant >= 0 && e.Tenant < len(c.cfg.Tenants) && c.cfg.Tenants[e.Tenant].Quota > 0 {
 		c.tenantRequests[e.Tenant] = append(recent(c.tenantRequests[e.Tenant], c.now, time.Second), c.now)
 		if float64(len(c.tenantRequests[e.Tenant])*c.cfg.Fronts) > max(c.cfg.Tenants[e.Tenant].Quota, 1) {
-			x.worth *= c.cfg.OverQuotaFactor
+			sess.worth *= c.cfg.OverQuotaFactor
 		}
 	}
-	if !c.queryCollectors(x) {
-		c.placeSession(x)
+	if !c.queryCollectors(sess) {
+		c.placeSession(sess)
 	}
 	if c.cfg.ReportMode == ReportsByProbe && c.cfg.AllowProbes {
-		c.probeHolder(x)
+		c.probeHolder(sess)
 	}
 }
 
-// patience is how long an attempt may go unanswered. One that may be sent again is given up early
-// enough to be served elsewhere within its aim; others wait as long as the viewer does.
-func (c *Controller) attemptTimeout(x *session) time.Duration {
-	left := x.GiveUpAt - c.now
-	last := c.cfg.MaxAttempts > 0 && x.attempts >= c.cfg.MaxAttempts
-	if x.class.Effect == AtMostOnce || x.class.Aim <= 0 || last {
-		return max(left, 0)
-	}
-	p := time.Duration(attemptTimeoutFraction * float64(x.class.Aim) * float64(max(x.attempts, 1)))
-	if x.GiveUpAt > 0 {
-		p = min(p, left)
-	}
-	return max(p, 0)
+// attemptTimeout returns how long an attempt may remain unanswered. An attempt that may be resent is given
+// up early enough to be served elsewhere within its aim; other attempts wait until the viewer gives up.
+func (c *Controller) attemptTimeout(sess *session) time.Duration {
+	remaining := sess.GiveUpAt - c.now
+	lastAttempt := c.cfg.MaxAttempts > 0 && sess.attempts >= c.cfg.MaxAttempts
+	if sess.class.Effect == AtMostOnce || sess.class.Aim <= 0 || lastAttempt {
+		return max(remaining, 0)
+	}
+	timeout := time.Duration(attemptTimeoutFraction *
+		float64(sess.class.Aim) * float64(max(sess.attempts, 1)))
+	if sess.GiveUpAt > 0 {
+		timeout = min(timeout, remaining)
+	}
+	return max(timeout, 0)
 }
 
-// mayResend keeps the rules on further attempts: cap, budget, and effects.
-func (c *Controller) mayResend(x *session) bool {
-	if c.cfg.MaxAttempts > 0 && x.attempts >= c.cfg.MaxAttempts {
+// mayResend reports whether a request may have a further attempt under the attempt limit, the retry budget
+// and the effect of its class.
+func (c *Controller) mayResend(sess *session) bool {
+	if c.cfg.MaxAttempts > 0 && sess.attempts >= c.cfg.MaxAttempts {
 		return false
 	}
-	if x.class.Effect == AtMostOnce && x.mayHaveRunOn != nil {
+	if sess.class.Effect == AtMostOnce && sess.mayHaveRunOn != nil {
 		return false
 	}
 	if c.cfg.BudgetSpan <= 0 {
@@ -69,24 +71,25 @@
 	return float64(len(c.retryTimes)+1) <= c.cfg.BudgetFree+c.cfg.BudgetShare*float64(len(c.requestTimes))
 }
 
-// end answers a request that gets no further attempt: a refusal where nothing can have run or a
-// repeat does no harm, else a failure. The answer goes out at once, with advice when to return.
-func (c *Controller) refuseOrFail(x *session) {
-	if x.done {
+// refuseOrFail answers a request that gets no further attempt: with a refusal if no attempt can have run or
+// a repeat is harmless, otherwise with a failure. The answer is sent at once, with advice on when to retry.
+func (c *Controller) refuseOrFail(sess *session) {
+	if sess.done {
 		return
 	}
-	x.done = true
-	delete(c.sessions, x.ID)
-	k := x.class
-	if x.mayHaveRunOn != nil && (k.Effect == AtMostOnce || k.Effect == Deduplicated && k.Scope != ScopeAll) {
-		c.emit(Fail{x.ID})
+	sess.done = true
+	delete(c.sessions, sess.ID)
+	class := sess.class
+	if sess.mayHaveRunOn != nil &&
+		(class.Effect == AtMostOnce || class.Effect == Deduplicated && class.Scope != ScopeAll) {
+		c.emit(Fail{sess.ID})
 		return
 	}
-	after := time.Duration(0)
+	retryAfter := time.Duration(0)
 	if c.cfg.AllowRetryAfter {
-		after = min(retryAfterAdvice, c.cfg.MaxRetryAfter)
+		retryAfter = min(retryAfterAdvice, c.cfg.MaxRetryAfter)
 	}
-	c.emit(Refuse{x.ID, after})
+	c.emit(Refuse{sess.ID, retryAfter})
 }
 
 func (c *Controller) handleSessionStarted(e SessionStarted) {
@@ -94,12 +97,13 @@
 	if s != nil {
 		c.clearFailures(s)
 	}
-	if x := c.sessions[e.ID]; x != nil && x.assignedTo == s {
-		x.playing, x.done, x.startedAt = true, true, c.now
+	if sess := c.sessions[e.ID]; sess != nil && sess.assignedTo == s {
+		sess.playing, sess.done, sess.startedAt = true, true, c.now
 	}
 }
 
-// answers clears a server that served; one that had broken counts as freshly started.
+// clearFailures resets the failure state of a server that served a session. A server that may have restarted
+// counts as recently started from now on.
 func (c *Controller) clearFailures(s *server) {
 	if s.mayHaveRestarted {
 		s.coldFrom = c.now
@@ -108,12 +112,14 @@
 	s.failures, s.failedSetUps, s.avoidUntil, s.mayHaveRestarted = 0, 0, 0, false
 }
 
-// failed marks a server and leaves it alone for a while, longer each time. A lost connection, or several
-// set-ups unanswered in a row, look like a restart; one unanswered set-up may be a lost answer.
-func (c *Controller) recordFailure(s *server, o Outcome) {
+// recordFailure counts a failure of a server and keeps set-ups away from it for a time that grows with each
+// failure. A lost connection, or several unanswered set-ups in a row, count as a restart; a single
+// unanswered set-up does not, since the answer alone may have been lost.
+func (c *Controller) recordFailure(s *server, outcome Outcome) {
 	s.failures++
 	s.lastFailureAt = c.now
-	if lost := o == Reset || o == ConnectFailed || s.failures >= restartFailureCount; lost && !s.mayHaveRestarted {
+	if likelyRestart := outcome == Reset || outcome == ConnectFailed ||
+		s.failures >= restartFailureCount; likelyRestart && !s.mayHaveRestarted {
 		s.mayHaveRestarted = true
 		c.beginSlowStart(s)
 	}
@@ -121,16 +127,16 @@
 	s.avoidUntil = c.now + wait/2 + time.Duration(c.rng.Int64N(int64(wait)))
 }
 
-// ended closes an attempt, and places the request anew if it is still owed an answer.
+// handleAttemptEnded closes an attempt, and places the request again if it is still to be answered.
 func (c *Controller) handleAttemptEnded(e AttemptEnded) {
-	s, x := c.serversByID[e.Server], c.sessions[e.ID]
+	s, sess := c.serversByID[e.Server], c.sessions[e.ID]
 	if s != nil {
 		c.applyLoadReport(s, e.Load, c.now)
 	}
-	if x == nil || s == nil || x.assignedTo != s {
+	if sess == nil || s == nil || sess.assignedTo != s {
 		return
 	}
-	s.removeSession(x)
+	s.removeSession(sess)
 	c.updateOwnRate(s)
 	switch e.Outcome {
 	case Served:
@@ -141,39 +147,41 @@
 		}
 		s.fullUntil = c.now + fullServerWait
 	case TimedOut, ConnectFailed, Reset, Failed:
-		// An error is an answer, and may be the request's own fault: several in a row are the server's.
+		// An error answer may be caused by the request; only several in a row are attributed to the server.
 		if s.failedSetUps++; e.Outcome == Failed && s.failedSetUps < restartFailureCount {
 			break
 		}
-		if !x.playing || e.Outcome == Reset {
+		if !sess.playing || e.Outcome == Reset {
 			c.recordFailure(s, e.Outcome)
 		}
 	}
-	if e.Final || x.done {
-		x.done = true
-		delete(c.sessions, x.ID)
+	if e.Final || sess.done {
+		sess.done = true
+		delete(c.sessions, sess.ID)
 		return
 	}
-	if e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != NotSent && x.mayHaveRunOn == nil {
-		x.mayHaveRunOn, x.mayHaveRunAt = s, x.sentAt
+	if e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != NotSent && sess.mayHaveRunOn == nil {
+		sess.mayHaveRunOn, sess.mayHaveRunAt = s, sess.sentAt
 	}
-	if e.Outcome == NotSent && s.State == Ready { // else its server takes no more, and another may
-		c.refuseOrFail(x)
+	// A set-up that was not sent because its server no longer takes new sessions may go to another server.
+	if e.Outcome == NotSent && s.State == Ready {
+		c.refuseOrFail(sess)
 		return
 	}
-	c.placeSession(x)
+	c.placeSession(sess)
 }
 
-// left forgets a request whose viewer went away; an attempt still out keeps its place until it ends.
+// handleViewerLeft drops a request whose viewer left. A pending attempt still counts at its server until it
+// ends.
 func (c *Controller) handleViewerLeft(e ViewerLeft) {
-	x := c.sessions[e.ID]
-	if x == nil {
+	sess := c.sessions[e.ID]
+	if sess == nil {
 		return
 	}
-	if x.assignedTo == nil {
+	if sess.assignedTo == nil {
 		delete(c.sessions, e.ID)
-	} else if !x.playing && !x.done && c.cfg.AllowCancel {
-		c.emit(Cancel{e.ID, x.attempts - 1})
+	} else if !sess.playing && !sess.done && c.cfg.AllowCancel {
+		c.emit(Cancel{e.ID, sess.attempts - 1})
 	}
-	x.done = true
+	sess.done = true
 }
--- a/control/room.go
+++ b/control/room.go
@@ -1,10 +1,10 @@
 package control
 
-// Room on links and uplinks, and what of it is held for announced sessions.
+// Headroom of links and uplinks, and the part of it that is reserved for announced sessions.
 
 import "math"
 
-// hold takes the room kept for announced sessions.
+// handleHoldsUpdate replaces the capacity reserved for announced sessions.
 func (c *Controller) handleHoldsUpdate(e HoldsUpdate) {
 	c.hasHolds, c.holdsUpdatedAt = len(e.Holds) > 0, c.now
 	for _, s := range c.sortedServers {
@@ -17,70 +17,77 @@
 	}
 }
 
-// heldBack is the room on a server that is held for others than x; for anyone, where x is nil. What own
-// sessions of its title took since the hold was told is used, and other fronts are thought to have taken
-// as much. Harm: a hold for viewers who never come keeps out others, until it is told no more.
-func (c *Controller) reservedForOthers(x *session, s *server) (kb, streams float64) {
+// reservedForOthers returns the rate and streams that holds on a server reserve for sessions of another
+// class or title than sess; a nil sess counts all holds. Own sessions of a hold's class and title that
+// started since the last update use up the hold, and all other fronts are assumed to have used as much.
+// Trade-off: a hold for viewers who never arrive keeps out others until an update withdraws it.
+func (c *Controller) reservedForOthers(sess *session, s *server) (reservedRate, reservedStreams float64) {
 	for _, h := range s.holds {
-		if x != nil && x.Class == h.Class && x.Title == h.Title {
+		if sess != nil && sess.Class == h.Class && sess.Title == h.Title {
 			continue
 		}
-		rate, n := h.Rate, h.Streams
-		for _, y := range s.sessions {
-			if y.Class == h.Class && y.Title == h.Title && y.sentAt >= c.holdsUpdatedAt {
-				rate, n = rate-float64(c.cfg.Fronts)*c.sessionRate(y, y.rung), n-float64(c.cfg.Fronts)
+		rate, streams := h.Rate, h.Streams
+		for _, own := range s.sessions {
+			if own.Class == h.Class && own.Title == h.Title && own.sentAt >= c.holdsUpdatedAt {
+				rate, streams = rate-float64(c.cfg.Fronts)*c.sessionRate(own, own.rung),
+					streams-float64(c.cfg.Fronts)
 			}
 		}
-		kb, streams = kb+max(rate, 0), streams+max(n, 0)
+		reservedRate, reservedStreams = reservedRate+max(rate, 0), reservedStreams+max(streams, 0)
 	}
-	return kb, streams
+	return reservedRate, reservedStreams
 }
 
-// planned is the rate that a hold keeps on a server for each session like x; 0 where none does.
-func (c *Controller) holdRatePerSession(x *session, s *server) float64 {
+// holdRatePerSession returns the rate that a hold on a server reserves for each session of sess's class and
+// title, or 0 without such a hold.
+func (c *Controller) holdRatePerSession(sess *session, s *server) float64 {
 	for _, h := range s.holds {
-		if x.Class == h.Class && x.Title == h.Title && h.Streams > 0 {
+		if sess.Class == h.Class && sess.Title == h.Title && h.Streams > 0 {
 			return h.Rate / h.Streams
 		}
 	}
 	return 0
 }
 
-// rackHeld is the same for a rack's uplink.
-func (c *Controller) rackReservedForOthers(x *session, r *rack) (sum float64) {
+// rackReservedForOthers returns the rate that holds on all servers of a rack reserve for sessions of another
+// class or title than sess.
+func (c *Controller) rackReservedForOthers(sess *session, r *rack) (sum float64) {
 	if !c.hasHolds {
 		return 0
 	}
 	for _, s := range r.servers {
-		kb, _ := c.reservedForOthers(x, s)
-		sum += kb
+		rate, _ := c.reservedForOthers(sess, s)
+		sum += rate
 	}
 	return sum
 }
 
-// seems is how full a link is in x's eyes: what is held for others is taken.
-func (c *Controller) effectiveUtilization(x *session, s *server) float64 {
-	full := c.utilization(s)
-	if kb, _ := c.reservedForOthers(x, s); kb > 0 && s.capacity > 0 {
-		full += kb / s.capacity
+// effectiveUtilization returns the utilization of a link, counting the rate reserved for other sessions as
+// used.
+func (c *Controller) effectiveUtilization(sess *session, s *server) float64 {
+	utilization := c.utilization(s)
+	if reserved, _ := c.reservedForOthers(sess, s); reserved > 0 && s.capacity > 0 {
+		utilization += reserved / s.capacity
 	}
-	return full
+	return utilization
 }
 
-// room is what a server's link and its rack's uplink still give x up to a fullness, in kB/s.
-func (c *Controller) headroom(s *server, upTo float64, x *session) float64 {
-	link, uplink := c.linkAndUplinkHeadroom(s, upTo, x)
+// headroom returns the rate in kB/s that sess can use of a server's link and its rack's uplink up to the
+// target utilization.
+func (c *Controller) headroom(s *server, target float64, sess *session) float64 {
+	link, uplink := c.linkAndUplinkHeadroom(s, target, sess)
 	return min(link, uplink)
 }
 
-func (c *Controller) linkAndUplinkHeadroom(s *server, upTo float64, x *session) (link, uplink float64) {
+// linkAndUplinkHeadroom returns the headroom of the link and of the uplink separately.
+func (c *Controller) linkAndUplinkHeadroom(s *server, target float64, sess *session) (link, uplink float64) {
 	link, uplink = math.Inf(1), math.Inf(1)
 	if s.capacity > 0 {
-		kb, _ := c.reservedForOthers(x, s)
-		link = (upTo-c.utilization(s))*s.capacity - kb
+		reserved, _ := c.reservedForOthers(sess, s)
+		link = (target-c.utilization(s))*s.capacity - reserved
 	}
 	if r := c.racks[s.rackIndex]; r.capacity > 0 {
-		uplink = upTo*r.capacity - c.uplinkRate(r) - c.rackReservedForOthers(x, r)
+		uplink = target*r.capacity - c.uplinkRate(r) - c.rackReservedForOthers(sess, r)
 	}
 	return link, uplink
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire translates between the wire's lines and the module's events and actions.
+// Package wire translates between JSON lines and the events and actions of package control.
 package wire
 
 import (
@@ -11,14 +11,14 @@
 	"rainpulley/control"
 )
 
-// Batch is one line of input.
+// Batch is one input line: the events of one moment for any number of instances.
 type Batch struct {
 	WallMicros int64             `json:"wall"`
 	Seq        int64             `json:"seq"`
 	Events     []json.RawMessage `json:"happened"`
 }
 
-// Event is one event with every field that any of them has.
+// Event holds the fields of every kind of event; a kind sets only those that it has.
 type Event struct {
 	Name           string             `json:"m"`
 	Front          int                `json:"frontId"`
@@ -52,7 +52,7 @@
 	Data           string             `json:"data"`
 }
 
-// Entry is one line of a server list.
+// ListEntry is one server of a server list.
 type ListEntry struct {
 	Server  string  `json:"server"`
 	Zone    int     `json:"zone"`
@@ -63,7 +63,7 @@
 	Started int64   `json:"upSince"`
 }
 
-// Message is one action on the wire.
+// Message is an action in its wire form.
 type Message struct {
 	Name       string  `json:"m"`
 	Front      int     `json:"frontId"`
@@ -81,12 +81,13 @@
 	Text       string  `json:"words,omitempty"`
 }
 
-// Reply is one line of output.
+// Reply is one output line, the answer to one batch.
 type Reply struct {
 	Seq      int64     `json:"seq"`
 	Messages []Message `json:"outbox"`
 }
 
+// facts are the start-up parameters of an instance. They have no tags and are decoded by their field names.
 type facts struct {
 	Discovery  string
 	FamilyInfo struct {
@@ -142,6 +143,7 @@
 
 func fromMicroseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
+// elementOr returns the element at an index, or a default where the list is too short.
 func elementOr[T any](list []T, i int, missing T) T {
 	if i < len(list) {
 		return list[i]
@@ -149,67 +151,80 @@
 	return missing
 }
 
-// Platform is what the start-up parameters tell beside the module's settings: names that stand for numbers
-// elsewhere, and times of connections.
+// Platform holds the start-up parameters that are not settings of the controller: the names of zones and kinds,
+// which other messages refer to by number, and connection times.
 type Platform struct {
 	Zones, Kinds   []string
-	ConnectTimeout time.Duration // a connection that is not up by then is none
-	ConnIdle       time.Duration // idle connections are closed after so long
-	AnswerSlack    time.Duration // an answer so long after the deadline is in time
+	ConnectTimeout time.Duration // a connection attempt fails after this time
+	ConnIdle       time.Duration // idle connections are closed after this time
+	AnswerSlack    time.Duration // an answer this long after the deadline still counts as in time
 }
 
-// ReadPlatform reads it.
+// ReadPlatform decodes the Platform part of the start-up parameters.
 func ReadPlatform(raw json.RawMessage) (Platform, error) {
-	var f facts
-	if err := json.Unmarshal(raw, &f); err != nil {
+	var params facts
+	if err := json.Unmarshal(raw, &params); err != nil {
 		return Platform{}, fmt.Errorf("settings: %w", err)
 	}
-	return Platform{Zones: f.Zones, Kinds: f.Kinds, ConnectTimeout: fromMicroseconds(f.Permissions.ConnectTimeout),
-		ConnIdle: fromMicroseconds(f.Permissions.ConnIdle), AnswerSlack: fromMicroseconds(f.Safety.AnswerSlack)}, nil
+	return Platform{
+		Zones: params.Zones, Kinds: params.Kinds,
+		ConnectTimeout: fromMicroseconds(params.Permissions.ConnectTimeout),
+		ConnIdle:       fromMicroseconds(params.Permissions.ConnIdle),
+		AnswerSlack:    fromMicroseconds(params.Safety.AnswerSlack),
+	}, nil
 }
 
-// Settings reads the start-up parameters; what is missing stays "not stated".
+// ParseSettings decodes the controller's settings from the start-up parameters. A missing parameter leaves its
+// setting "not stated".
 func ParseSettings(raw json.RawMessage) (control.Settings, error) {
-	var f facts
+	var params facts
 	if len(raw) > 0 {
-		if err := json.Unmarshal(raw, &f); err != nil {
+		if err := json.Unmarshal(raw, &params); err != nil {
 			return control.Settings{}, fmt.Errorf("settings: %w", err)
 		}
 	}
-	i, p, r := &f.FamilyInfo, &f.Permissions, &f.Safety
-	s := control.Settings{
-		Position: f.Position, Fronts: f.GroupSize, Zone: f.Locality,
-		MustSubscribe: f.Discovery == "subscribe", ListReadInterval: fromMicroseconds(r.AskEvery),
-		OverQuotaFactor: f.OverShareWorth, Ladder: i.LadderKb, RungWorth: i.RungWorth, JoinRateFactor: i.JoinAdds,
-		Cells: i.Cells, Racks: i.Shelves, TotalLinkRate: i.LinksKb, RackUplinkRate: i.RackLinkKb, LinkRatePerWeight: i.WeightKb,
-		RejectUtilization: i.FullFrom, NoteDelay: fromMicroseconds(i.See), LinkNoteInterval: fromMicroseconds(i.ReportsEvery),
-		SwitchCost:  time.Duration(i.SwitchS * float64(time.Second)),
-		AllowProbes: p.Probing, AllowPeerMessages: p.Peers, AllowCancel: p.Cancel, AllowRetryAfter: p.RetryAfter,
-		MaxAttempts: p.MaxAttempts, MaxRetryAfter: fromMicroseconds(p.MaxRetryAfter),
-		MovePrice: f.Tariffs.Moves, ZonePrice: f.Tariffs.CrossZone, ProbePrice: f.Tariffs.Probe,
-		DrainGrace: fromMicroseconds(r.StopSendingWithin), Ramp: fromMicroseconds(r.RampTime), StartShare: r.StartCapacity,
-		BurstFactor: r.FallMultiple, BurstSpan: fromMicroseconds(r.Fall), BudgetSpan: fromMicroseconds(r.RatioSpan),
-		BudgetFree: r.FreeResends, BudgetShare: r.ExtraPerRequest,
+	family, permissions, safety := &params.FamilyInfo, &params.Permissions, &params.Safety
+	settings := control.Settings{
+		Position: params.Position, Fronts: params.GroupSize, Zone: params.Locality,
+		MustSubscribe: params.Discovery == "subscribe", ListReadInterval: fromMicroseconds(safety.AskEvery),
+		OverQuotaFactor: params.OverShareWorth, Ladder: family.LadderKb, RungWorth: family.RungWorth,
+		JoinRateFactor: family.JoinAdds, Cells: family.Cells, Racks: family.Shelves,
+		TotalLinkRate: family.LinksKb, RackUplinkRate: family.RackLinkKb, LinkRatePerWeight: family.WeightKb,
+		RejectUtilization: family.FullFrom, NoteDelay: fromMicroseconds(family.See),
+		LinkNoteInterval: fromMicroseconds(family.ReportsEvery),
+		SwitchCost:       time.Duration(family.SwitchS * float64(time.Second)),
+		AllowProbes:      permissions.Probing, AllowPeerMessages: permissions.Peers,
+		AllowCancel: permissions.Cancel, AllowRetryAfter: permissions.RetryAfter,
+		MaxAttempts: permissions.MaxAttempts, MaxRetryAfter: fromMicroseconds(permissions.MaxRetryAfter),
+		MovePrice: params.Tariffs.Moves, ZonePrice: params.Tariffs.CrossZone, ProbePrice: params.Tariffs.Probe,
+		DrainGrace: fromMicroseconds(safety.StopSendingWithin), Ramp: fromMicroseconds(safety.RampTime),
+		StartShare: safety.StartCapacity, BurstFactor: safety.FallMultiple, BurstSpan: fromMicroseconds(safety.Fall),
+		BudgetSpan: fromMicroseconds(safety.RatioSpan), BudgetFree: safety.FreeResends,
+		BudgetShare: safety.ExtraPerRequest,
 	}
-	for _, n := range i.KindStreams {
-		s.StreamSlotsByKind = append(s.StreamSlotsByKind, int(n))
+	for _, n := range family.KindStreams {
+		settings.StreamSlotsByKind = append(settings.StreamSlotsByKind, int(n))
 	}
-	switch f.Weights {
+	switch params.Weights {
 	case "nominal", "rough":
-		s.WeightMode = control.WeightSize
+		settings.WeightMode = control.WeightSize
 	case "live":
-		s.WeightMode = control.WeightDynamic
+		settings.WeightMode = control.WeightDynamic
 	}
-	switch f.Report.How {
+	switch params.Report.How {
 	case "answers":
-		s.ReportMode = control.ReportsInAnswers
+		settings.ReportMode = control.ReportsInAnswers
 	case "probe":
-		s.ReportMode = control.ReportsByProbe
+		settings.ReportMode = control.ReportsByProbe
 	}
-	for n, c := range f.Profiles {
-		class := control.Class{Name: c.Name, DedupWindow: fromMicroseconds(c.Window), Aim: fromMicroseconds(c.Aim), Deadline: fromMicroseconds(c.Deadline),
-			Worth: c.Worth, LateWorth: c.LateWorth, RateFactor: elementOr(i.RateFactor, n, 1), MinRung: elementOr(i.ClassFloor, n, 0),
-			MaxRung: elementOr(i.ClassTop, n, len(i.LadderKb)-1), Seats: elementOr(i.LicenceCap, n, 0), Live: elementOr(i.Live, n, false)}
+	for n, c := range params.Profiles {
+		class := control.Class{
+			Name: c.Name, DedupWindow: fromMicroseconds(c.Window),
+			Aim: fromMicroseconds(c.Aim), Deadline: fromMicroseconds(c.Deadline),
+			Worth: c.Worth, LateWorth: c.LateWorth, RateFactor: elementOr(family.RateFactor, n, 1),
+			MinRung: elementOr(family.ClassFloor, n, 0), MaxRung: elementOr(family.ClassTop, n, len(family.LadderKb)-1),
+			Seats: elementOr(family.LicenceCap, n, 0), Live: elementOr(family.Live, n, false),
+		}
 		switch c.Effect {
 		case "at_most_once":
 			class.Effect = control.AtMostOnce
@@ -222,15 +237,15 @@
 		case "cell", "same cell":
 			class.Scope = control.ScopeCell
 		}
-		s.Classes = append(s.Classes, class)
+		settings.Classes = append(settings.Classes, class)
 	}
-	for _, t := range f.Realms {
-		s.Tenants = append(s.Tenants, control.Tenant{Name: t.Name, Share: t.Share, Quota: t.QuotaPerS})
+	for _, t := range params.Realms {
+		settings.Tenants = append(settings.Tenants, control.Tenant{Name: t.Name, Share: t.Share, Quota: t.QuotaPerS})
 	}
-	return s, nil
+	return settings, nil
 }
 
-// Servers translates a list.
+// ConvertServers converts the entries of a server list to the controller's servers.
 func ConvertServers(entries []ListEntry) []control.Server {
 	out := make([]control.Server, len(entries))
 	for i, e := range entries {
@@ -243,13 +258,13 @@
 var outcomeByCode = map[string]control.Outcome{"S": control.Served, "E": control.Failed, "F": control.Full,
 	"T": control.TimedOut, "C": control.ConnectFailed, "R": control.Reset, "X": control.Cancelled, "N": control.NotSent}
 
-// Load translates a report, by the columns that the settings name.
-func ConvertLoad(g map[string]float64) *control.LoadReport {
-	if len(g) == 0 {
+// ConvertLoad converts a load report, whose columns have the names given in the settings; nil if it is empty.
+func ConvertLoad(gauge map[string]float64) *control.LoadReport {
+	if len(gauge) == 0 {
 		return nil
 	}
 	get := func(name string) *float64 {
-		if v, ok := g[name]; ok {
+		if v, ok := gauge[name]; ok {
 			return &v
 		}
 		return nil
@@ -257,28 +272,30 @@
 	return &control.LoadReport{Streams: get("rif"), Link: get("x0"), CappedLink: get("busy"), Uplink: get("x1")}
 }
 
-// Translate turns a wire event into the module's; nil for one it does not know.
-func DecodeEvent(e *Event, sheet []ListEntry) (control.Event, error) {
+// DecodeEvent converts a wire event to the controller's event, or nil if its name is unknown.
+func DecodeEvent(e *Event, list []ListEntry) (control.Event, error) {
 	switch e.Name {
 	case "Membership":
-		u := control.ListUpdate{Whole: e.Kind == 1 || e.Kind == 2, Cached: e.Kind == 2, Failed: e.Kind == 3}
-		if !u.Failed {
-			u.Servers = ConvertServers(sheet)
+		update := control.ListUpdate{Whole: e.Kind == 1 || e.Kind == 2, Cached: e.Kind == 2, Failed: e.Kind == 3}
+		if !update.Failed {
+			update.Servers = ConvertServers(list)
 		}
-		return u, nil
+		return update, nil
 	case "NewRequest", "TakenOver":
 		return control.Request{ID: e.RequestID, Class: e.Class, Tenant: e.Tenant, Viewer: e.Viewer, Title: e.Title,
-			HomeCell: int(e.HomeCell), CellSpan: int(e.CellSpan), BestRung: int(e.BestRung), GiveUpAt: fromMicroseconds(e.GiveUpAt), ExpectedLength: fromMicroseconds(int64(e.ExpectedLength)),
+			HomeCell: int(e.HomeCell), CellSpan: int(e.CellSpan), BestRung: int(e.BestRung),
+			GiveUpAt: fromMicroseconds(e.GiveUpAt), ExpectedLength: fromMicroseconds(int64(e.ExpectedLength)),
 			Repeat: e.Repeat, Returned: e.Returned, Moved: e.Moved, Playing: e.Name == "TakenOver", Server: e.Server}, nil
 	case "Flowing":
-		return control.SessionStarted{ID: e.RequestID, Server: e.Server, Attempt: e.Attempt, Took: fromMicroseconds(e.Took)}, nil
+		return control.SessionStarted{ID: e.RequestID, Server: e.Server, Attempt: e.Attempt,
+			Took: fromMicroseconds(e.Took)}, nil
 	case "AttemptEnd":
-		o, ok := outcomeByCode[e.Reason]
+		outcome, ok := outcomeByCode[e.Reason]
 		if !ok {
 			return nil, fmt.Errorf("AttemptEnd: unknown reason %q", e.Reason)
 		}
-		return control.AttemptEnded{ID: e.RequestID, Server: e.Server, Attempt: e.Attempt, Outcome: o, Took: fromMicroseconds(e.Took),
-			Final: e.Final, Load: ConvertLoad(e.Load)}, nil
+		return control.AttemptEnded{ID: e.RequestID, Server: e.Server, Attempt: e.Attempt, Outcome: outcome,
+			Took: fromMicroseconds(e.Took), Final: e.Final, Load: ConvertLoad(e.Load)}, nil
 	case "Heartbeat":
 		return control.Note{ID: e.RequestID, Server: e.Server, Kind: control.NoteKind(e.Kind), Value: e.Value}, nil
 	case "Left":
@@ -293,9 +310,9 @@
 	return nil, nil
 }
 
-// Encode turns an action into its message.
+// EncodeAction converts an action of a front to its message.
 func EncodeAction(front int, a control.Action) Message {
-	yes := true
+	active := true
 	m := Message{Front: front}
 	switch a := a.(type) {
 	case control.Send:
@@ -313,10 +330,10 @@
 	case control.Probe:
 		m.Name, m.Server = "Ping", a.Server
 	case control.SetTimer:
-		in := a.Delay.Microseconds()
-		m.Name, m.Delay, m.Label = "After", &in, a.Label
+		delay := a.Delay.Microseconds()
+		m.Name, m.Delay, m.Label = "After", &delay, a.Label
 	case control.Subscribe:
-		m.Name, m.Active = "Track", &yes
+		m.Name, m.Active = "Track", &active
 	case control.ReadList:
 		m.Name = "ReadList"
 	case control.SendToPeer:
@@ -325,67 +342,67 @@
 	return m
 }
 
-// Host runs many instances, each with a module of its own.
+// Host runs several front instances in one process, each with its own controller.
 type Host struct {
 	controllers map[int]*control.Controller
 	lists       map[int][]ListEntry
 }
 
-// NewHost returns a host without instances.
+// NewHost returns a Host without instances.
 func NewHost() *Host {
 	return &Host{controllers: map[int]*control.Controller{}, lists: map[int][]ListEntry{}}
 }
 
-// Line answers one line of input. An error means the line is malformed and no reply exists.
+// HandleLine processes one input line and returns its reply. It fails without a reply if the line is malformed.
 func (h *Host) HandleLine(line []byte) ([]byte, error) {
-	var b Batch
-	if err := json.Unmarshal(line, &b); err != nil {
+	var batch Batch
+	if err := json.Unmarshal(line, &batch); err != nil {
 		return nil, fmt.Errorf("malformed batch: %w", err)
 	}
-	reply := Reply{Seq: b.Seq, Messages: []Message{}}
+	reply := Reply{Seq: batch.Seq, Messages: []Message{}}
 	pending := map[int][]control.Event{}
 	step := func(front int) {
 		if c := h.controllers[front]; c != nil && len(pending[front]) > 0 {
-			for _, a := range c.Step(fromMicroseconds(b.WallMicros), pending[front]) {
+			for _, a := range c.Step(fromMicroseconds(batch.WallMicros), pending[front]) {
 				reply.Messages = append(reply.Messages, EncodeAction(front, a))
 			}
 		}
 		delete(pending, front)
 	}
-	for i, raw := range b.Events {
-		var e Event
-		if err := json.Unmarshal(raw, &e); err != nil {
-			return nil, fmt.Errorf("malformed event %d of batch %d: %w", i, b.Seq, err)
+	for i, raw := range batch.Events {
+		var wireEvent Event
+		if err := json.Unmarshal(raw, &wireEvent); err != nil {
+			return nil, fmt.Errorf("malformed event %d of batch %d: %w", i, batch.Seq, err)
 		}
-		switch e.Name {
+		switch wireEvent.Name {
 		case "":
-			return nil, fmt.Errorf("malformed event %d of batch %d: no message name", i, b.Seq)
+			return nil, fmt.Errorf("malformed event %d of batch %d: no message name", i, batch.Seq)
 		case "Ledger":
-			h.lists[e.ListID] = e.Entries
+			h.lists[wireEvent.ListID] = wireEvent.Entries
 			continue
 		case "CrashNow":
-			delete(pending, e.Front)
-			delete(h.controllers, e.Front)
+			delete(pending, wireEvent.Front)
+			delete(h.controllers, wireEvent.Front)
 			continue
 		case "Hello":
-			delete(pending, e.Front)
-			set, err := ParseSettings(e.Settings)
+			delete(pending, wireEvent.Front)
+			settings, err := ParseSettings(wireEvent.Settings)
 			if err != nil {
-				return nil, fmt.Errorf("event %d of batch %d: %w", i, b.Seq, err)
+				return nil, fmt.Errorf("event %d of batch %d: %w", i, batch.Seq, err)
 			}
-			c, err := control.New(set, e.Seed)
+			c, err := control.New(settings, wireEvent.Seed)
 			if err != nil {
-				return nil, fmt.Errorf("event %d of batch %d: %w", i, b.Seq, err)
+				return nil, fmt.Errorf("event %d of batch %d: %w", i, batch.Seq, err)
 			}
-			h.controllers[e.Front] = c
+			h.controllers[wireEvent.Front] = c
 			continue
 		}
-		ev, err := DecodeEvent(&e, h.lists[e.ListID])
+		event, err := DecodeEvent(&wireEvent, h.lists[wireEvent.ListID])
 		if err != nil {
-			return nil, fmt.Errorf("malformed event %d of batch %d: %w", i, b.Seq, err)
+			return nil, fmt.Errorf("malformed event %d of batch %d: %w", i, batch.Seq, err)
 		}
-		if ev != nil {
-			pending[e.Front] = append(pending[e.Front], ev)
+		if event != nil {
+			pending[wireEvent.Front] = append(pending[wireEvent.Front], event)
 		}
 	}
 	fronts := make([]int, 0, len(pending))
@@ -409,17 +426,17 @@
 	return buf.Bytes(), nil
 }
 
-// Exception is the reply that reports broken decision code, in answer to a line.
-func ExceptionReply(line []byte, words string) []byte {
-	var b struct {
+// ExceptionReply returns the reply to a line on which the decision code panicked.
+func ExceptionReply(line []byte, text string) []byte {
+	var batch struct {
 		Seq      int64                   `json:"seq"`
 		Happened []struct{ FrontID int } `json:"happened"`
 	}
-	_ = json.Unmarshal(line, &b) // best effort: the line was read once already
-	m := Message{Name: "Exception", Text: words}
-	if len(b.Happened) > 0 {
-		m.Front = b.Happened[0].FrontID
+	_ = json.Unmarshal(line, &batch) // best effort: the line was decoded once already
+	m := Message{Name: "Exception", Text: text}
+	if len(batch.Happened) > 0 {
+		m.Front = batch.Happened[0].FrontID
 	}
-	out, _ := encodeReply(Reply{Seq: b.Seq, Messages: []Message{m}})
+	out, _ := encodeReply(Reply{Seq: batch.Seq, Messages: []Message{m}})
 	return out
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -17,7 +17,7 @@
 	return bytes.Split(bytes.TrimSpace(raw), []byte("\n"))
 }
 
-// TestGolden plays batches of our own writing; testdata holds each and its reply, line by line.
+// TestGolden replays the hand-written batches in testdata and compares each reply with the expected one.
 func TestGolden(t *testing.T) {
 	in, want := readLines(t, "testdata/batches.jsonl"), readLines(t, "testdata/replies.jsonl")
 	h := NewHost()
@@ -32,32 +32,32 @@
 	}
 }
 
-// TestInstancesShareNothing compares two instances in one process with one process each.
-func TestInstancesShareNothing(t *testing.T) {
+// TestInstancesAreIndependent compares two instances on one host with two instances on a host each.
+func TestInstancesAreIndependent(t *testing.T) {
 	in := readLines(t, "testdata/batches.jsonl")
-	twin := func(front int, line []byte) []byte {
+	withFront := func(front int, line []byte) []byte {
 		return bytes.ReplaceAll(line, []byte(`"frontId":1`), fmt.Appendf(nil, `"frontId":%d`, front))
 	}
-	both, alone := NewHost(), []*Host{NewHost(), NewHost()}
+	shared, separate := NewHost(), []*Host{NewHost(), NewHost()}
 	for i, line := range in {
-		l4, l5 := twin(4, line), twin(5, line)
-		head, tail, ok := bytes.Cut(l4, []byte(`"happened":[`))
-		_, tail5, _ := bytes.Cut(l5, []byte(`"happened":[`))
+		line4, line5 := withFront(4, line), withFront(5, line)
+		prefix, events4, ok := bytes.Cut(line4, []byte(`"happened":[`))
+		_, events5, _ := bytes.Cut(line5, []byte(`"happened":[`))
 		if !ok {
 			t.Fatal("no events in line", i+1)
 		}
-		sep := ","
-		if string(tail) == "]}" {
-			sep = ""
+		separator := ","
+		if string(events4) == "]}" {
+			separator = ""
 		}
-		joint := string(head) + `"happened":[` + strings.TrimSuffix(string(tail), "]}") + sep + string(tail5)
-		got, err := both.HandleLine([]byte(joint))
+		combined := string(prefix) + `"happened":[` + strings.TrimSuffix(string(events4), "]}") + separator + string(events5)
+		got, err := shared.HandleLine([]byte(combined))
 		if err != nil {
 			t.Fatal(err)
 		}
 		want := ""
-		for n, l := range [][]byte{l4, l5} {
-			r, err := alone[n].HandleLine(l)
+		for n, l := range [][]byte{line4, line5} {
+			r, err := separate[n].HandleLine(l)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -68,12 +68,12 @@
 			want += strings.TrimSuffix(box, "]}")
 		}
 		if _, box, _ := strings.Cut(string(got), `"outbox":[`); strings.TrimSuffix(strings.TrimSpace(box), "]}") != want {
-			t.Errorf("line %d: together %s, apart %s", i+1, got, want)
+			t.Errorf("line %d: shared host %s, separate hosts %s", i+1, got, want)
 		}
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestMalformedLines(t *testing.T) {
 	for _, line := range []string{`{`, `[]`, `{"wall":"x"}`, `{"wall":1,"seq":1,"happened":[7]}`,
 		`{"wall":1,"seq":1,"happened":[{}]}`, `{"wall":1,"seq":1,"happened":[{"m":"Hello","facts":{}}]}`,
 		`{"wall":1,"seq":1,"happened":[{"m":"AttemptEnd","reason":"Q"}]}`} {
@@ -82,18 +82,19 @@
 		}
 	}
 	if _, err := NewHost().HandleLine([]byte(`{"wall":1,"seq":1,"happened":[{"m":"Novelty","frontId":9,"new":{}}]}`)); err != nil {
-		t.Errorf("an unknown event stops the adapter: %v", err)
+		t.Errorf("an unknown event led to an error: %v", err)
 	}
 }
 
-func TestExceptionNamesAFront(t *testing.T) {
+func TestExceptionReplyNamesFront(t *testing.T) {
 	got := string(ExceptionReply([]byte(`{"seq":7,"happened":[{"m":"Left","frontId":3}]}`), "broken"))
 	if got != `{"seq":7,"outbox":[{"m":"Exception","frontId":3,"words":"broken"}]}`+"\n" {
 		t.Error(got)
 	}
 }
 
-func FuzzLine(f *testing.F) {
+// FuzzHandleLine checks that no input line causes a panic.
+func FuzzHandleLine(f *testing.F) {
 	raw, err := os.ReadFile("testdata/batches.jsonl")
 	if err != nil {
 		f.Fatal(err)
@@ -107,6 +108,6 @@
 		if _, err := h.HandleLine(first); err != nil {
 			t.Fatal(err)
 		}
-		_, _ = h.HandleLine(line) // any error will do; a panic fails
+		_, _ = h.HandleLine(line) // errors are allowed, panics are not
 	})
 }
