--- a/internal/node/closing.go
+++ b/internal/node/closing.go
@@ -98,8 +98,8 @@
 // drain has the set-ups that wait answered before the connection ends, where reading ended for a reason that leaves the
 // viewer there. What the viewer still sends is read for a bounded time: closing with unread bytes would reset the
 // connection and could destroy an answer on its way (RFC 9112, section 9.6).
-func (c *viewerConn) drain(why closeReason) {
-	switch why {
+func (c *viewerConn) drain(reason closeReason) {
+	switch reason {
 	case closedMalformedMessage, closedMessageTimeout:
 		c.beginDrain()
 		discarded, err := io.Copy(io.Discard, io.LimitReader(&c.in, maxDiscardedBytes))
@@ -133,15 +133,15 @@
 	c.mu.Lock()
 	c.halfClosedByViewer = true
 	until := c.node.now() + halfCloseAttemptWindow
-	waiting := make([]string, 0, len(c.openSetUps))
+	waitingIDs := make([]string, 0, len(c.openSetUps))
 	for _, s := range c.openSetUps {
 		s.blockAttemptsFrom(until)
-		waiting = append(waiting, s.id)
+		waitingIDs = append(waitingIDs, s.id)
 	}
 	c.mu.Unlock()
-	if len(waiting) > 0 {
+	if len(waitingIDs) > 0 {
 		c.node.nearMisses.halfClosed.Add(1)
-		c.node.Log.Info("viewer shut down its writing half", "connection", uint64(c.id), "from", c.remoteHost, "age", time.Since(c.openedAt), "waiting", waiting)
+		c.node.Log.Info("viewer shut down its writing half", "connection", uint64(c.id), "from", c.remoteHost, "age", time.Since(c.openedAt), "waiting", waitingIDs)
 	}
 	c.beginDrain()
 }
@@ -160,8 +160,8 @@
 // that closed both halves answers anything with a reset, and only then is known to have gone: progress, which means
 // nothing to a viewer that reads, finds out.
 func (c *viewerConn) awaitDrained() {
-	wait := firstProbeInterval
-	for ; ; wait = min(wait*probeBackoffFactor, maxProbeInterval) {
+	interval := firstProbeInterval
+	for ; ; interval = min(interval*probeBackoffFactor, maxProbeInterval) {
 		c.mu.Lock()
 		probe := c.halfClosedByViewer && !isClosed(c.drained)
 		for _, s := range c.openSetUps {
@@ -176,7 +176,7 @@
 			return
 		case <-c.done:
 			return
-		case <-time.After(wait):
+		case <-time.After(interval):
 		}
 	}
 }
@@ -184,37 +184,39 @@
 // writeFailed ends a connection that cannot be written to. A viewer that had shut down its writing half has gone.
 func (c *viewerConn) handleWriteError() {
 	c.mu.Lock()
-	why := closedWriteFailed
+	reason := closedWriteFailed
 	if c.halfClosedByViewer {
-		why = closedByViewer
+		reason = closedByViewer
 	}
 	c.mu.Unlock()
-	c.close(why)
+	c.close(reason)
 }
 
 // close ends a connection at once. The viewers of set-ups on it may send them again on another one.
-func (c *viewerConn) close(why closeReason) { c.closeUnless(why, func() bool { return c.closed }) }
+func (c *viewerConn) close(reason closeReason) {
+	c.closeUnless(reason, func() bool { return c.closed })
+}
 
 // closeIdle ends a connection at once if nothing waits on it. What came on it since it was chosen keeps it open.
-func (c *viewerConn) closeIfIdle(why closeReason) bool {
-	return c.closeUnless(why, func() bool { return c.closed || c.handlingMessage || len(c.openSetUps) > 0 })
+func (c *viewerConn) closeIfIdle(reason closeReason) bool {
+	return c.closeUnless(reason, func() bool { return c.closed || c.handlingMessage || len(c.openSetUps) > 0 })
 }
 
 // closeUnless ends a connection unless something holds, which is asked under its lock.
-func (c *viewerConn) closeUnless(why closeReason, holds func() bool) (closed bool) {
+func (c *viewerConn) closeUnless(reason closeReason, condition func() bool) (closed bool) {
 	c.mu.Lock()
-	if holds() {
+	if condition() {
 		c.mu.Unlock()
 		return false
 	}
 	c.closed = true
-	gone := make([]*session, 0, len(c.openSetUps))
+	unanswered := make([]*session, 0, len(c.openSetUps))
 	for _, s := range c.openSetUps {
-		gone = append(gone, s)
+		unanswered = append(unanswered, s)
 	}
 	clear(c.openSetUps)
 	c.mu.Unlock()
-	c.node.awaitResend(c, gone) // first of all: an attempt may be about to begin
+	c.node.awaitResend(c, unanswered) // first of all: an attempt may be about to begin
 	close(c.done)
 	c.out.abort()
 	_ = c.conn.Close()
@@ -223,22 +225,22 @@
 	delete(v.conns, c)
 	v.resendNotices(c)
 	v.mu.Unlock()
-	c.logClose(why, gone)
+	c.logClose(reason, unanswered)
 	return true
 }
 
 // logClose tells why a connection ended, and which requests got no answer by it. Where this side ended it, they are
 // lost.
-func (c *viewerConn) logClose(why closeReason, unanswered []*session) {
+func (c *viewerConn) logClose(reason closeReason, unanswered []*session) {
 	level := slog.LevelDebug
 	switch {
-	case len(unanswered) > 0 && why.byThisNode():
+	case len(unanswered) > 0 && reason.byThisNode():
 		level = slog.LevelWarn
 		c.node.nearMisses.closedUnanswered.Add(int64(len(unanswered)))
-	case len(unanswered) > 0 || why == closedForCapacity:
+	case len(unanswered) > 0 || reason == closedForCapacity:
 		level = slog.LevelInfo
 	}
-	if !why.byThisNode() {
+	if !reason.byThisNode() {
 		c.node.nearMisses.leftUnanswered.Add(int64(len(unanswered)))
 	}
 	if !c.node.Log.Enabled(context.Background(), level) {
@@ -248,13 +250,13 @@
 	for _, s := range unanswered {
 		ids = append(ids, s.id)
 	}
-	c.node.Log.Log(context.Background(), level, "viewer connection over", "why", string(why), "connection", uint64(c.id), "from", c.remoteHost,
+	c.node.Log.Log(context.Background(), level, "viewer connection over", "why", string(reason), "connection", uint64(c.id), "from", c.remoteHost,
 		"age", time.Since(c.openedAt), "unanswered", ids)
 }
 
 // refuseConnection closes a connection that was accepted and will not be served.
-func (c *viewerConn) refuseConnection(why closeReason) {
+func (c *viewerConn) refuseConnection(reason closeReason) {
 	c.node.nearMisses.viewersRefused.Add(1)
-	c.node.Log.Warn("viewer connection not served", "why", string(why), "from", c.conn.RemoteAddr().String())
+	c.node.Log.Warn("viewer connection not served", "why", string(reason), "from", c.conn.RemoteAddr().String())
 	_ = c.conn.Close()
 }
--- a/internal/node/eviction.go
+++ b/internal/node/eviction.go
@@ -7,8 +7,8 @@
 // evict closes the connection whose end harms least; false where all wait for answers, or the one that was chosen has
 // begun to.
 func (v *viewerConns) evict(now time.Time) bool {
-	least := v.evictionCandidate(now)
-	if least == nil || !least.closeIfIdle(closedForCapacity) {
+	candidate := v.evictionCandidate(now)
+	if candidate == nil || !candidate.closeIfIdle(closedForCapacity) {
 		return false
 	}
 	v.node.nearMisses.viewersClosed.Add(1)
@@ -16,16 +16,16 @@
 }
 
 // evictionCandidate is the connection whose end harms least; nil where all wait for answers.
-func (v *viewerConns) evictionCandidate(now time.Time) (least *viewerConn) {
+func (v *viewerConns) evictionCandidate(now time.Time) (candidate *viewerConn) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	worst, longest := rankAwaitingAnswer, now
-	for o := range v.conns {
-		if r, since := o.rankForEviction(now); r < worst || r == worst && r != rankAwaitingAnswer && since.Before(longest) {
-			least, worst, longest = o, r, since
+	lowestRank, oldestUse := rankAwaitingAnswer, now
+	for c := range v.conns {
+		if rank, lastUsed := c.rankForEviction(now); rank < lowestRank || rank == lowestRank && rank != rankAwaitingAnswer && lastUsed.Before(oldestUse) {
+			candidate, lowestRank, oldestUse = c, rank, lastUsed
 		}
 	}
-	return least
+	return candidate
 }
 
 // evictionRank orders connections by the harm that their end would do.
--- a/internal/node/outbox.go
+++ b/internal/node/outbox.go
@@ -29,24 +29,24 @@
 )
 
 // put queues what add appends; false if the connection is over.
-func (o *writeQueue) enqueue(add func([]byte) []byte) bool {
-	return o.append(add, false)
+func (o *writeQueue) enqueue(appendMessage func([]byte) []byte) bool {
+	return o.append(appendMessage, false)
 }
 
 // putNow does the same, and writes at once what the socket takes without waiting: a final answer must not wait for a
 // goroutine's turn.
-func (o *writeQueue) enqueueAndWrite(add func([]byte) []byte) bool {
-	return o.append(add, true)
+func (o *writeQueue) enqueueAndWrite(appendMessage func([]byte) []byte) bool {
+	return o.append(appendMessage, true)
 }
 
-func (o *writeQueue) append(add func([]byte) []byte, now bool) bool {
+func (o *writeQueue) append(appendMessage func([]byte) []byte, immediately bool) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed || o.closing {
 		return false
 	}
-	o.pending = add(o.pending)
-	if now && !o.writing {
+	o.pending = appendMessage(o.pending)
+	if immediately && !o.writing {
 		written := writeNonblocking(o.conn, o.pending)
 		o.pending = append(o.pending[:0], o.pending[written:]...)
 		if len(o.pending) == 0 {
@@ -146,10 +146,10 @@
 		if len(b) == 0 {
 			return nil
 		}
-		late := time.Since(deadline)
+		overdue := time.Since(deadline)
 		switch v := socketerror.Classify(err, socketerror.Transfer); {
-		case v.IsLocal() && late < 0:
-		case v == socketerror.DeadlineExceeded && late > maxExpiryDelay: // the process stood still: the peer may have read on
+		case v.IsLocal() && overdue < 0:
+		case v == socketerror.DeadlineExceeded && overdue > maxExpiryDelay: // the process stood still: the peer may have read on
 			deadline = time.Now().Add(writeTimeout)
 		default:
 			return err
--- a/internal/node/reading.go
+++ b/internal/node/reading.go
@@ -55,9 +55,9 @@
 	p.mu.Lock()
 	l.lastActivity = p.node.now()
 	l.server.detector.RecordHeartbeat(l.lastActivity)
-	mine := l.activeID != "" && l.activeID == m.ID
+	matches := l.activeID != "" && l.activeID == m.ID
 	switch {
-	case m.Type == jsonlines.TypeReady && mine && !l.isProbe:
+	case m.Type == jsonlines.TypeReady && matches && !l.isProbe:
 		r := core.Result{Outcome: control.Served}
 		if m.Text == nil || *m.Text == "" {
 			r = core.Result{Outcome: control.Failed, Load: load} // it ran, and there is nothing to pass on
@@ -67,19 +67,19 @@
 		}
 		answered = l.deliverResult(r)
 		p.mu.Unlock()
-	case m.Type == jsonlines.TypeProbed && mine && l.isProbe:
+	case m.Type == jsonlines.TypeProbed && matches && l.isProbe:
 		r := core.Result{Outcome: control.Failed, Load: load}
 		if m.Cause() == jsonlines.CauseProbePassed {
 			r.Outcome = control.Served
 		}
 		l.deliverResult(r)
 		p.mu.Unlock()
-	case m.Type == jsonlines.TypeClose && mine:
-		o, ok := closeOutcomes[m.Cause()]
+	case m.Type == jsonlines.TypeClose && matches:
+		outcome, ok := closeOutcomes[m.Cause()]
 		if !ok {
-			o = control.Reset
+			outcome = control.Reset
 		}
-		answered = l.deliverResult(core.Result{Outcome: o, Load: load})
+		answered = l.deliverResult(core.Result{Outcome: outcome, Load: load})
 		p.mu.Unlock()
 	case m.Type == jsonlines.TypeClose && l.wasGivenUp(m.ID): // of that attempt; a later one may stand
 		p.mu.Unlock()
@@ -87,9 +87,9 @@
 		p.mu.Unlock()
 		p.handleSessionEnd(l, m, load)
 	case m.Type == jsonlines.TypeEvent:
-		stands := l.server.activeSessions[m.ID]
+		active := l.server.activeSessions[m.ID]
 		p.mu.Unlock()
-		if kind, v, ok := parseNote(m); ok && stands {
+		if kind, v, ok := parseNote(m); ok && active {
 			if p.node.Log.Enabled(context.Background(), slog.LevelDebug) {
 				p.node.Log.Debug("note", "session", m.ID, "server", l.server.id, "note", m.Attr("note"), "value", v)
 			}
@@ -108,14 +108,14 @@
 		outcome = control.Reset
 	}
 	p.mu.Lock()
-	stood := l.server.activeSessions[m.ID]
+	wasActive := l.server.activeSessions[m.ID]
 	delete(l.server.activeSessions, m.ID)
-	if !stood {
+	if !wasActive {
 		p.storeEarlyEnd(l.server, m.ID, earlyEnd{outcome, load, p.node.now()})
 	}
 	p.mu.Unlock()
-	p.node.Log.Debug("released by server", "session", m.ID, "server", l.server.id, "cause", m.Cause(), "stood", stood)
-	if stood {
+	p.node.Log.Debug("released by server", "session", m.ID, "server", l.server.id, "cause", m.Cause(), "stood", wasActive)
+	if wasActive {
 		p.node.orchestrator.EndedByServer(m.ID, l.server.id, outcome, load)
 	}
 }
@@ -134,7 +134,7 @@
 func parseNote(m *jsonlines.Message) (control.NoteKind, float64, bool) {
 	kinds := map[string]control.NoteKind{"delivered": control.NoteShare, "rung": control.NoteRung,
 		"link": control.NoteLink, "uplink": control.NoteUplink}
-	k, ok := kinds[m.Attr("note")]
-	v, is := m.Number("value")
-	return k, v, ok && is
+	kind, ok := kinds[m.Attr("note")]
+	v, numeric := m.Number("value")
+	return kind, v, ok && numeric
 }
--- a/internal/node/resend.go
+++ b/internal/node/resend.go
@@ -26,7 +26,7 @@
 }
 
 // claim gives a request its final answer, where it has none yet. From then on its session stands, if it plays.
-func (s *session) claimAnswer(r finalAnswer) (on *viewerConn, orphaned, first bool) {
+func (s *session) claimAnswer(r finalAnswer) (conn *viewerConn, connLost, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.answered || s.withdrawn {
@@ -43,10 +43,10 @@
 }
 
 // orphan marks that its connection ended under it. False if it has moved to another one, or needs none.
-func (s *session) markConnLost(ended *viewerConn, now time.Duration) bool {
+func (s *session) markConnLost(closedConn *viewerConn, now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.conn != ended || s.withdrawn || s.adopted {
+	if s.conn != closedConn || s.withdrawn || s.adopted {
 		return false
 	}
 	s.connLost = true
@@ -57,10 +57,10 @@
 }
 
 // abandon withdraws a request that was not sent again since its connection ended.
-func (s *session) withdrawIfNotResent(ended *viewerConn) bool {
+func (s *session) withdrawIfNotResent(closedConn *viewerConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.conn != ended || s.withdrawn || !s.connLost {
+	if s.conn != closedConn || s.withdrawn || !s.connLost {
 		return false
 	}
 	s.withdrawn = true
@@ -84,7 +84,7 @@
 }
 
 // resume moves a request to the connection on which its viewer sent it again.
-func (s *session) moveTo(on *viewerConn, cseq string) resumedSetUp {
+func (s *session) moveTo(conn *viewerConn, cseq string) resumedSetUp {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cseq = cseq
@@ -92,7 +92,7 @@
 		return resumedSetUp{previousConn: s.conn, answer: s.withdrawalAnswer()}
 	}
 	r := resumedSetUp{previousConn: s.conn, answer: s.answer, playing: s.playing}
-	s.conn, s.connLost, s.attemptsBlockedFrom = on, false, 0
+	s.conn, s.connLost, s.attemptsBlockedFrom = conn, false, 0
 	return r
 }
 
@@ -103,30 +103,30 @@
 
 // takeResent takes a set-up under an id that is known from another connection. It tells whether it was that set-up, sent
 // again.
-func (c *viewerConn) handleResent(again, s *session) bool {
-	if s.adopted || s.currentConn() == c || !s.isSameRequest(again) {
+func (c *viewerConn) handleResent(resent, s *session) bool {
+	if s.adopted || s.currentConn() == c || !s.isSameRequest(resent) {
 		return false
 	}
-	if last := s.currentConn(); last.id > c.id && last.phase() == phaseOpen {
-		c.node.Log.Info("set-up read behind its copy", "session", s.id, "connection", uint64(c.id), "copy on", uint64(last.id))
+	if lastConn := s.currentConn(); lastConn.id > c.id && lastConn.phase() == phaseOpen {
+		c.node.Log.Info("set-up read behind its copy", "session", s.id, "connection", uint64(c.id), "copy on", uint64(lastConn.id))
 		return true // the viewer waits on the connection that it opened last
 	}
 	c.mu.Lock()
 	c.openSetUps[s.id] = s
 	c.mu.Unlock()
-	found := s.moveTo(c, again.cseq)
-	found.previousConn.removeSetUp(s)
+	resumed := s.moveTo(c, resent.cseq)
+	resumed.previousConn.removeSetUp(s)
 	c.node.nearMisses.resumed.Add(1)
-	c.node.Log.Info("set-up sent again", "session", s.id, "connection", uint64(c.id), "first", uint64(found.previousConn.id),
-		"first is", found.previousConn.phase().String(), "after", c.node.now()-s.receivedAt, "answered", found.answer != nil, "stands", found.playing)
-	if found.answer != nil {
-		if found.playing {
-			found.previousConn.addSessions(-1)
+	c.node.Log.Info("set-up sent again", "session", s.id, "connection", uint64(c.id), "first", uint64(resumed.previousConn.id),
+		"first is", resumed.previousConn.phase().String(), "after", c.node.now()-s.receivedAt, "answered", resumed.answer != nil, "stands", resumed.playing)
+	if resumed.answer != nil {
+		if resumed.playing {
+			resumed.previousConn.addSessions(-1)
 			c.addSessions(1)
 		}
-		told := c.out.enqueueAndWrite(s.appendAnswer(*found.answer))
+		enqueued := c.out.enqueueAndWrite(s.appendAnswer(*resumed.answer))
 		c.removeSetUp(s)
-		if !told {
+		if !enqueued {
 			c.node.awaitResend(c, []*session{s})
 		}
 		return true
@@ -139,20 +139,20 @@
 
 // awaitResend keeps requests whose connection ended for as long as their viewers may send them again, and then withdraws
 // them. What is out for them goes on; no further attempt begins meanwhile, since their viewers may have gone.
-func (n *Node) awaitResend(ended *viewerConn, open []*session) {
+func (n *Node) awaitResend(closedConn *viewerConn, openSetUps []*session) {
 	now := n.now()
-	orphans := make([]*session, 0, len(open))
-	for _, s := range open {
-		if s.markConnLost(ended, now) {
-			orphans = append(orphans, s)
+	waiting := make([]*session, 0, len(openSetUps))
+	for _, s := range openSetUps {
+		if s.markConnLost(closedConn, now) {
+			waiting = append(waiting, s)
 		}
 	}
-	if len(orphans) == 0 {
+	if len(waiting) == 0 {
 		return
 	}
 	time.AfterFunc(n.resendWindow, func() {
-		for _, s := range orphans {
-			if s.withdrawIfNotResent(ended) {
+		for _, s := range waiting {
+			if s.withdrawIfNotResent(closedConn) {
 				n.cacheAnswer(s)
 				n.orchestrator.ViewerLeft(s.id, s)
 			}
--- a/internal/node/reserve.go
+++ b/internal/node/reserve.go
@@ -41,9 +41,9 @@
 // reserveForCheck takes a place for a connection that a server with sessions needs. The only connection of another
 // such server goes only if this one has waited for long, and that one has had its turn.
 func (p *pool) reserveSlotForCheck(s *server, now time.Duration) bool {
-	long := s.unconnectedFor(now) >= maxUnconnectedTime
+	overdue := s.unconnectedFor(now) >= maxUnconnectedTime
 	return p.reserveSlot(func(l *serverConn) bool {
-		return l.server != s && evictionCost(l) < costOnlyConn || long && now-l.openedAt >= minConnectionTime
+		return l.server != s && evictionCost(l) < costOnlyConn || overdue && now-l.openedAt >= minConnectionTime
 	})
 }
 
@@ -60,12 +60,12 @@
 }
 
 // reserve takes a place for one more connection, if need be that of an idle one that may go. The caller holds the lock.
-func (p *pool) reserveSlot(mayGo func(*serverConn) bool) bool {
+func (p *pool) reserveSlot(evictable func(*serverConn) bool) bool {
 	if p.closed {
 		return false
 	}
 	if p.connCount >= p.maxConns {
-		l := p.cheapestIdle(mayGo)
+		l := p.cheapestIdle(evictable)
 		if l == nil {
 			return false
 		}
@@ -94,10 +94,10 @@
 
 // cheapestIdle is the idle connection that costs least to close; among equals the one that was opened first, whose
 // server has had the most time to say what it had to.
-func (p *pool) cheapestIdle(mayGo func(*serverConn) bool) (cheapest *serverConn) {
+func (p *pool) cheapestIdle(evictable func(*serverConn) bool) (cheapest *serverConn) {
 	for _, s := range p.servers {
 		for _, l := range s.idleConns {
-			if !mayGo(l) {
+			if !evictable(l) {
 				continue
 			}
 			if cheapest == nil || cheaperToClose(l, cheapest) {
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -67,7 +67,7 @@
 // Answered passes on the one answer. A viewer whose connection is over may ask for it on another one.
 func (s *session) Answered(a core.Answer) {
 	r := toFinalAnswer(a)
-	c, orphaned, first := s.claimAnswer(r)
+	c, connLost, first := s.claimAnswer(r)
 	defer c.removeSetUp(s) // until the answer is in the outbox the connection waits for it, and is not closed for another
 	s.recordLateness(a)
 	if !first {
@@ -81,7 +81,7 @@
 	if a.Kind == core.Playing {
 		c.addSessions(1)
 	}
-	if orphaned {
+	if connLost {
 		s.node.Log.Info("answer kept: its connection is over", "session", s.id, "answer", a.Kind.String(), "connection", uint64(c.id))
 		return
 	}
@@ -110,16 +110,16 @@
 // that it failed.
 func (s *session) Ended(o control.Outcome, moved bool) {
 	s.mu.Lock()
-	c, left, orphaned, stood := s.conn, s.withdrawn, s.connLost, s.playing
+	c, withdrawn, connLost, wasPlaying := s.conn, s.withdrawn, s.connLost, s.playing
 	s.playing = false
 	if s.answer != nil {
 		s.answer = &finalAnswer{status: statusGatewayTimeout}
 	}
 	s.mu.Unlock()
-	if stood {
+	if wasPlaying {
 		c.addSessions(-1)
 	}
-	if left || orphaned || o == control.Cancelled && !moved {
+	if withdrawn || connLost || o == control.Cancelled && !moved {
 		return
 	}
 	s.node.viewerConns.notify(&notice{origin: c, id: s.id, uri: s.uri, moved: moved, cause: releaseCause(o == control.Served)})
@@ -136,9 +136,9 @@
 }
 
 // holdFrom has no attempt begin any more from a time on: its viewer may have gone.
-func (s *session) blockAttemptsFrom(at time.Duration) {
+func (s *session) blockAttemptsFrom(from time.Duration) {
 	s.mu.Lock()
-	s.attemptsBlockedFrom = at
+	s.attemptsBlockedFrom = from
 	s.mu.Unlock()
 }
 
@@ -200,10 +200,10 @@
 }
 
 // attrs appends the fields of its set-up at a server.
-func (s *session) appendSetUpAttrs(to []string, left time.Duration, rung int) []string {
-	to = append(to, "class", s.className, "key", s.titleKey, "left", strconv.FormatInt(left.Milliseconds(), 10), "rung", formatRung(rung))
+func (s *session) appendSetUpAttrs(attrs []string, timeLeft time.Duration, rung int) []string {
+	attrs = append(attrs, "class", s.className, "key", s.titleKey, "left", strconv.FormatInt(timeLeft.Milliseconds(), 10), "rung", formatRung(rung))
 	if s.dedupeKey != "" {
-		to = append(to, "idem", s.dedupeKey)
+		attrs = append(attrs, "idem", s.dedupeKey)
 	}
-	return to
+	return attrs
 }
--- a/internal/node/setup.go
+++ b/internal/node/setup.go
@@ -40,22 +40,22 @@
 }
 
 // whole is a decimal from least to most.
-func parseIntInRange(s string, least, most int) (int, bool) {
+func parseIntInRange(s string, lowest, highest int) (int, bool) {
 	v, err := strconv.Atoi(s)
-	return v, err == nil && v >= least && v <= most
+	return v, err == nil && v >= lowest && v <= highest
 }
 
 // millis is a number of milliseconds from 0 to a longest time. Checked before any arithmetic: NaN is no number.
-func parseMillis(s string, longest time.Duration) (time.Duration, bool) {
+func parseMillis(s string, highest time.Duration) (time.Duration, bool) {
 	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || math.IsNaN(v) || v < 0 || v > float64(longest.Milliseconds()) {
+	if err != nil || math.IsNaN(v) || v < 0 || v > float64(highest.Milliseconds()) {
 		return 0, false
 	}
 	return time.Duration(v * float64(time.Millisecond)), true
 }
 
 // readSetUp reads a set-up that came at a time, or says what is wrong with it. Whatever an arithmetic rests on is bounded here.
-func (n *Node) parseSetUp(m *rtsp.Message, arrived time.Time) (r control.Request, s *session, wrong string) {
+func (n *Node) parseSetUp(m *rtsp.Message, arrived time.Time) (r control.Request, s *session, problem string) {
 	s = &session{node: n, id: m.Get("Session"), uri: m.URI, cseq: m.Get("CSeq"), className: m.Get("X-Cos"), description: string(m.Body), receivedAt: n.now()}
 	title, ok := strings.CutPrefix(m.URI, titleURIPrefix)
 	if !ok || !isSessionID(s.id) {
@@ -85,25 +85,25 @@
 	if !utf8.ValidString(s.description) {
 		return r, nil, "description"
 	}
-	if wrong := n.parseHeaders(m, arrived, &r, s); wrong != "" {
-		return r, nil, wrong
+	if problem := n.parseHeaders(m, arrived, &r, s); problem != "" {
+		return r, nil, problem
 	}
 	return r, s, ""
 }
 
 func (n *Node) parseHeaders(m *rtsp.Message, arrived time.Time, r *control.Request, s *session) string {
-	if again := m.Get("X-Reattempt"); again != "" && again != "0" {
+	if reattempt := m.Get("X-Reattempt"); reattempt != "" && reattempt != "0" {
 		r.Repeat = true
 	}
-	if g := m.Get("X-Guess"); g != "" {
-		length, ok := parseMillis(g, maxLengthHint)
+	if hint := m.Get("X-Guess"); hint != "" {
+		length, ok := parseMillis(hint, maxLengthHint)
 		if !ok {
 			return "hint"
 		}
 		r.ExpectedLength = length
 	}
-	if wrong := n.parseLegs(m.Get("X-Legs"), r); wrong != "" {
-		return wrong
+	if problem := n.parseLegs(m.Get("X-Legs"), r); problem != "" {
+		return problem
 	}
 	s.adopted = r.Server != ""
 	s.playing = s.adopted
--- a/internal/node/timedreader.go
+++ b/internal/node/timedreader.go
@@ -40,7 +40,7 @@
 
 // Read implements io.Reader.
 func (r *deadlineReader) Read(b []byte) (int, error) {
-	var troubleSince time.Time
+	var localErrorSince time.Time
 	for {
 		n, err := r.conn.Read(b)
 		if n > 0 || err == nil {
@@ -52,10 +52,10 @@
 				return 0, err
 			}
 		case socketerror.LocalTemporary, socketerror.LocalDescriptorLimit:
-			if troubleSince.IsZero() {
-				troubleSince = time.Now()
+			if localErrorSince.IsZero() {
+				localErrorSince = time.Now()
 			}
-			if time.Since(troubleSince) > maxLocalErrorTime {
+			if time.Since(localErrorSince) > maxLocalErrorTime {
 				return 0, err
 			}
 			time.Sleep(localRetryDelay)
--- a/internal/node/viewer.go
+++ b/internal/node/viewer.go
@@ -61,26 +61,26 @@
 
 // read takes what a viewer says until the connection ends.
 func (c *viewerConn) serve() {
-	why := c.readMessages()
-	c.drain(why)
-	c.close(why)
+	reason := c.readMessages()
+	c.drain(reason)
+	c.close(reason)
 }
 
 // readMessages takes messages and returns why there are no more.
 func (c *viewerConn) readMessages() closeReason {
-	d := rtsp.NewReader(bufio.NewReaderSize(&c.in, 4<<10))
+	reader := rtsp.NewReader(bufio.NewReaderSize(&c.in, 4<<10))
 	c.in.setDeadline(c.openedAt.Add(firstMessageTimeout))
 	for {
-		waiting := time.Now()
-		if err := d.WaitForMessage(); err != nil {
+		waitStart := time.Now()
+		if err := reader.WaitForMessage(); err != nil {
 			return readErrorReason(err)
 		}
 		c.markMessageStarted()
-		m, err := d.Next()
-		var wrong *rtsp.Error
+		m, err := reader.Next()
+		var rtspErr *rtsp.Error
 		switch {
-		case errors.As(err, &wrong):
-			c.respondError(wrong.Status)
+		case errors.As(err, &rtspErr):
+			c.respondError(rtspErr.Status)
 			return closedMalformedMessage
 		case socketerror.Classify(err, socketerror.Transfer) == socketerror.DeadlineExceeded:
 			c.respondError(408)
@@ -88,7 +88,7 @@
 		case err != nil:
 			return readErrorReason(err)
 		}
-		c.earliestArrival = c.node.clocks.earliestArrival(waiting, time.Now())
+		c.earliestArrival = c.node.clocks.earliestArrival(waitStart, time.Now())
 		c.in.setDeadline(time.Time{})
 		if c.markMessageReceived() {
 			c.node.viewerConns.sendNoticesTo(c)
@@ -143,9 +143,9 @@
 // setUp hands a set-up to the owner. One under an id that is open is refused without touching that one; the
 // refusal names no session, so that it cannot pass for the open one's answer.
 func (c *viewerConn) handleSetUp(m *rtsp.Message) {
-	r, s, wrong := c.node.parseSetUp(m, c.earliestArrival)
+	r, s, problem := c.node.parseSetUp(m, c.earliestArrival)
 	if s == nil {
-		c.node.Log.Info("set-up refused", "session", m.Get("Session"), "status", statusBadRequest, "why", wrong, "connection", uint64(c.id))
+		c.node.Log.Info("set-up refused", "session", m.Get("Session"), "status", statusBadRequest, "why", problem, "connection", uint64(c.id))
 		c.respond(m, statusBadRequest)
 		return
 	}
@@ -165,20 +165,20 @@
 	if c.handleResentAnswered(s) {
 		return
 	}
-	if open := c.node.register(s); open != nil {
-		if !c.handleResent(s, open) {
-			c.refuseDuplicate(s, open)
+	if existing := c.node.register(s); existing != nil {
+		if !c.handleResent(s, existing) {
+			c.refuseDuplicate(s, existing)
 		}
 		return
 	}
 	c.mu.Lock()
-	full := len(c.openSetUps) >= maxOpenSetUps || c.closed
-	if !full {
+	tooMany := len(c.openSetUps) >= maxOpenSetUps || c.closed
+	if !tooMany {
 		c.openSetUps[s.id] = s
 	}
 	c.mu.Unlock()
-	if leaving := c.node.viewerConns.shuttingDown.Load(); full || leaving || !c.node.orchestrator.Submit(r, s) {
-		c.node.Log.Info("set-up refused", "session", s.id, "status", statusServiceUnavailable, "waiting", c.openSetUpCount(), "leaving", leaving, "connection", uint64(c.id))
+	if shuttingDown := c.node.viewerConns.shuttingDown.Load(); tooMany || shuttingDown || !c.node.orchestrator.Submit(r, s) {
+		c.node.Log.Info("set-up refused", "session", s.id, "status", statusServiceUnavailable, "waiting", c.openSetUpCount(), "leaving", shuttingDown, "connection", uint64(c.id))
 		c.node.unregister(s)
 		c.respond(m, statusServiceUnavailable)
 		c.removeSetUp(s)
@@ -187,29 +187,29 @@
 
 // refuseRepeat answers a set-up under an id that is open, but asks for something else or comes on the same connection.
 // The refusal names no session, so that it cannot pass for the open one's answer, unless that one's viewer has left.
-func (c *viewerConn) refuseDuplicate(s, open *session) {
+func (c *viewerConn) refuseDuplicate(s, existing *session) {
 	status, id := statusBadRequest, ""
-	if open.isWithdrawn() {
+	if existing.isWithdrawn() {
 		status, id = statusServiceUnavailable, s.id
 	}
-	c.logDuplicate(s, open, status)
+	c.logDuplicate(s, existing, status)
 	c.out.enqueue(func(b []byte) []byte {
 		return rtsp.AppendResponse(b, status, []string{"CSeq", s.cseq, "Session", id}, nil)
 	})
 }
 
 // logRepeat tells what became of a set-up under an id that is open, and how the open one stands.
-func (c *viewerConn) logDuplicate(s, open *session, status int) {
-	first := open.currentConn()
-	if first != c {
+func (c *viewerConn) logDuplicate(s, existing *session, status int) {
+	existingConn := existing.currentConn()
+	if existingConn != c {
 		c.node.nearMisses.repeatsElsewhere.Add(1)
 	}
 	if !c.node.Log.Enabled(context.Background(), slog.LevelInfo) {
 		return
 	}
 	c.node.Log.Info("set-up refused", "session", s.id, "status", status, "why", "id is open", "connection", uint64(c.id),
-		"same description", s.description == open.description, "open since", c.node.now()-open.receivedAt, "open on", uint64(first.id),
-		"that connection", first.phase().String(), "viewer left", open.isWithdrawn(), "answered", open.isAnswered())
+		"same description", s.description == existing.description, "open since", c.node.now()-existing.receivedAt, "open on", uint64(existingConn.id),
+		"that connection", existingConn.phase().String(), "viewer left", existing.isWithdrawn(), "answered", existing.isAnswered())
 }
 
 // waiting is the number of set-ups that wait for their answer.
@@ -242,25 +242,25 @@
 		c.respond(m, statusSessionNotFound)
 		return
 	}
-	waited := s.awaitsAnswer()
-	on := s.currentConn()
-	if on != c && waited {
+	wasWaiting := s.awaitsAnswer()
+	conn := s.currentConn()
+	if conn != c && wasWaiting {
 		if r := (finalAnswer{status: statusServiceUnavailable}); s.claimAnswerOnTearDown(r) {
-			on.out.enqueue(s.appendAnswer(r))
+			conn.out.enqueue(s.appendAnswer(r))
 		}
 	}
 	s.withdraw()
-	on.removeSetUp(s)
-	c.logTearDown(s, on, waited)
+	conn.removeSetUp(s)
+	c.logTearDown(s, conn, wasWaiting)
 	c.node.orchestrator.ViewerLeft(s.id, s)
 	c.respond(m, statusOK)
 }
 
 // logTearDown tells who ended a session or a request that waited.
-func (c *viewerConn) logTearDown(s *session, on *viewerConn, waited bool) {
+func (c *viewerConn) logTearDown(s *session, conn *viewerConn, wasWaiting bool) {
 	level := slog.LevelDebug
-	if waited {
+	if wasWaiting {
 		level = slog.LevelInfo
 	}
-	c.node.Log.Log(context.Background(), level, "viewer ends", "session", s.id, "connection", uint64(c.id), "began on", uint64(on.id), "waited", waited)
+	c.node.Log.Log(context.Background(), level, "viewer ends", "session", s.id, "connection", uint64(c.id), "began on", uint64(conn.id), "waited", wasWaiting)
 }
--- a/internal/node/viewers.go
+++ b/internal/node/viewers.go
@@ -42,16 +42,16 @@
 // serve takes connections until the listener closes, or until none has come for a while when the node leaves: a
 // connection that is up already has been taken by this machine, and what it asks is owed an answer.
 func (v *viewerConns) serve(l net.Listener) {
-	quiet := false
+	drainingBacklog := false
 	for {
 		conn, err := l.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded) && quiet:
+		case errors.Is(err, os.ErrDeadlineExceeded) && drainingBacklog:
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded): // from now on each accept takes its time, on a busy core too
-			quiet = true
+			drainingBacklog = true
 			_ = setAcceptDeadline(l, backlogIdleTimeout)
 			continue
 		case err != nil: // the peer has gone already, or no descriptor is left: then one is freed, or waited for
@@ -78,12 +78,12 @@
 	}
 }
 
-func setAcceptDeadline(l net.Listener, in time.Duration) error {
+func setAcceptDeadline(l net.Listener, timeout time.Duration) error {
 	t, ok := l.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return errors.ErrUnsupported
 	}
-	return t.SetDeadline(time.Now().Add(in))
+	return t.SetDeadline(time.Now().Add(timeout))
 }
 
 // take begins to serve a connection. Over the budget the one least missed is closed for it: who has said
@@ -113,13 +113,13 @@
 // budget, and beyond the reserve it waits for an answer: requests whose connections are not taken yet wait in the backlog
 // meanwhile, which loses none of them. At the end of the node it does not wait: all are answered then.
 func (v *viewerConns) awaitCapacity() {
-	waitFor := func() bool {
+	hasCapacity := func() bool {
 		v.mu.Lock()
-		open := len(v.conns)
+		connCount := len(v.conns)
 		v.mu.Unlock()
-		return open < v.maxConnections || v.evict(time.Now()) || open < v.maxConnections+v.reserveConnections
+		return connCount < v.maxConnections || v.evict(time.Now()) || connCount < v.maxConnections+v.reserveConnections
 	}
-	for !waitFor() {
+	for !hasCapacity() {
 		v.node.nearMisses.viewersDelayed.Add(1)
 		time.Sleep(acceptRetryDelay)
 	}
@@ -130,28 +130,28 @@
 func (v *viewerConns) closeAll() {
 	v.mu.Lock()
 	v.closed = true
-	all := make([]*viewerConn, 0, len(v.conns))
+	conns := make([]*viewerConn, 0, len(v.conns))
 	for c := range v.conns {
-		all = append(all, c)
+		conns = append(conns, c)
 	}
 	v.mu.Unlock()
-	for _, c := range all {
+	for _, c := range conns {
 		c.out.closeAfterFlush()
 	}
-	pollUntil(flushTimeout, func() bool { return !slices.ContainsFunc(all, func(c *viewerConn) bool { return c.out.isWriting() }) })
+	pollUntil(flushTimeout, func() bool { return !slices.ContainsFunc(conns, func(c *viewerConn) bool { return c.out.isWriting() }) })
 	pollUntil(finalReadTimeout, func() bool {
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		return len(v.conns) == 0
 	})
-	for _, c := range all {
+	for _, c := range conns {
 		c.close(closedAtShutdown)
 	}
 }
 
 // within waits until something holds, for a time at most.
-func pollUntil(most time.Duration, holds func() bool) {
-	for deadline := time.Now().Add(most); time.Now().Before(deadline) && !holds(); {
+func pollUntil(timeout time.Duration, condition func() bool) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && !condition(); {
 		time.Sleep(time.Millisecond)
 	}
 }
