--- a/internal/node/accepted_test.go
+++ b/internal/node/accepted_test.go
@@ -57,7 +57,7 @@
 		fresh[i], begun[i] = p.dial(), p.dial()
 		begun[i].say(setUp(id(1, i), "free", "")[:60])
 	}
-	p.dial().say(ping).want("", 200) // by now the process reads on all of them
+	p.dial().say(optionsRequest).want("", 200) // by now the process reads on all of them
 	p.pause(func() {
 		for i := range each {
 			fresh[i].say(setUp(id(0, i), "free", ""))
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -12,18 +12,18 @@
 )
 
 // admission is what was found ahead of a set-up's first byte.
-type admission int
+type admissionResult int
 
 const (
-	admitted         admission = iota
-	connectionClosed           // the connection is over, and nothing was written on it
-	notWanted                  // its viewer has left, its time is up or its server takes no more: it is not sent any more
+	admitted         admissionResult = iota
+	connectionClosed                 // the connection is over, and nothing was written on it
+	notWanted                        // its viewer has left, its time is up or its server takes no more: it is not sent any more
 )
 
 // SetUp asks a server to start a session. A connection that was closed while it rested is no attempt: another one is
 // taken, since nothing was written.
 func (p *pool) SetUp(ctx context.Context, a core.Attempt) core.Result {
-	v, ok := a.Listener.(*session)
+	viewerSession, ok := a.Listener.(*session)
 	p.mu.Lock()
 	s := p.servers[a.Server]
 	p.mu.Unlock()
@@ -36,23 +36,23 @@
 			p.node.Log.Info("no connection", "session", a.ID, "server", a.Server, "error", err)
 			return core.Result{Outcome: connectOutcome(ctx, err)}
 		}
-		rested := l.lastUsed > 0
+		reused := l.lastUsed > 0
 		if p.node.beforeAdmission != nil {
 			p.node.beforeAdmission(a.ID)
 		}
-		switch p.admit(ctx, l, a.ID, v) {
+		switch p.admit(ctx, l, a.ID, viewerSession) {
 		case notWanted:
-			p.node.Log.Info("attempt not sent", "session", a.ID, "server", a.Server, "attempt", a.Number, "wanted", v.mayBeginAttempt(), "left", p.node.timeLeft(ctx))
+			p.node.Log.Info("attempt not sent", "session", a.ID, "server", a.Server, "attempt", a.Number, "wanted", viewerSession.mayBeginAttempt(), "left", p.node.timeLeft(ctx))
 			p.putBack(l)
 			return core.Result{Outcome: control.NotSent}
 		case connectionClosed:
-			if rested {
+			if reused {
 				continue
 			}
 			return core.Result{Outcome: control.ConnectFailed} // its process ended just behind the accept
 		}
 		var attrs [10]string
-		l.send(jsonlines.TypeOpen, a.ID, v.appendSetUpAttrs(attrs[:0], p.node.timeLeft(ctx), a.Rung), -1, v.description)
+		l.send(jsonlines.TypeOpen, a.ID, viewerSession.appendSetUpAttrs(attrs[:0], p.node.timeLeft(ctx), a.Rung), -1, viewerSession.description)
 		select {
 		case r := <-l.results:
 			r.Cleanup = func() { p.putBack(l) }
@@ -66,9 +66,9 @@
 // takePatiently takes a link, and tries again for as long as a connection may take to come up where this machine cannot
 // make one for a moment.
 func (p *pool) acquireWithRetry(ctx context.Context, s *server) (*serverConn, error) {
-	for until := time.Now().Add(p.node.Config.Platform.ConnectTimeout); ; {
+	for deadline := time.Now().Add(p.node.Config.Platform.ConnectTimeout); ; {
 		l, err := p.acquire(ctx, s)
-		if err == nil || !errors.Is(err, errLocal) || time.Now().After(until) {
+		if err == nil || !errors.Is(err, errLocal) || time.Now().After(deadline) {
 			return l, err
 		}
 		select {
@@ -84,7 +84,7 @@
 
 // admit puts a set-up on a link if it may still go. What waited for its connection may be wanted no more: the
 // viewer's own mark is looked at, since its leave may still be queued for the owner behind hundreds of requests.
-func (p *pool) admit(ctx context.Context, l *serverConn, id string, v *session) admission {
+func (p *pool) admit(ctx context.Context, l *serverConn, id string, v *session) admissionResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -124,15 +124,15 @@
 	}
 	l.activeID = ""
 	l.setUpPending.Store(false)
-	late := errors.Is(ctx.Err(), context.DeadlineExceeded) && !l.detached
+	timedOut := errors.Is(ctx.Err(), context.DeadlineExceeded) && !l.detached
 	l.send(jsonlines.TypeClose, a.ID, nil, jsonlines.CauseEnd, "")
 	p.recordGiveUp(l, a.ID)
-	if late {
+	if timedOut {
 		l.server.detector.RecordSetupTimeout()
 		p.retireConn(l)
 	}
 	p.mu.Unlock()
-	if !late {
+	if !timedOut {
 		p.putBack(l)
 	}
 	return core.Result{Outcome: control.Reset} // core puts in why it was given up
--- a/internal/node/capacity_test.go
+++ b/internal/node/capacity_test.go
@@ -36,7 +36,7 @@
 	}
 	goroutines, heap, begun := runtime.NumGoroutine(), heapInUse(), time.Now()
 	n := startSet(t, 256, settings, func(*Node) {}, list)
-	v := n.dial().say(ping)
+	v := n.dial().say(optionsRequest)
 	v.want("", 200)
 	ready := time.Since(begun)
 	t.Logf("ready after %v, %d goroutines more, %d kB of heap more", ready, runtime.NumGoroutine()-goroutines, (heapInUse()-heap)>>10)
--- a/internal/node/clocks_test.go
+++ b/internal/node/clocks_test.go
@@ -10,10 +10,10 @@
 )
 
 // clockErrors are how far a machine's wall clock may be from another's.
-var clockErrors = []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour}
+var clockOffsets = []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour}
 
 // ageOf is how long ago a server started, as far as the node knows.
-func (r *rig) ageOf(id string) (age time.Duration, known bool) {
+func (r *rig) serverAge(id string) (age time.Duration, known bool) {
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
 	s := r.pool.servers[id]
@@ -24,7 +24,7 @@
 }
 
 // started is a server that came into service a while ago, by the coordinator's clock.
-func (b *box) started(ago time.Duration) coordinator.Entry {
+func (b *box) entryStartedAgo(ago time.Duration) coordinator.Entry {
 	e := b.entry("up")
 	e.StartedMillis = time.Now().Add(-ago).UnixMilli()
 	return e
@@ -33,27 +33,27 @@
 // TestAgeWhateverClocksSay: the age of a server that is told of as new does not depend on this node's wall clock: it is
 // cold when it is told of, also where this machine thinks that it started an hour ago or will start in an hour. It ages,
 // and a list that names it again changes nothing.
-func TestAgeWhateverClocksSay(t *testing.T) {
-	for _, wrong := range clockErrors {
-		t.Run(fmt.Sprint(wrong), func(t *testing.T) {
+func TestServerAgeIgnoresClockOffset(t *testing.T) {
+	for _, offset := range clockOffsets {
+		t.Run(fmt.Sprint(offset), func(t *testing.T) {
 			t.Parallel()
 			old, fresh := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
-			n := startGated(t, func(n *Node) { n.startUnixTime += wrong }, old)
-			told := fresh.started(200 * time.Millisecond)
-			n.feed.push(told)
+			n := startGated(t, func(n *Node) { n.startUnixTime += offset }, old)
+			entry := fresh.entryStartedAgo(200 * time.Millisecond)
+			n.feed.push(entry)
 			var age time.Duration
-			eventually(t, "told", func() bool { var known bool; age, known = n.ageOf("s-2"); return known })
+			eventually(t, "told", func() bool { var known bool; age, known = n.serverAge("s-2"); return known })
 			if age < 0 || age > 1500*time.Millisecond {
 				t.Errorf("told of as %v old", age)
 			}
-			told.State = "draining"
-			n.feed.push(told)
+			entry.State = "draining"
+			n.feed.push(entry)
 			eventually(t, "draining", func() bool {
 				n.pool.mu.Lock()
 				defer n.pool.mu.Unlock()
 				return n.pool.servers["s-2"].state == control.Draining
 			})
-			again, _ := n.ageOf("s-2")
+			again, _ := n.serverAge("s-2")
 			if again < age || again > age+2*time.Second {
 				t.Errorf("%v old, then %v", age, again)
 			}
@@ -63,14 +63,14 @@
 
 // TestAgeOfKnownServers: of the servers that a node is told of at its start, one that started long before another is as
 // old as that at least, and the last one may have started just now, whatever the clocks say.
-func TestAgeOfKnownServers(t *testing.T) {
-	for _, wrong := range clockErrors {
-		t.Run(fmt.Sprint(wrong), func(t *testing.T) {
+func TestKnownServerAgesIgnoreClockOffset(t *testing.T) {
+	for _, offset := range clockOffsets {
+		t.Run(fmt.Sprint(offset), func(t *testing.T) {
 			t.Parallel()
 			a, b := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
-			n := startListed(t, 256, func(n *Node) { n.startUnixTime += wrong }, []coordinator.Entry{a.started(time.Minute), b.started(100 * time.Millisecond)})
-			before, _ := n.ageOf("s-1")
-			last, _ := n.ageOf("s-2")
+			n := startListed(t, 256, func(n *Node) { n.startUnixTime += offset }, []coordinator.Entry{a.entryStartedAgo(time.Minute), b.entryStartedAgo(100 * time.Millisecond)})
+			before, _ := n.serverAge("s-1")
+			last, _ := n.serverAge("s-2")
 			if last < 0 || last > time.Second {
 				t.Errorf("the last one is told of as %v old", last)
 			}
--- a/internal/node/clockwatch.go
+++ b/internal/node/clockwatch.go
@@ -97,7 +97,7 @@
 // watchClocks logs pauses of the process and steps of the wall clock, and now and then what came close to a loss: a node
 // that is killed writes no last line.
 func (n *Node) monitorClocks(ctx context.Context) {
-	logged, samples := n.nearMisses.total(), 0
+	loggedTotal, samples := n.nearMisses.total(), 0
 	runEvery(ctx, clockSampleInterval, func() {
 		pause, step := n.clocks.sample(time.Now())
 		if pause > 0 {
@@ -108,8 +108,8 @@
 			n.nearMisses.clockSteps.Add(1)
 			n.Log.Warn("wall clock stepped", "by", step)
 		}
-		if samples++; samples%nearMissLogSamples == 0 && n.nearMisses.total() != logged {
-			logged = n.nearMisses.total()
+		if samples++; samples%nearMissLogSamples == 0 && n.nearMisses.total() != loggedTotal {
+			loggedTotal = n.nearMisses.total()
 			n.Log.Info("near misses so far", "near", &n.nearMisses)
 		}
 	})
--- a/internal/node/clockwatch_test.go
+++ b/internal/node/clockwatch_test.go
@@ -7,7 +7,7 @@
 
 // TestClockWatch: a pause is told from the monotonic clock, a step from the difference of the two, and neither passes
 // for the other.
-func TestClockWatch(t *testing.T) {
+func TestCompareClocks(t *testing.T) {
 	const usual = clockSampleInterval
 	for _, c := range []struct{ monotonic, wall, pause, step time.Duration }{
 		{usual, usual, 0, 0},
@@ -26,7 +26,7 @@
 
 // TestArrival: what is read behind a pause may have come when the pause began, whether or not the pause was noticed
 // before; what is read later has come now.
-func TestArrival(t *testing.T) {
+func TestEarliestArrival(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	var w clockMonitor
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -99,25 +99,25 @@
 
 // place names the line and field of a mistake.
 func withPosition(raw []byte, err error) error {
-	at := int64(-1)
+	offset := int64(-1)
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
-		at = syntax.Offset
+		offset = syntax.Offset
 	case errors.As(err, &kind):
-		at = kind.Offset
+		offset = kind.Offset
 	}
-	if at < 0 || at > int64(len(raw)) {
+	if offset < 0 || offset > int64(len(raw)) {
 		return err
 	}
 	line := 1
-	for _, c := range raw[:at] {
+	for _, c := range raw[:offset] {
 		if c == '\n' {
 			line++
 		}
 	}
-	return fmt.Errorf("line %d, byte %d: %w", line, at, err)
+	return fmt.Errorf("line %d, byte %d: %w", line, offset, err)
 }
 
 // errNoEntryUsable tells a list of which nothing can be used: the one before it stays.
--- a/internal/node/descriptor_test.go
+++ b/internal/node/descriptor_test.go
@@ -16,7 +16,7 @@
 
 // TestDescriptorsRunOut: while discovery is down, clients that stay idle take every descriptor they can. Requests are
 // answered all the same, the coordinator is followed as soon as it is back, and all descriptors come back.
-func TestDescriptorsRunOut(t *testing.T) {
+func TestDescriptorExhaustion(t *testing.T) {
 	const sockets, idle = 96, 300
 	a, b := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
 	spare, err := net.Listen("tcp", "127.0.0.1:0") // where the coordinator will be: nobody answers there yet
@@ -51,8 +51,8 @@
 			dial().say(setUp(id, "paid", "")).want(id, 200)
 		}
 	}
-	if most := descriptors(); most > sockets {
-		t.Errorf("%d descriptors of %d", most, sockets)
+	if count := descriptors(); count > sockets {
+		t.Errorf("%d descriptors of %d", count, sockets)
 	}
 	feed := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("follow") != "1" {
@@ -83,7 +83,7 @@
 }
 
 // listenAddress is a free address of loopback.
-func listenAddress(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 
 // TestReadyAtOnce: a node with hundreds of servers that let no connection come up, and a coordinator that does not
 // answer, serves as soon as it listens: nothing at start waits for them.
-func TestReadyAtOnce(t *testing.T) {
+func TestStartDoesNotWaitForServers(t *testing.T) {
 	b := newBox(t, "s-1", ready)
 	list := []coordinator.Entry{b.entry("up")}
 	for i := range 400 {
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -208,7 +208,7 @@
 func TestSignalsDuringShutdown(t *testing.T) {
 	a, b := newBox(t, "s-1", nil), newBox(t, "s-2", nil)
 	n := startNode(t, a)
-	n.ArrivalWindow = killMargin // and the longest deadline on top, 1 s
+	n.ArrivalWindow = shutdownMargin // and the longest deadline on top, 1 s
 	v := n.dial().say(setUp(idA, "paid", ""))
 	m := a.next(t, "open")
 	n.stop() // what SIGTERM does
@@ -343,7 +343,7 @@
 	n.stop()
 	<-l.blocked
 	v.want(idB, 504) // the mark: requests are answered by now
-	plays.endServed()
+	plays.endSession()
 	v.wantRelease(idA, "cause=16")
 	letGo()
 	n.waitForEnd()
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -10,7 +10,7 @@
 func TestEvictionSparesRequest(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
-	v := n.dial().say(ping)
+	v := n.dial().say(optionsRequest)
 	v.want("", 200)
 	var chosen *viewerConn // the answer is written ahead of the connection's rest
 	eventually(t, "a connection at rest", func() bool { chosen = n.viewerConns.evictionCandidate(time.Now()); return chosen != nil })
--- a/internal/node/giveup_test.go
+++ b/internal/node/giveup_test.go
@@ -138,7 +138,7 @@
 	first.on.say(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, idA, jsonlines.CauseEnd)
 	v.silent()
 	n.agree(1)
-	second.endServed()
+	second.endSession()
 	v.wantRelease(idA, "cause=16")
 	n.agree(0)
 }
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -136,52 +136,52 @@
 
 // dial opens a link to a server within a time, on a place that was reserved for it, and tells the server's detector what
 // came of it.
-func (p *pool) dial(ctx context.Context, s *server, within time.Duration, why dialPurpose) (*serverConn, error) {
+func (p *pool) dial(ctx context.Context, s *server, timeout time.Duration, purpose dialPurpose) (*serverConn, error) {
 	p.mu.Lock()
 	addr := s.addr
 	if s.reconnectAt > 0 && p.node.now() >= s.reconnectAt {
 		s.reconnectAt = 0
 	}
 	p.mu.Unlock()
-	began := time.Now()
-	conn, err := p.node.Dial(ctx, addr, within)
+	dialStart := time.Now()
+	conn, err := p.node.Dial(ctx, addr, timeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		return nil, p.handleDialError(ctx, s, err, why, began)
+		return nil, p.handleDialError(ctx, s, err, purpose, dialStart)
 	}
 	if s.addr != addr || p.servers[s.id] != s || p.closed { // told while it came up: nobody would close it
 		p.connCount--
 		_ = conn.Close()
 		return nil, errServerChanged
 	}
-	p.reportToDetector(s, liveness.Connected, why)
+	p.reportToDetector(s, liveness.Connected, purpose)
 	return p.addConn(s, conn), nil
 }
 
 // dialFailed gives the reserved place back. What is this machine's own trouble says nothing of the server, and neither does
 // a time-out in which this process stood still.
-func (p *pool) handleDialError(ctx context.Context, s *server, err error, why dialPurpose, began time.Time) error {
+func (p *pool) handleDialError(ctx context.Context, s *server, err error, purpose dialPurpose, dialStart time.Time) error {
 	p.connCount--
 	p.scheduleReconnect(s, 0)
-	verdict := socketerror.Classify(err, socketerror.Connect)
-	if verdict.IsLocal() {
+	category := socketerror.Classify(err, socketerror.Connect)
+	if category.IsLocal() {
 		p.node.nearMisses.localErrors.Add(1)
 		return fmt.Errorf("%w: %w", errLocal, err)
 	}
-	if verdict != socketerror.PeerRefused {
-		if _, paused := p.node.clocks.pausedSince(began, time.Now()); paused {
+	if category != socketerror.PeerRefused {
+		if _, paused := p.node.clocks.pausedSince(dialStart, time.Now()); paused {
 			return fmt.Errorf("%w: the process stood still: %w", errLocal, err)
 		}
 	}
 	if ctx.Err() == nil {
-		p.reportToDetector(s, toDialResult(verdict), why)
+		p.reportToDetector(s, toDialResult(category), purpose)
 	}
 	return err
 }
 
-func (p *pool) reportToDetector(s *server, result liveness.DialResult, why dialPurpose) {
-	if why == dialForCheck {
+func (p *pool) reportToDetector(s *server, result liveness.DialResult, purpose dialPurpose) {
+	if purpose == dialForCheck {
 		s.detector.RecordCheck(p.node.now(), result, len(s.conns))
 		return
 	}
@@ -200,14 +200,14 @@
 	return l
 }
 
-func dialTCP(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: within}
+func dialTCP(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: timeout}
 	return d.DialContext(ctx, "tcp", addr)
 }
 
 // dialResult is what a failed connection says of its server, where it is not this machine's own trouble.
-func toDialResult(verdict socketerror.Category) liveness.DialResult {
-	if verdict == socketerror.PeerRefused {
+func toDialResult(category socketerror.Category) liveness.DialResult {
+	if category == socketerror.PeerRefused {
 		return liveness.Refused
 	}
 	return liveness.NoResponse
@@ -215,10 +215,10 @@
 
 // close ends a link that can be read or written no more. InOrder tells that neither side broke it: what was written has
 // been read.
-func (p *pool) closeConn(l *serverConn, inOrder bool) {
+func (p *pool) closeConn(l *serverConn, orderly bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !inOrder {
+	if !orderly {
 		p.resendGiveUps(l)
 	}
 	p.dropConn(l)
@@ -259,9 +259,9 @@
 // opened (seen: sessions whose release crossed the end of a connection stood for ever, one or two of 11,600 ends). One
 // that is opened while the server may not yet have seen the end does not count: it may say the release on the old one
 // after that (seen on a calm day, where a connection that had been idle for long was replaced at once).
-func (p *pool) scheduleReconnect(s *server, in time.Duration) {
+func (p *pool) scheduleReconnect(s *server, delay time.Duration) {
 	if len(s.activeSessions) > 0 {
-		s.reconnectAt = p.node.now() + in
+		s.reconnectAt = p.node.now() + delay
 	}
 }
 
--- a/internal/node/link_test.go
+++ b/internal/node/link_test.go
@@ -11,7 +11,7 @@
 )
 
 // warm has a connection to a server rest.
-func (r *rig) warm(b *box) {
+func (r *rig) openIdleConn(b *box) {
 	r.t.Helper()
 	r.pool.mu.Lock()
 	s := r.pool.servers[b.id]
@@ -29,7 +29,7 @@
 // TestServerClosesAsSetUpComes: a server closes an idle connection. Ahead of the set-up's first byte nothing was sent:
 // another connection takes it, and nothing speaks against the server. Behind it the set-up may have run: a paid one fails
 // and is sent nowhere else, a free one is sent on.
-func TestServerClosesAsSetUpComes(t *testing.T) {
+func TestServerClosesBeforeSetUpIsSent(t *testing.T) {
 	for _, class := range []string{"free", "paid"} {
 		t.Run(class, func(t *testing.T) {
 			b, g := newBox(t, "s-1", nil), newGate()
@@ -40,7 +40,7 @@
 					}
 				}
 			}, b)
-			n.warm(b)
+			n.openIdleConn(b)
 			n.pool.mu.Lock()
 			l := n.pool.servers["s-1"].idleConns[0]
 			n.pool.mu.Unlock()
@@ -75,7 +75,7 @@
 
 // TestKilledBehindAccept: a process that ends between its accept and the first byte ran nothing; a paid set-up goes
 // elsewhere, and once only.
-func TestKilledBehindAccept(t *testing.T) {
+func TestServerDiesAfterAccept(t *testing.T) {
 	a, b, g := newBox(t, "s-1", nil), newBox(t, "s-2", nil), newGate()
 	n := startGated(t, func(n *Node) { n.beforeAdmission = func(id string) { g.pass(id) } }, a, b)
 	v := n.dial().say(setUp(idA, "paid", ""))
@@ -102,7 +102,7 @@
 
 // TestDialBehindRemoval: a connection that comes up when its server has left the list is closed; the set-up that waited
 // for it is placed anew. Nothing keeps the descriptor.
-func TestDialBehindRemoval(t *testing.T) {
+func TestDialCompletesAfterRemoval(t *testing.T) {
 	a, g := newBox(t, "s-1", nil), newGate()
 	n := startGated(t, func(n *Node) {
 		n.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
@@ -129,7 +129,7 @@
 
 // TestSecondAnswerCrosses: a second answer some time after the first meets the next set-up on its connection, and is
 // not taken for that one's.
-func TestSecondAnswerCrosses(t *testing.T) {
+func TestDuplicateAnswerIsIgnored(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
 	v := n.dial().say(setUp(idA, "free", ""))
@@ -153,7 +153,7 @@
 
 // TestReleaseCrossesClosingOfSurplus: a release that is queued as its connection is closed for being one too many still reaches
 // the server.
-func TestReleaseCrossesClosingOfSurplus(t *testing.T) {
+func TestRetiredConnFlushesRelease(t *testing.T) {
 	b := newBox(t, "s-1", ready)
 	n := startNode(t, b)
 	v := n.dial().say(setUp(idA, "free", ""))
@@ -176,10 +176,10 @@
 }
 
 // TestIdleTimeOut: a connection that its server may close at any moment carries no set-up any more.
-func TestIdleTimeOut(t *testing.T) {
+func TestStaleConnIsNotReused(t *testing.T) {
 	b := newBox(t, "s-1", ready)
 	n := startNode(t, b)
-	n.warm(b)
+	n.openIdleConn(b)
 	idle := n.Config.Platform.ConnIdle
 	n.pool.mu.Lock()
 	old := n.pool.servers["s-1"].idleConns[0]
@@ -194,7 +194,7 @@
 
 // TestLateConnections: connections that come up later than settings say, two in a row, end no session; a machine that
 // lets none come up loses its sessions.
-func TestLateConnections(t *testing.T) {
+func TestSlowConnectKeepsSessions(t *testing.T) {
 	for name, up := range map[string]bool{"late": true, "never": false} {
 		t.Run(name, func(t *testing.T) {
 			b := newBox(t, "s-1", nil)
@@ -233,7 +233,7 @@
 // TestReleaseCrossesEndOfConnection: a release is destroyed with the connection that it was written on, while others
 // stay open; its server says it again on the next one opened, and the node opens one for that. The ways in which a
 // connection ends: a set-up on it ran out of time, its server closed it.
-func TestReleaseCrossesEndOfConnection(t *testing.T) {
+func TestServerResendsReleaseOnNewConn(t *testing.T) {
 	for name, end := range map[string]func(*rig, *peer){
 		"by this side": func(n *rig, _ *peer) {
 			n.pool.mu.Lock()
@@ -249,12 +249,12 @@
 			v := n.dial().say(setUp(idA, "free", ""))
 			v.want(idA, 200)
 			first := b.next(t, "open")
-			n.warm(b)
+			n.openIdleConn(b)
 			n.agree(1)
 			eventually(t, "two connections", func() bool { return b.accepted() == 2 })
 			end(n, first.on)
 			eventually(t, "the end seen", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-1"].reconnectAt > 0 })
-			n.warm(b) // one that is opened as the other ends may be there before the server has seen the end
+			n.openIdleConn(b) // one that is opened as the other ends may be there before the server has seen the end
 			eventually(t, "a connection opened at once, and another one later", func() bool { return b.accepted() == 4 })
 			b.mu.Lock()
 			next := b.conns[3]
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -15,7 +15,7 @@
 
 // TestDrainCrossesSetUp: a drain told while the connection comes up sends the set-up elsewhere; told after the first
 // byte it changes nothing.
-func TestDrainCrossesSetUp(t *testing.T) {
+func TestDrainBeforeSetUpIsSent(t *testing.T) {
 	a, b, g := newBox(t, "s-1", ready), newBox(t, "s-2", ready), newGate()
 	n := startGated(t, func(n *Node) {
 		n.beforeAdmission = func(id string) {
@@ -47,7 +47,7 @@
 }
 
 // TestWholeListCrossesSetUp: a whole list that leaves a server out is a drain of it too.
-func TestWholeListCrossesSetUp(t *testing.T) {
+func TestFullListRemovesServer(t *testing.T) {
 	a, b := newBox(t, "s-1", nil), newBox(t, "s-2", ready)
 	n := startNode(t, a)
 	n.feed.mu.Lock()
@@ -68,10 +68,10 @@
 
 // TestEndCrossesAdoption: after a restart a server says a session's end, once, on a connection that was opened for
 // something else, ahead of the viewer who names the session; behind it is the usual order.
-func TestEndCrossesAdoption(t *testing.T) {
+func TestSessionEndBeforeAdoption(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
-	n.warm(b)
+	n.openIdleConn(b)
 	eventually(t, "accepted", func() bool { return b.accepted() == 1 })
 	b.mu.Lock()
 	on := b.conns[0]
@@ -93,7 +93,7 @@
 
 // TestAdoptedAtUnknownServer: a session at a server that no list names is ended in time; one whose server is listed a
 // moment later plays on.
-func TestAdoptedAtUnknownServer(t *testing.T) {
+func TestAdoptionAtUnlistedServer(t *testing.T) {
 	n := startNode(t, newBox(t, "s-1", nil))
 	v := n.dial().say(setUp(idA, "free", ";at:s-9"))
 	v.wantRelease(idA, "cause=41")
@@ -111,7 +111,7 @@
 }
 
 // TestList: a drained server gets nothing new, one that takes over the address of another is another.
-func TestList(t *testing.T) {
+func TestServerListUpdates(t *testing.T) {
 	a, b := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
 	n := startNode(t, a)
 	v := n.dial().say(setUp(idA, "free", ""))
@@ -134,7 +134,7 @@
 
 // TestUnusableEntry: an entry that cannot be used is left out alone; a drain beside it is followed, and so is what comes
 // after.
-func TestUnusableEntry(t *testing.T) {
+func TestUnusableListEntryIsSkipped(t *testing.T) {
 	a, b := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
 	n := startNode(t, a)
 	nowhere := b.entry("up")
@@ -153,7 +153,7 @@
 }
 
 // TestReload: at SIGHUP the new coordinator is followed from the same number; an unreadable file changes nothing.
-func TestReload(t *testing.T) {
+func TestReloadSwitchesCoordinator(t *testing.T) {
 	n := startNode(t, newBox(t, "s-1", ready))
 	other := newFeed(t, n.feed.all)
 	v := n.dial().say(setUp(idA, "free", ""))
--- a/internal/node/localtrouble_test.go
+++ b/internal/node/localtrouble_test.go
@@ -21,18 +21,18 @@
 // passes for dead.
 
 // momentary are errors of this machine that pass by themselves.
-var momentary = []syscall.Errno{syscall.ENETUNREACH, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EADDRNOTAVAIL,
+var transientErrors = []syscall.Errno{syscall.ENETUNREACH, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EADDRNOTAVAIL,
 	syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN}
 
-func failedDial(number syscall.Errno) error {
-	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", number)}
+func dialError(errno syscall.Errno) error {
+	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 }
 
 // TestLocalDialErrors: no connection can be made for two seconds. A session that plays stays, though its server's
 // connection ends in that time; a set-up that came shortly before the end of it is served.
 func TestLocalDialErrors(t *testing.T) {
-	for _, number := range momentary {
-		t.Run(number.Error(), func(t *testing.T) {
+	for _, errno := range transientErrors {
+		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			var failing atomic.Bool
 			var failures atomic.Int64
@@ -41,7 +41,7 @@
 				n.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
 					if failing.Load() {
 						failures.Add(1)
-						return nil, failedDial(number)
+						return nil, dialError(errno)
 					}
 					return dialTCP(ctx, addr, within)
 				}
@@ -69,7 +69,7 @@
 
 // TestPauseProvesNothingOfServers: tries to connect whose time ran out while the process stood still do not end the
 // sessions of a server.
-func TestPauseProvesNothingOfServers(t *testing.T) {
+func TestDialTimeoutDuringPauseKeepsSessions(t *testing.T) {
 	var paused atomic.Bool
 	var tries atomic.Int64
 	b := newBox(t, "s-1", nil)
@@ -99,13 +99,13 @@
 
 // TestPauseCountsAgainstClients: a request that came while the process stood still has less time left than it says, and
 // its server is told no more than that.
-func TestPauseCountsAgainstClients(t *testing.T) {
+func TestPauseShortensTimeLeft(t *testing.T) {
 	t.Parallel()
 	const pause, timer, slack = time.Second, 3 * time.Second, 150 * time.Millisecond
 	b := newBox(t, "s-1", ready)
 	p := startProcess(t, b)
 	v := p.dial()
-	v.say(ping).want("", 200)
+	v.say(optionsRequest).want("", 200)
 	p.pause(func() { v.say(setUp(idA, "paid", "")) }, pause)
 	v.want(idA, 200)
 	left, err := strconv.Atoi(b.next(t, "open").Attr("left"))
@@ -115,10 +115,10 @@
 }
 
 // TestAcceptTroubleClosesNobody: accept fails for reasons that no closed connection helps; nobody is closed for it.
-func TestAcceptTroubleClosesNobody(t *testing.T) {
-	for _, number := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EPROTO, syscall.EPERM} {
-		short := make(chan error, 8)
-		n := startGated(t, func(n *Node) { n.Listener = &shortListener{n.Listener, short} }, newBox(t, "s-1", ready))
+func TestAcceptErrorClosesNoConnection(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EPROTO, syscall.EPERM} {
+		acceptErrors := make(chan error, 8)
+		n := startGated(t, func(n *Node) { n.Listener = &failingListener{n.Listener, acceptErrors} }, newBox(t, "s-1", ready))
 		silent := n.dial()
 		eventually(t, "taken", func() bool {
 			n.viewerConns.mu.Lock()
@@ -127,11 +127,11 @@
 		})
 		time.Sleep(newConnectionGrace) // it may be closed for room from now on
 		for range 3 {
-			short <- &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", number)}
+			acceptErrors <- &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
 		}
 		n.dial().say(setUp(idB, "free", "")).want(idB, 200)
-		n.dial().say(ping).want("", 200)
-		if len(short) > 0 {
+		n.dial().say(optionsRequest).want("", 200)
+		if len(acceptErrors) > 0 {
 			t.Fatal("the failures were not met")
 		}
 		silent.say(setUp(idA, "free", "")).want(idA, 200)
@@ -139,68 +139,68 @@
 }
 
 // troubledConn fails each call a few times, and then reads and writes one byte at a time.
-type troubledConn struct {
+type failingConn struct {
 	net.Conn
 	mu      sync.Mutex
-	numbers []syscall.Errno
+	errnos  []syscall.Errno
 	in, out bytes.Buffer
 }
 
-func (c *troubledConn) trouble() error {
-	if len(c.numbers) == 0 {
+func (c *failingConn) nextError() error {
+	if len(c.errnos) == 0 {
 		return nil
 	}
-	number := c.numbers[0]
-	c.numbers = c.numbers[1:]
+	number := c.errnos[0]
+	c.errnos = c.errnos[1:]
 	return &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", number)}
 }
 
-func (c *troubledConn) Read(b []byte) (int, error) {
+func (c *failingConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.trouble(); err != nil {
+	if err := c.nextError(); err != nil {
 		return 0, err
 	}
 	return c.in.Read(b[:1])
 }
 
-func (c *troubledConn) Write(b []byte) (int, error) {
+func (c *failingConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.trouble(); err != nil {
+	if err := c.nextError(); err != nil {
 		n, _ := c.out.Write(b[:1]) // a short write, and then the error
 		return n, err
 	}
 	return c.out.Write(b)
 }
 
-func (c *troubledConn) SetReadDeadline(time.Time) error  { return nil }
-func (c *troubledConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *failingConn) SetReadDeadline(time.Time) error  { return nil }
+func (c *failingConn) SetWriteDeadline(time.Time) error { return nil }
 
 // TestTroubleWithinMessages: reads and writes that fail for a moment, and short ones, change no byte of a message, and
 // cost no connection. What is broken for good is told.
-func TestTroubleWithinMessages(t *testing.T) {
-	trouble := []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN}
-	whole := rtsp.AppendResponse(nil, 200, []string{"CSeq", "1", "Session", idA}, []byte("a description"))
-	reading := &troubledConn{numbers: trouble}
-	reading.in.Write(whole)
-	got, err := io.ReadAll(&deadlineReader{conn: reading})
-	if err != nil || !bytes.Equal(got, whole) {
+func TestTransientErrorsWithinMessages(t *testing.T) {
+	errnos := []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN}
+	message := rtsp.AppendResponse(nil, 200, []string{"CSeq", "1", "Session", idA}, []byte("a description"))
+	reader := &failingConn{errnos: errnos}
+	reader.in.Write(message)
+	got, err := io.ReadAll(&deadlineReader{conn: reader})
+	if err != nil || !bytes.Equal(got, message) {
 		t.Errorf("read %q, %v", got, err)
 	}
-	writing := &troubledConn{numbers: trouble}
+	writer := &failingConn{errnos: errnos}
 	failed := make(chan struct{})
-	out := &writeQueue{conn: writing, onError: func() { close(failed) }}
-	out.enqueue(func(b []byte) []byte { return append(b, whole...) })
+	out := &writeQueue{conn: writer, onError: func() { close(failed) }}
+	out.enqueue(func(b []byte) []byte { return append(b, message...) })
 	eventually(t, "all written", func() bool { return !out.isWriting() })
-	if !bytes.Equal(writing.out.Bytes(), whole) {
-		t.Errorf("written %q", writing.out.Bytes())
+	if !bytes.Equal(writer.out.Bytes(), message) {
+		t.Errorf("written %q", writer.out.Bytes())
 	}
-	broken := &troubledConn{numbers: []syscall.Errno{syscall.EPIPE}}
+	broken := &failingConn{errnos: []syscall.Errno{syscall.EPIPE}}
 	out = &writeQueue{conn: broken, onError: func() { close(failed) }}
-	out.enqueue(func(b []byte) []byte { return append(b, whole...) })
+	out.enqueue(func(b []byte) []byte { return append(b, message...) })
 	<-failed
-	if _, err := (&deadlineReader{conn: &troubledConn{numbers: []syscall.Errno{syscall.ECONNRESET}}}).Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+	if _, err := (&deadlineReader{conn: &failingConn{errnos: []syscall.Errno{syscall.ECONNRESET}}}).Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a reset reads as %v", err)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,7 +60,7 @@
 	minSockets           = 64
 	socketSlack          = 50 * time.Millisecond  // every time limit is so much longer on sockets
 	defaultArrivalWindow = 700 * time.Millisecond // after SIGTERM requests still come so long
-	killMargin           = 350 * time.Millisecond // the node begins to end so long before the earliest kill
+	shutdownMargin       = 350 * time.Millisecond // the node begins to end so long before the earliest kill
 
 	// afterLastArrival is the part of Arriving in which no request comes any more: the platform sends the last ones 0.6 s
 	// after SIGTERM at most.
@@ -79,15 +79,15 @@
 	n.startUnixTime = time.Duration(n.startedAt.UnixNano())
 	set := c.Set
 	set.AllowPeerMessages = false // nothing tells where they are
-	d, err := control.New(set, c.Seed)
+	controller, err := control.New(set, c.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	n.controller = d
+	n.controller = controller
 	n.pool = newPool(n, c.Sockets*3/8)
 	n.viewerConns = newViewerConns(n, c.Sockets/2)
 	n.orchestrator = core.New(core.Options{QueueSize: maxQueuedRequests, MaxAttempts: c.Set.MaxAttempts, AnswerSlack: c.Platform.AnswerSlack + socketSlack,
-		Budget: core.Budget{Span: c.Set.BudgetSpan, Share: c.Set.BudgetShare}, Log: log, Decider: d, Executor: n.pool, Now: n.now})
+		Budget: core.Budget{Span: c.Set.BudgetSpan, Share: c.Set.BudgetShare}, Log: log, Decider: controller, Executor: n.pool, Now: n.now})
 	n.follower = coordinator.New(c.Coordinator, c.Known.Index, c.Platform.ConnectTimeout, log, n.handleUpdates)
 	n.follower.OnResponse = n.recordCoordinatorContact
 	return n, nil
@@ -136,13 +136,13 @@
 	case !whole:
 		return nil
 	}
-	addr := make(map[string]string, len(entries))
+	addresses := make(map[string]string, len(entries))
 	for _, e := range entries {
-		addr[e.ID] = e.Addr
+		addresses[e.ID] = e.Addr
 	}
 	// The module first: a set-up that the pool holds back for a drain ends behind it, and is placed anew.
 	n.orchestrator.AddEvent(control.ListUpdate{Whole: whole || cached, Cached: cached, Servers: list})
-	n.pool.applyList(list, addr, whole)
+	n.pool.applyList(list, addresses, whole)
 	n.Log.Debug("list", "whole", whole, "servers", len(list))
 	return nil
 }
@@ -161,8 +161,8 @@
 		list[i].Started = local
 	}
 	n.startTranslator.Prune(func(id string) bool {
-		now, told := state[id]
-		return told && now != control.Gone || !told && !whole
+		current, listed := state[id]
+		return listed && current != control.Gone || !listed && !whole
 	})
 }
 
@@ -175,41 +175,41 @@
 
 // Run serves until SIGTERM and what is owed after it.
 func (n *Node) Run(ctx context.Context) error {
-	term, stopTerm := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
+	termCtx, stopTerm := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stopTerm() // until the end: a second SIGTERM changes nothing
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	inner, stop := context.WithCancel(context.Background())
+	serveCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	n.serveCtx = inner
+	n.serveCtx = serveCtx
 	if err := n.applyUpdates(n.Config.Known.Updates, true); err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	ownerOver := make(chan struct{})
-	go func() { n.orchestrator.Run(inner); close(ownerOver) }()
-	l := n.Listener
-	if l == nil {
+	orchestratorDone := make(chan struct{})
+	go func() { n.orchestrator.Run(serveCtx); close(orchestratorDone) }()
+	listener := n.Listener
+	if listener == nil {
 		var err error
-		if l, err = net.Listen("tcp", n.Config.Listen); err != nil {
+		if listener, err = net.Listen("tcp", n.Config.Listen); err != nil {
 			stop()
 			return fmt.Errorf("listen: %w", err)
 		}
 	}
-	n.startGoroutine(func() { n.follower.Run(inner) })
-	n.startGoroutine(func() { runEvery(inner, watchInterval, func() { n.pool.checkServers(inner) }) })
-	n.startGoroutine(func() { n.monitorClocks(inner) })
-	n.startGoroutine(func() { runEvery(inner, noticeExpiryInterval, n.expireNoticesAndAnswers) })
-	n.startGoroutine(func() { n.reloadOnHangup(inner, hangup) })
-	if log := n.Log; log.Enabled(inner, slog.LevelDebug) {
-		n.startGoroutine(func() { runEvery(inner, compareCountsInterval, n.compareSessionCounts) })
+	n.startGoroutine(func() { n.follower.Run(serveCtx) })
+	n.startGoroutine(func() { runEvery(serveCtx, watchInterval, func() { n.pool.checkServers(serveCtx) }) })
+	n.startGoroutine(func() { n.monitorClocks(serveCtx) })
+	n.startGoroutine(func() { runEvery(serveCtx, noticeExpiryInterval, n.expireNoticesAndAnswers) })
+	n.startGoroutine(func() { n.reloadOnHangup(serveCtx, hangup) })
+	if log := n.Log; log.Enabled(serveCtx, slog.LevelDebug) {
+		n.startGoroutine(func() { runEvery(serveCtx, compareCountsInterval, n.compareSessionCounts) })
 	}
-	listening := make(chan struct{})
-	n.startGoroutine(func() { defer close(listening); n.viewerConns.serve(l) })
+	serveDone := make(chan struct{})
+	n.startGoroutine(func() { defer close(serveDone); n.viewerConns.serve(listener) })
 	n.Log.Info("ready", "name", n.Config.Name, "listen", n.Config.Listen)
-	<-term.Done()
+	<-termCtx.Done()
 	n.waitBeforeShutdown()
-	n.shutDown(l, listening, stop, ownerOver)
+	n.shutDown(listener, serveDone, stop, orchestratorDone)
 	return nil
 }
 
@@ -225,9 +225,9 @@
 // they may differ, while a set-up is out or a release on its way.
 func (n *Node) compareSessionCounts() {
 	n.orchestrator.Inspect(func() {
-		for id, b := range n.pool.countSessions(n.controller.OwnSessionCount) {
-			if b.controller != b.sockets {
-				n.Log.Debug("belief", "server", id, "module", b.controller, "sockets", b.sockets)
+		for id, counts := range n.pool.countSessions(n.controller.OwnSessionCount) {
+			if counts.controller != counts.sockets {
+				n.Log.Debug("belief", "server", id, "module", counts.controller, "sockets", counts.sockets)
 			}
 		}
 	})
@@ -252,11 +252,11 @@
 }
 
 // begin enters a set-up, or returns the one that is open under its id.
-func (n *Node) register(s *session) (open *session) {
+func (n *Node) register(s *session) (existing *session) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if open = n.sessions[s.id]; open != nil {
-		return open
+	if existing = n.sessions[s.id]; existing != nil {
+		return existing
 	}
 	n.sessions[s.id] = s
 	return nil
@@ -287,10 +287,10 @@
 	if n.register(s) != nil {
 		return
 	}
-	end, over := n.pool.adopt(r.ID, r.Server)
+	end, ended := n.pool.adopt(r.ID, r.Server)
 	s.conn.addSessions(1)
 	n.orchestrator.Adopt(r, -1, s)
-	if over {
+	if ended {
 		n.orchestrator.EndedByServer(r.ID, r.Server, end.outcome, end.load)
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -279,7 +279,7 @@
 func TestLeaves(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
-	n.ArrivalWindow = killMargin
+	n.ArrivalWindow = shutdownMargin
 	v := n.dial().say(setUp(idA, "paid", ""))
 	m := b.next(t, "open")
 	n.stop()
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -30,11 +30,11 @@
 	cause   int           // of the release, unless moved
 }
 
-func (m *notice) appendTo(b []byte) []byte {
+func (m *notice) appendTo(buf []byte) []byte {
 	if m.moved {
-		return rtsp.AppendRequest(b, "REDIRECT", m.uri, []string{"CSeq", "4", "Session", m.id}, nil)
+		return rtsp.AppendRequest(buf, "REDIRECT", m.uri, []string{"CSeq", "4", "Session", m.id}, nil)
 	}
-	return rtsp.AppendRequest(b, "TEARDOWN", m.uri, []string{"CSeq", "2", "Session", m.id,
+	return rtsp.AppendRequest(buf, "TEARDOWN", m.uri, []string{"CSeq", "2", "Session", m.id,
 		"Reason", "cause=" + strconv.Itoa(m.cause)}, nil)
 }
 
@@ -71,18 +71,18 @@
 	if pending == nil || !pending.HasWaiting() {
 		return
 	}
-	for _, message := range pending.Waiting() {
-		m := message.Value
-		on := m.origin
-		if !on.out.enqueue(m.appendTo) {
-			on = v.bestConnFrom(address)
-			if on == nil || !on.out.enqueue(m.appendTo) {
+	for _, queued := range pending.Waiting() {
+		m := queued.Value
+		conn := m.origin
+		if !conn.out.enqueue(m.appendTo) {
+			conn = v.bestConnFrom(address)
+			if conn == nil || !conn.out.enqueue(m.appendTo) {
 				v.node.Log.Debug("no connection for a notice, it waits", "session", m.id, "from", address)
 				continue
 			}
 		}
 		now := v.node.now()
-		pending.MarkSent(message.Key, on.id, now)
+		pending.MarkSent(queued.Key, conn.id, now)
 		if now-m.endedAt > maxNoticeDelay {
 			v.node.nearMisses.noticesLate.Add(1)
 		}
@@ -127,9 +127,9 @@
 	if pending == nil || v.closed {
 		return
 	}
-	if again := pending.ConnectionEnded(ended.id, v.node.now()); again > 0 {
-		v.node.nearMisses.noticesResent.Add(int64(again))
-		v.node.Log.Debug("notices lost with their connection", "from", ended.remoteHost, "notices", again)
+	if resent := pending.ConnectionEnded(ended.id, v.node.now()); resent > 0 {
+		v.node.nearMisses.noticesResent.Add(int64(resent))
+		v.node.Log.Debug("notices lost with their connection", "from", ended.remoteHost, "notices", resent)
 		v.sendNotices(ended.remoteHost)
 	}
 	v.dropEmptyNotices(ended.remoteHost)
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -6,20 +6,20 @@
 	"rainpulley/internal/jsonlines"
 )
 
-const ping = "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n"
+const optionsRequest = "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n"
 
 // endServed has a server end a session.
-func (m said) endServed() {
+func (m said) endSession() {
 	m.on.say(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, m.ID, jsonlines.CauseEnd)
 }
 
 // confirm answers a release, as usual viewers do.
-func (d *dialogue) confirm(id string) {
+func (d *dialogue) confirmRelease(id string) {
 	d.say("RTSP/1.0 200 OK\r\nCSeq: 2\r\nSession: " + id + "\r\nContent-Length: 0\r\n\r\n")
 }
 
 // heldNotices is how many notices the node holds for all viewers.
-func (r *rig) heldNotices() (held int) {
+func (r *rig) pendingNoticeCount() (held int) {
 	r.viewerConns.mu.Lock()
 	defer r.viewerConns.mu.Unlock()
 	for _, pending := range r.viewerConns.pendingNotices {
@@ -29,7 +29,7 @@
 }
 
 // TestNoticeWithoutConnection: a viewer that has no connection when its session ends is told on the next one.
-func TestNoticeWithoutConnection(t *testing.T) {
+func TestNoticeWaitsForConnection(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
 	v := n.dial().say(setUp(idA, "free", ""))
@@ -43,18 +43,18 @@
 		defer n.viewerConns.mu.Unlock()
 		return len(n.viewerConns.conns) == 0
 	})
-	open.endServed()
+	open.endSession()
 	n.agree(0)
-	back := n.dial().say(ping)
+	back := n.dial().say(optionsRequest)
 	back.wantRelease(idA, "cause=16")
 	back.want("", 200)
-	back.confirm(idA)
-	eventually(t, "the notice forgotten", func() bool { return n.heldNotices() == 0 })
+	back.confirmRelease(idA)
+	eventually(t, "the notice forgotten", func() bool { return n.pendingNoticeCount() == 0 })
 }
 
 // TestNoticeCrossesClose: a notice is handed to a connection which ends before the viewer has confirmed it. It is sent
 // again on another connection of the viewer, and one that was confirmed is not.
-func TestNoticeCrossesClose(t *testing.T) {
+func TestUnconfirmedNoticeIsResent(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
 	first := n.dial()
@@ -65,25 +65,25 @@
 		ready(opened[i])
 		first.want(id, 200)
 	}
-	second := n.dial().say(ping)
+	second := n.dial().say(optionsRequest)
 	second.want("", 200)
-	opened[0].endServed()
+	opened[0].endSession()
 	first.wantRelease(idA, "cause=16")
-	first.confirm(idA)
-	eventually(t, "the notice confirmed", func() bool { return n.heldNotices() == 0 })
-	opened[1].endServed()
-	eventually(t, "the notice handed over", func() bool { return n.heldNotices() == 1 })
+	first.confirmRelease(idA)
+	eventually(t, "the notice confirmed", func() bool { return n.pendingNoticeCount() == 0 })
+	opened[1].endSession()
+	eventually(t, "the notice handed over", func() bool { return n.pendingNoticeCount() == 1 })
 	_ = first.Close()
 	second.wantRelease(idB, "cause=16")
-	second.confirm(idB)
-	eventually(t, "the notice confirmed", func() bool { return n.heldNotices() == 0 })
+	second.confirmRelease(idB)
+	eventually(t, "the notice confirmed", func() bool { return n.pendingNoticeCount() == 0 })
 	second.silent()
 }
 
 // TestUnwrittenAnswerIsNotEvicted: a connection whose answer is not written yet ranks with those that wait for one.
-func TestUnwrittenAnswerIsNotEvicted(t *testing.T) {
+func TestConnWithUnwrittenAnswerIsNotEvicted(t *testing.T) {
 	n := startNode(t, newBox(t, "s-1", ready))
-	v := n.dial().say(ping)
+	v := n.dial().say(optionsRequest)
 	v.want("", 200)
 	var c *viewerConn
 	n.viewerConns.mu.Lock()
@@ -117,7 +117,7 @@
 
 // TestReleaseToServerCrossesClose: a viewer ends its session as the connection to the server ends. The release that was
 // written on it goes on the next one too, which is opened for it.
-func TestReleaseToServerCrossesClose(t *testing.T) {
+func TestReleaseToServerIsResent(t *testing.T) {
 	b := newBox(t, "s-1", ready)
 	n := startNode(t, b)
 	v := n.dial().say(setUp(idA, "free", ""))
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -67,12 +67,12 @@
 	earlyEndTimeout = 5 * time.Second
 )
 
-func newPool(n *Node, maxLinks int) *pool {
-	return &pool{node: n, maxConns: maxLinks, servers: map[string]*server{}, retired: map[*serverConn]struct{}{}}
+func newPool(n *Node, maxConns int) *pool {
+	return &pool{node: n, maxConns: maxConns, servers: map[string]*server{}, retired: map[*serverConn]struct{}{}}
 }
 
 // update takes a change of the list. Under a new address an id is another server; so is one that has started anew.
-func (p *pool) applyList(entries []control.Server, addr map[string]string, whole bool) {
+func (p *pool) applyList(entries []control.Server, addresses map[string]string, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if whole {
@@ -90,7 +90,7 @@
 			s = p.addServer(e.ID, now)
 		}
 		s.state = e.State
-		if a := addr[e.ID]; a != "" && a != s.addr {
+		if a := addresses[e.ID]; a != "" && a != s.addr {
 			if s.addr != "" {
 				p.loseSessions(s, "new address")
 			}
@@ -153,7 +153,7 @@
 }
 
 // lose ends all sessions of a server that no longer runs them.
-func (p *pool) loseSessions(s *server, why string) {
+func (p *pool) loseSessions(s *server, reason string) {
 	p.closeServerConns(s)
 	s.pendingReleases = delivery.New[struct{}](releaseLifetime, releaseDeliveryWindow) // nothing runs there that could be released
 	s.reconnectAt = 0
@@ -166,7 +166,7 @@
 		ids = append(ids, id)
 	}
 	clear(s.activeSessions)
-	p.node.Log.Info("sessions lost", "server", s.id, "sessions", len(ids), "why", why)
+	p.node.Log.Info("sessions lost", "server", s.id, "sessions", len(ids), "why", reason)
 	go p.node.orchestrator.SessionsLost(s.id, ids) // not under the lock: the owner's goroutine takes it too
 }
 
@@ -174,27 +174,27 @@
 type sessionCounts struct{ controller, sockets int }
 
 // believed compares for each server what the module believes with what was opened on the sockets.
-func (p *pool) countSessions(own func(string) int) map[string]sessionCounts {
+func (p *pool) countSessions(controllerCount func(string) int) map[string]sessionCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string]sessionCounts, len(p.servers))
 	for id, s := range p.servers {
-		out[id] = sessionCounts{own(id), len(s.activeSessions) + len(s.conns) - len(s.idleConns)}
+		out[id] = sessionCounts{controllerCount(id), len(s.activeSessions) + len(s.conns) - len(s.idleConns)}
 	}
 	return out
 }
 
 // adopt counts a session that a server runs already, and tells how it ended if the server has said so. A server that no
 // list names is checked like one that was removed: nobody else would ever end its sessions.
-func (p *pool) adopt(id, srv string) (end earlyEnd, over bool) {
+func (p *pool) adopt(id, serverID string) (end earlyEnd, ended bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.servers[srv]
+	s := p.servers[serverID]
 	if s == nil {
-		s = p.addServer(srv, p.node.now()) // gone, without an address
-		p.node.Log.Debug("session at an unknown server", "session", id, "server", srv)
+		s = p.addServer(serverID, p.node.now()) // gone, without an address
+		p.node.Log.Debug("session at an unknown server", "session", id, "server", serverID)
 	}
-	if end, over = s.earlyEnds[id]; over {
+	if end, ended = s.earlyEnds[id]; ended {
 		delete(s.earlyEnds, id)
 		return end, true
 	}
@@ -204,20 +204,20 @@
 
 // Release tells a server that it need not run a session any more, on any connection: on the next one, if none is
 // open.
-func (p *pool) Release(id, srv string, _ int) {
+func (p *pool) Release(id, serverID string, _ int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.servers[srv]
+	s := p.servers[serverID]
 	if s == nil {
 		return
 	}
-	stood := s.activeSessions[id]
-	if !stood && !s.abandonedSetUps[id] {
+	wasActive := s.activeSessions[id]
+	if !wasActive && !s.abandonedSetUps[id] {
 		return // the set-up was given up or refused: nothing of it runs
 	}
 	delete(s.activeSessions, id)
 	delete(s.abandonedSetUps, id)
-	if !stood {
+	if !wasActive {
 		p.holdRelease(s, id)
 		return
 	}
--- a/internal/node/priority_test.go
+++ b/internal/node/priority_test.go
@@ -4,7 +4,7 @@
 
 // TestAnswerAheadOfNotes: what comes on connections without a set-up gives way to answers, and is taken behind them. The
 // reader of a connection with a set-up out gives way to nobody.
-func TestAnswerAheadOfNotes(t *testing.T) {
+func TestAnswersTakePriorityOverNotes(t *testing.T) {
 	b, g := newBox(t, "s-1", nil), newGate()
 	n := startGated(t, func(n *Node) { n.yieldProcessor = func() { g.pass("a reader") } }, b)
 	v := n.dial().say(setUp(idA, "paid", "") + setUp(idB, "paid", ""))
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -16,18 +16,18 @@
 	p.mu.Lock()
 	s := p.servers[id]
 	p.probeCount++
-	sid := fmt.Sprintf("%016x", p.node.Config.Seed+p.probeCount)
+	probeID := fmt.Sprintf("%016x", p.node.Config.Seed+p.probeCount)
 	p.mu.Unlock()
 	p.node.startGoroutine(func() {
 		result := control.ProbeResult{Server: id}
 		if s != nil {
-			result.OK, result.Load = p.runProbe(s, sid)
+			result.OK, result.Load = p.runProbe(s, probeID)
 		}
 		p.node.orchestrator.AddEvent(result)
 	})
 }
 
-func (p *pool) runProbe(s *server, sid string) (bool, *control.LoadReport) {
+func (p *pool) runProbe(s *server, probeID string) (bool, *control.LoadReport) {
 	ctx, stop := context.WithTimeout(p.node.serveCtx, p.node.Config.Platform.ConnectTimeout+probeTimeout)
 	defer stop()
 	l, err := p.acquire(ctx, s)
@@ -40,8 +40,8 @@
 		p.putBack(l)
 		return false, nil
 	}
-	l.activeID, l.isProbe, l.lastActivity = sid, true, p.node.now()
-	l.send(jsonlines.TypeProbe, sid, nil, 0, "")
+	l.activeID, l.isProbe, l.lastActivity = probeID, true, p.node.now()
+	l.send(jsonlines.TypeProbe, probeID, nil, 0, "")
 	p.mu.Unlock()
 	var r core.Result
 	select {
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -8,10 +8,10 @@
 
 // TestProbes: a test is sent where the module asks for one, its answer told with the load; an answer that comes after it
 // was given up, or a session's under the test's id, counts for nothing, and set-ups go on.
-func TestProbes(t *testing.T) {
+func TestProbe(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
-	n.warm(b)
+	n.openIdleConn(b)
 	n.pool.Probe("s-1")
 	m := b.next(t, "probe")
 	if m.Cause() != 0 || !isSessionID(m.ID) {
@@ -34,10 +34,10 @@
 	v.want(idA, 200)
 	n.agree(1)
 	s := n.pool.servers["s-1"]
-	if ok, l := n.probeAnswered(b, s, 0); ok || l != nil {
+	if ok, l := n.probeWithCause(b, s, 0); ok || l != nil {
 		t.Errorf("failed test: %v, %+v", ok, l)
 	}
-	if ok, l := n.probeAnswered(b, s, 1); !ok || l == nil || *l.Link != 0.5 {
+	if ok, l := n.probeWithCause(b, s, 1); !ok || l == nil || *l.Link != 0.5 {
 		t.Errorf("passed test: %v, %+v", ok, l)
 	}
 	v.say(setUp(idB, "paid", "")) // on the connection that the test was on
@@ -46,7 +46,7 @@
 }
 
 // probeAnswered has a server tested and answer with a cause, a load where it passes.
-func (r *rig) probeAnswered(b *box, s *server, cause int) (bool, *control.LoadReport) {
+func (r *rig) probeWithCause(b *box, s *server, cause int) (bool, *control.LoadReport) {
 	type result struct {
 		ok   bool
 		load *control.LoadReport
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -92,7 +92,7 @@
 // startChild starts a node in a process of its own.
 func startChild(t *testing.T, o childOptions, coordinatorAt string, known []coordinator.Update) *process {
 	t.Helper()
-	at := listenAddress(t)
+	at := freeAddress(t)
 	raw, err := json.Marshal(map[string]any{"name": "n0", "listen": at, "seed": "0a", "limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": o.sockets},
 		"coordinator": coordinatorAt, "known": coordinator.Updates{Index: 1, Updates: known}, "settings": json.RawMessage(o.settings)})
 	if err != nil {
--- a/internal/node/resent_test.go
+++ b/internal/node/resent_test.go
@@ -77,7 +77,7 @@
 
 func resentCases() (cases []resentCase) {
 	for _, class := range []string{"free", "paid"} {
-		for ending := range endings {
+		for ending := range connEndings {
 			for _, copyFirst := range []bool{false, true} {
 				for _, answered := range []bool{false, true} {
 					id := fmt.Sprintf("%016x", 0xa000+len(cases))
@@ -96,7 +96,7 @@
 	heard := newMessageLog()
 	patient := strings.ReplaceAll(defaultSettings, `"aim":900000`, `"aim":30000000`) // no attempt is given up for time
 	p := startProcessWith(t, newBox(t, "s-1", heard.record), childOptions{256, patient, []string{helperWaits + "=1"}})
-	p.dial().say(ping).want("", 200) // it listens
+	p.dial().say(optionsRequest).want("", 200) // it listens
 	r := newRelay(t, p.addr)
 	for _, c := range resentCases() {
 		t.Run(c.String(), func(t *testing.T) { t.Parallel(); c.run(t, r, heard) })
@@ -110,7 +110,7 @@
 		b := newBox(t, "s-1", nil)
 		n := startGated(t, waitForResends, b)
 		text := setUp(idA, "paid", "")
-		first := n.dial().say(ping)
+		first := n.dial().say(optionsRequest)
 		first.want("", statusOK)
 		second := n.dial().say(text)
 		m := b.next(t, "open")
@@ -118,7 +118,7 @@
 			ready(m)
 			second.want(idA, statusOK)
 		}
-		first.say(text + ping)
+		first.say(text + optionsRequest)
 		first.want("", statusOK) // read by now
 		_ = first.Conn.(*net.TCPConn).CloseWrite()
 		if !answered {
@@ -135,12 +135,12 @@
 func TestOriginalReadAfterRefusedResend(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startGated(t, waitForResends, b)
-	first := n.dial().say(ping)
+	first := n.dial().say(optionsRequest)
 	first.want("", statusOK)
 	_ = b.l.Close() // no connection comes up
 	second := n.dial().say(setUp(idA, "paid", ""))
 	second.want(idA, statusNotEnoughBandwidth)
-	first.say(setUp(idA, "paid", "") + ping)
+	first.say(setUp(idA, "paid", "") + optionsRequest)
 	first.want("", statusOK)
 	second.silent()
 	if attempts := n.orchestrator.Stats.Requests.Load(); attempts != 1 {
@@ -152,7 +152,7 @@
 func (c resentCase) run(t *testing.T, r *relay, heard *messageLog) {
 	first, x := r.dial(t)
 	second, _ := r.dial(t) // connected ahead, so that no handshake comes between
-	second.say(ping).want("", 200)
+	second.say(optionsRequest).want("", 200)
 	first.say(c.setUp())
 	eventually(t, "an attempt", func() bool { opens, _ := heard.forSession(c.id); return len(opens) == 1 })
 	opens, _ := heard.forSession(c.id)
@@ -164,9 +164,9 @@
 	if c.resendFirst {
 		second.say(c.setUp())
 		time.Sleep(resendDelay)
-		endings[c.ending](x.node)
+		connEndings[c.ending](x.node)
 	} else {
-		endings[c.ending](x.node)
+		connEndings[c.ending](x.node)
 		time.Sleep(resendDelay)
 		second.say(c.setUp())
 	}
--- a/internal/node/reserve_test.go
+++ b/internal/node/reserve_test.go
@@ -34,7 +34,7 @@
 				if m.Method != "TEARDOWN" || m.Get("Reason") != "cause=16" {
 					t.Fatalf("not a release: %+v", m)
 				}
-				v.confirm(m.Get("Session"))
+				v.confirmRelease(m.Get("Session"))
 			}
 			n.agree(manyServers / 2)
 			n.pool.mu.Lock()
--- a/internal/node/shortage_test.go
+++ b/internal/node/shortage_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestNoDescriptor: a dial for which this side has no descriptor says nothing of the server, and a session there stays.
-func TestNoDescriptor(t *testing.T) {
+func TestDialWithoutDescriptor(t *testing.T) {
 	b := newBox(t, "s-1", ready)
 	full := make(chan struct{})
 	n := startGated(t, func(n *Node) {
@@ -37,8 +37,8 @@
 // who waits for an answer stays.
 func TestAcceptWithoutDescriptor(t *testing.T) {
 	b := newBox(t, "s-1", nil)
-	short := make(chan error, 8)
-	n := startGated(t, func(n *Node) { n.Listener = &shortListener{n.Listener, short} }, b)
+	acceptErrors := make(chan error, 8)
+	n := startGated(t, func(n *Node) { n.Listener = &failingListener{n.Listener, acceptErrors} }, b)
 	v := n.dial().say(setUp(idA, "paid", ""))
 	m := b.next(t, "open")
 	silent := n.dial()
@@ -48,10 +48,10 @@
 		return len(n.viewerConns.conns) == 2
 	})
 	for range 3 {
-		short <- &net.OpError{Op: "accept", Err: syscall.EMFILE}
+		acceptErrors <- &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
 	n.dial() // what accept waits in is over; the next ones fail
-	eventually(t, "all failures met", func() bool { return len(short) == 0 })
+	eventually(t, "all failures met", func() bool { return len(acceptErrors) == 0 })
 	last := n.dial().say(setUp(idB, "free", ""))
 	if _, err := silent.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the silent one: %v", err)
@@ -63,14 +63,14 @@
 }
 
 // shortListener fails to accept as told.
-type shortListener struct {
+type failingListener struct {
 	net.Listener
-	fails chan error
+	errors chan error
 }
 
-func (s *shortListener) Accept() (net.Conn, error) {
+func (s *failingListener) Accept() (net.Conn, error) {
 	select {
-	case fail := <-s.fails:
+	case fail := <-s.errors:
 		return nil, fail
 	default:
 		return s.Listener.Accept()
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -27,7 +27,7 @@
 // kill is not near. Where all deadlines are short it stays until the last requests have come: one that found nobody
 // listening would be lost.
 func (n *Node) shutdownDelay() time.Duration {
-	return max(n.ArrivalWindow+n.longestDeadline()-killMargin, n.ArrivalWindow-lastArrivalMargin)
+	return max(n.ArrivalWindow+n.longestDeadline()-shutdownMargin, n.ArrivalWindow-lastArrivalMargin)
 }
 
 // maxCountedDeadline is what the platform takes for a longer deadline when it says when a node may be killed.
@@ -42,18 +42,18 @@
 }
 
 // shutDown ends everything in the order in which nothing that is owed is lost: requests, servers, the owner, viewers.
-func (n *Node) shutDown(l net.Listener, listening <-chan struct{}, stopOwner context.CancelFunc, ownerOver <-chan struct{}) {
+func (n *Node) shutDown(listener net.Listener, serveDone <-chan struct{}, stopOrchestrator context.CancelFunc, orchestratorDone <-chan struct{}) {
 	n.viewerConns.shuttingDown.Store(true)
-	n.viewerConns.stopListening(l)
+	n.viewerConns.stopListening(listener)
 	n.orchestrator.FinishRequests()
-	pollUntil(backlogTimeout, func() bool { return isClosed(listening) })
-	_ = l.Close()
-	<-listening
+	pollUntil(backlogTimeout, func() bool { return isClosed(serveDone) })
+	_ = listener.Close()
+	<-serveDone
 	// Servers first: what they have said is passed on, what they say from now on they keep for the next instance. With the
 	// owner stopped first, releases that came in the last moments were heard and told nobody (seen: 35 sessions in 279 restarts).
 	n.pool.shutDown()
-	stopOwner()
-	<-ownerOver
+	stopOrchestrator()
+	<-orchestratorDone
 	n.viewerConns.closeAll()
 	n.goroutines.Wait()
 	n.Log.Info("ended", "sessions", n.orchestrator.Stats.Open.Load(), "near", &n.nearMisses)
--- a/internal/node/trial_ending_test.go
+++ b/internal/node/trial_ending_test.go
@@ -36,7 +36,7 @@
 	p := startChild(t, childOptions{trialSockets, defaultSettings, []string{helperStays + "=1"}}, f.Listener.Addr().String(), f.all)
 	var resting [endingConnections]*dialogue
 	for i := range resting {
-		resting[i] = p.dial().say(ping)
+		resting[i] = p.dial().say(optionsRequest)
 		resting[i].want("", statusOK)
 	}
 	var clients sync.WaitGroup
--- a/internal/node/trial_test.go
+++ b/internal/node/trial_test.go
@@ -67,7 +67,7 @@
 	list := servers.start(t)
 	f := newFeed(t, []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: list}}})
 	p := startChild(t, childOptions{sockets: trialSockets, settings: defaultSettings}, f.Listener.Addr().String(), f.all)
-	p.dial().say(ping).want("", statusOK)
+	p.dial().say(optionsRequest).want("", statusOK)
 	r := newRelay(t, p.addr)
 	var viewers sync.WaitGroup
 	for i := range trialRequests {
@@ -97,13 +97,13 @@
 		return
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_, _ = c.Write([]byte(ping))
+	_, _ = c.Write([]byte(optionsRequest))
 }
 
 func (q trialRequest) play(t *testing.T, r *relay, servers *trialServers) {
 	text := strings.Replace(setUp(q.id, q.class, ""), "X-Timer-Ms: 3000", fmt.Sprintf("X-Timer-Ms: %d", trialTimer.Milliseconds()), 1)
 	v, x := r.dial(t)
-	v.say(ping).want("", statusOK)
+	v.say(optionsRequest).want("", statusOK)
 	time.Sleep(q.rests)
 	v.write(text[:q.split])
 	v.write(text[q.split:])
@@ -119,7 +119,7 @@
 			q.finish(t, servers, v, answer, err, taken)
 			return
 		}
-		node := time.AfterFunc(max(q.lag, 0), func() { endings[q.ending](x.node) })
+		node := time.AfterFunc(max(q.lag, 0), func() { connEndings[q.ending](x.node) })
 		defer node.Stop()
 		_ = x.client.Close()
 		time.Sleep(q.copyAfter)
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -19,11 +19,11 @@
 )
 
 // every calls do at once and then at each interval, until ctx ends.
-func runEvery(ctx context.Context, interval time.Duration, do func()) {
+func runEvery(ctx context.Context, interval time.Duration, fn func()) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
-		do()
+		fn()
 		select {
 		case <-ctx.Done():
 			return
@@ -97,21 +97,21 @@
 func (p *pool) checkServer(ctx context.Context, s *server) {
 	var second sync.WaitGroup
 	defer second.Wait()
-	up := make(chan struct{})
+	connected := make(chan struct{})
 	second.Go(func() {
-		soon := time.NewTimer(p.node.Config.Platform.ConnectTimeout)
-		defer soon.Stop()
+		retryTimer := time.NewTimer(p.node.Config.Platform.ConnectTimeout)
+		defer retryTimer.Stop()
 		select {
-		case <-up:
+		case <-connected:
 		case <-ctx.Done():
-		case <-soon.C:
+		case <-retryTimer.C:
 			if p.reserveFreeSlot() {
 				p.dialForCheckOnce(ctx, s)
 			}
 		}
 	})
 	if p.dialForCheckOnce(ctx, s) {
-		close(up)
+		close(connected)
 	}
 }
 
--- a/internal/node/withdrawal_test.go
+++ b/internal/node/withdrawal_test.go
@@ -94,7 +94,7 @@
 					}
 				}
 			}, b)
-			n.warm(b)
+			n.openIdleConn(b)
 			v := n.dial().say(setUp(idA, "free", ""))
 			g.wait(t)
 			gone, letGo := n.attemptsBlocked(idA), n.holdOwner()
@@ -113,8 +113,8 @@
 func TestNoRetryAfterViewerLeft(t *testing.T) {
 	a, b := newBox(t, "s-1", nil), newBox(t, "s-2", nil)
 	n := startNode(t, a, b)
-	n.warm(a)
-	n.warm(b)
+	n.openIdleConn(a)
+	n.openIdleConn(b)
 	v := n.dial().say(setUp(idA, "free", ""))
 	first, other := a, b
 	var m said
