--- a/internal/cli/programs.go
+++ b/internal/cli/programs.go
@@ -93,7 +93,7 @@
 			return fmt.Errorf("state folder: %w", err)
 		}
 	}
-	o := edge.Options{Site: site, Position: c.Position, Planner: c.Planner, State: c.State, Grace: c.Grace, Seed: c.Seed,
+	o := edge.Options{Site: site, Position: c.Position, Planner: c.Planner, StateDir: c.State, ShutdownGrace: c.Grace, Seed: c.Seed,
 		Log: c.Logger("edge").With("edge", c.Position)}
 	if o.Planner == "" {
 		o.Planner = site.Planner.Listen
@@ -102,7 +102,7 @@
 		o.Seed = uint64(time.Now().UnixNano())
 	}
 	if c.Policy == "random" {
-		o.Decider = func(s control.Settings, seed uint64) (core.Decider, error) { return baseline.New(s, seed), nil }
+		o.NewDecider = func(s control.Settings, seed uint64) (core.Decider, error) { return baseline.New(s, seed), nil }
 	}
 	e, err := edge.New(o)
 	if err != nil {
--- a/internal/edge/adopt.go
+++ b/internal/edge/adopt.go
@@ -13,7 +13,7 @@
 )
 
 // heldLine is a session that a box runs for this edge, as it lists it when the edge's stream opens.
-type heldLine struct {
+type heldSession struct {
 	ID     string `json:"id"`
 	Title  string `json:"title"`
 	Class  string `json:"class"`
@@ -25,44 +25,44 @@
 
 // adoptFor is how long, after a restart with a last view, reloads of unknown sessions wait for boxes to
 // tell what they run: set up anew beside its old stream, a session would be held twice.
-const adoptFor = 700 * time.Millisecond
+const reclaimWait = 700 * time.Millisecond
 
 // reclaim asks all boxes of the last view for what an earlier instance of this edge left playing.
-func (e *Edge) reclaim(v view.View) {
-	e.reclaiming = make(chan struct{})
+func (e *Edge) reclaimSessions(v view.View) {
+	e.reclaimDone = make(chan struct{})
 	for _, b := range v.Boxes {
-		e.boxes.listen(b.ID)
+		e.boxes.ensureFollowing(b.ID)
 	}
-	e.goes(func() {
+	e.spawn(func() {
 		select {
 		case <-e.ctx.Done():
-		case <-time.After(adoptFor):
+		case <-time.After(reclaimWait):
 		}
-		close(e.reclaiming)
+		close(e.reclaimDone)
 	})
 }
 
 // adopt takes over a session of an earlier instance, unless its viewer was quicker and has a new one.
-func (e *Edge) adopt(server string, h heldLine) {
+func (e *Edge) adoptSession(server string, h heldSession) {
 	class := e.Site.Class(h.Class)
 	title, ok := e.fleet.Load().titles[h.Title]
-	own := strings.HasPrefix(h.ID, e.idPrefix()) && !strings.HasPrefix(h.ID, e.idPrefix()+e.boot)
-	if !own || class < 0 || !ok || !plain(h.Viewer) || h.Rung < 0 || h.Rung >= len(e.set.Ladder) || h.Since < 0 {
+	own := strings.HasPrefix(h.ID, e.requestIDPrefix()) && !strings.HasPrefix(h.ID, e.requestIDPrefix()+e.instanceID)
+	if !own || class < 0 || !ok || !isURLSafe(h.Viewer) || h.Rung < 0 || h.Rung >= len(e.settings.Ladder) || h.Since < 0 {
 		e.Log.Warn("held session not taken over", "session", h.ID, "server", server, "title", h.Title, "class", h.Class)
 		return
 	}
 	ctx, cancel := context.WithTimeout(e.ctx, 2*time.Second)
 	defer cancel()
-	src, track, err := e.readSource(ctx, server, h)
+	src, track, err := e.readManifest(ctx, server, h)
 	if err != nil {
 		e.Log.Warn("held session let go: its manifest could not be read", "session", h.ID, "server", server, "error", err)
 		e.boxes.Release(h.ID, server, 0)
 		return
 	}
-	k := &e.set.Classes[class]
+	k := &e.settings.Classes[class]
 	best := min(max(h.Best, k.MinRung), k.MaxRung)
-	s := e.table.add([]byte(h.Class+"/"+h.Title+"/"+h.Viewer), func(name string) *session {
-		return &session{name: name, key: h.Viewer, class: class, title: title, best: best}
+	s := e.sessions.getOrAdd([]byte(h.Class+"/"+h.Title+"/"+h.Viewer), func(name string) *session {
+		return &session{name: name, viewerKey: h.Viewer, class: class, title: title, maxRung: best}
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,35 +71,35 @@
 		e.boxes.Release(h.ID, server, 0)
 		return
 	}
-	y := &try{id: h.ID, s: s, e: e, answered: make(chan struct{}), closed: make(chan struct{})}
+	y := &placementRequest{id: h.ID, session: s, edge: e, answered: make(chan struct{}), closed: make(chan struct{})}
 	close(y.answered)
 	now := e.now()
-	s.try, s.tries, s.state, s.since, s.started = y, 1, admission.Playing, now, true
-	s.origin = now - bound.Ms(h.Since)
-	s.server, s.source, s.rung, s.want = server, src, h.Rung, h.Rung
-	s.window.Aim("http://"+server, token(y.id), track, 0)
-	s.window.Begin(track.At((now - s.origin).Seconds()))
-	s.seen.Store(int64(now))
-	e.boxes.hold(server, y.id)
+	s.request, s.requestCount, s.state, s.stateSince, s.hasPlayed = y, 1, admission.Playing, now, true
+	s.contentStart = now - bound.Ms(h.Since)
+	s.server, s.manifest, s.publishedRung, s.wantedRung = server, src, h.Rung, h.Rung
+	s.window.Aim("http://"+server, sessionQuery(y.id), track, 0)
+	s.window.Begin(track.At((now - s.contentStart).Seconds()))
+	s.lastSeenAt.Store(int64(now))
+	e.boxes.addSession(server, y.id)
 	left := max(bound.Ms(title.Length)-bound.Ms(h.Since), 0)
-	r := control.Request{ID: y.id, Class: class, Viewer: hash(s.key), Title: hash(title.Name), HomeCell: title.Home, CellSpan: title.Span,
+	r := control.Request{ID: y.id, Class: class, Viewer: hash(s.viewerKey), Title: hash(title.Name), HomeCell: title.Home, CellSpan: title.Span,
 		BestRung: best, GiveUpAt: now, ExpectedLength: left, Server: server}
 	if title.Listed {
 		r.Holders = title.Holders
 	}
-	go e.owner.Adopt(r, h.Rung, y) // the owner may wait for this session's lock
+	go e.orchestrator.Adopt(r, h.Rung, y) // the owner may wait for this session's lock
 }
 
-func (e *Edge) readSource(ctx context.Context, server string, h heldLine) (*source, *hls.Track, error) {
+func (e *Edge) readManifest(ctx context.Context, server string, h heldSession) (*manifest, *hls.Track, error) {
 	base := "/t/" + h.Title + "/index.m3u8"
-	p, err := e.boxes.client.Do(ctx, server, "GET", base, nil, nil)
+	p, err := e.boxes.http.Do(ctx, server, "GET", base, nil, nil)
 	if err != nil {
 		return nil, nil, err
 	}
-	src, err := newSource(base, p.Body, len(e.set.Ladder))
+	src, err := parseManifest(base, p.Body, len(e.settings.Ladder))
 	if err != nil {
 		return nil, nil, err
 	}
-	t, err := e.sources.track(ctx, server, src, h.Rung)
+	t, err := e.playlists.rungTrack(ctx, server, src, h.Rung)
 	return src, t, err
 }
--- a/internal/edge/boxes.go
+++ b/internal/edge/boxes.go
@@ -20,96 +20,96 @@
 )
 
 // boxes carries the module's actions to streaming servers over HTTP, and hears their notes.
-type boxes struct {
-	e       *Edge
-	client  *http1.Client
-	release chan released
-
-	mu     sync.Mutex
-	follow map[string]*follower    // by server
-	ended  map[string]view.Outcome // counts, by server
-	news   bool                    // of them since the last report
+type boxClient struct {
+	edge         *Edge
+	http         *http1.Client
+	releaseQueue chan releaseRequest
+
+	mu              sync.Mutex
+	followers       map[string]*follower    // by server
+	outcomes        map[string]view.Outcome // counts, by server
+	outcomesChanged bool                    // of them since the last report
 }
 
-type released struct {
+type releaseRequest struct {
 	id, server string
 	attempt    int
 }
 
 // setup is what a set-up brought back.
-type setup struct {
-	source *source
-	track  *hls.Track
-	rung   int
+type setUpResult struct {
+	manifest *manifest
+	track    *hls.Track
+	rung     int
 }
 
 const (
-	releasers    = 8
-	mostReleases = 8192
-	releaseFor   = time.Second
+	releaseWorkers   = 8
+	releaseQueueSize = 8192
+	releaseTimeout   = time.Second
 )
 
-func newBoxes(e *Edge) *boxes {
+func newBoxClient(e *Edge) *boxClient {
 	limits := http1.DefaultLimits()
-	return &boxes{e: e, follow: map[string]*follower{}, ended: map[string]view.Outcome{}, release: make(chan released, mostReleases),
-		client: &http1.Client{Limits: limits, Connect: e.Site.Attempts.ConnectTimeout.D()}}
+	return &boxClient{edge: e, followers: map[string]*follower{}, outcomes: map[string]view.Outcome{}, releaseQueue: make(chan releaseRequest, releaseQueueSize),
+		http: &http1.Client{Limits: limits, Connect: e.Site.Attempts.ConnectTimeout.D()}}
 }
 
 // SetUp asks a box to start a session: POST /sessions/<id>. What proves that it never ran is told apart
 // from what may have run: no connection or 503 with a reason never ran; all else may have.
-func (b *boxes) SetUp(ctx context.Context, a core.Attempt) core.Result {
-	r := b.setUp(ctx, a)
-	b.count(ctx, a.Server, r.Outcome)
+func (b *boxClient) SetUp(ctx context.Context, a core.Attempt) core.Result {
+	r := b.sendSetUp(ctx, a)
+	b.countOutcome(ctx, a.Server, r.Outcome)
 	return r
 }
 
 // count keeps what set-ups came to, for the planner: sessions that fail speak against a check that passes.
-func (b *boxes) count(ctx context.Context, server string, o control.Outcome) {
+func (b *boxClient) countOutcome(ctx context.Context, server string, o control.Outcome) {
 	served := o == control.Served
 	if o == control.Full || !served && errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.ended[server]
+	c := b.outcomes[server]
 	if c.Box = server; served {
 		c.Served++
 	} else {
 		c.Failed++
 	}
-	if len(b.ended) < mostCounted || c.Served+c.Failed > 1 {
-		b.ended[server], b.news = c, true
+	if len(b.outcomes) < maxCounted || c.Served+c.Failed > 1 {
+		b.outcomes[server], b.outcomesChanged = c, true
 	}
 }
 
 // outcomes are all counts; nil where nothing was added since the last call.
-func (b *boxes) outcomes() (out []view.Outcome) {
+func (b *boxClient) takeOutcomes() (out []view.Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.news {
+	if !b.outcomesChanged {
 		return nil
 	}
-	b.news = false
-	for _, c := range b.ended {
+	b.outcomesChanged = false
+	for _, c := range b.outcomes {
 		out = append(out, c)
 	}
 	return out
 }
 
-func (b *boxes) setUp(ctx context.Context, a core.Attempt) core.Result {
-	b.listen(a.Server)
+func (b *boxClient) sendSetUp(ctx context.Context, a core.Attempt) core.Result {
+	b.ensureFollowing(a.Server)
 	title, viewer, best := "", "", 0
-	if y, ok := a.Listener.(*try); ok {
-		title, viewer, best = y.title, y.s.key, y.best
+	if y, ok := a.Listener.(*placementRequest); ok {
+		title, viewer, best = y.title, y.session.viewerKey, y.maxRung
 	}
-	q := url.Values{"title": {title}, "class": {b.e.Site.Classes[a.Class].Name}, "rung": {strconv.Itoa(a.Rung)},
-		"attempt": {strconv.Itoa(a.Number)}, "edge": {b.e.name()}, "viewer": {viewer}, "best": {strconv.Itoa(best)}}
-	p, err := b.client.Do(ctx, a.Server, "POST", "/sessions/"+a.ID+"?"+q.Encode(), nil, nil)
+	q := url.Values{"title": {title}, "class": {b.edge.Site.Classes[a.Class].Name}, "rung": {strconv.Itoa(a.Rung)},
+		"attempt": {strconv.Itoa(a.Number)}, "edge": {b.edge.instanceName()}, "viewer": {viewer}, "best": {strconv.Itoa(best)}}
+	p, err := b.http.Do(ctx, a.Server, "POST", "/sessions/"+a.ID+"?"+q.Encode(), nil, nil)
 	if err != nil {
-		b.e.Log.Debug("set-up", "session", a.ID, "server", a.Server, "error", err)
-		return core.Result{Outcome: setUpError(ctx, err)}
+		b.edge.Log.Debug("set-up", "session", a.ID, "server", a.Server, "error", err)
+		return core.Result{Outcome: classifySetUpError(ctx, err)}
 	}
-	load := readLoad(p)
+	load := parseLoadReport(p)
 	switch {
 	case p.Status == 503 && p.Get("rainpulley-reason") != nil:
 		return core.Result{Outcome: control.Full, Load: load}
@@ -120,19 +120,19 @@
 	if !strings.HasPrefix(base, "/") {
 		base = "/"
 	}
-	s, err := newSource(base, p.Body, len(b.e.set.Ladder))
-	out := &setup{source: s, rung: a.Rung}
+	s, err := parseManifest(base, p.Body, len(b.edge.settings.Ladder))
+	out := &setUpResult{manifest: s, rung: a.Rung}
 	if err == nil {
-		out.track, err = b.e.sources.track(ctx, a.Server, s, a.Rung)
+		out.track, err = b.edge.playlists.rungTrack(ctx, a.Server, s, a.Rung)
 	}
 	if err != nil {
-		b.e.Log.Warn("set-up without a playlist that can be used", "session", a.ID, "server", a.Server, "error", err)
-		return core.Result{Outcome: setUpRan(ctx, err), Load: load}
+		b.edge.Log.Warn("set-up without a playlist that can be used", "session", a.ID, "server", a.Server, "error", err)
+		return core.Result{Outcome: classifyErrorAfterStart(ctx, err), Load: load}
 	}
 	return core.Result{Outcome: control.Served, Load: load, Setup: out}
 }
 
-func setUpError(ctx context.Context, err error) control.Outcome {
+func classifySetUpError(ctx context.Context, err error) control.Outcome {
 	var e *http1.Error
 	switch {
 	case errors.Is(err, http1.ErrNeverSent):
@@ -146,15 +146,15 @@
 }
 
 // setUpRan is for what fails after the box has said that it runs.
-func setUpRan(ctx context.Context, err error) control.Outcome {
-	if o := setUpError(ctx, err); o != control.ConnectFailed {
+func classifyErrorAfterStart(ctx context.Context, err error) control.Outcome {
+	if o := classifySetUpError(ctx, err); o != control.ConnectFailed {
 		return o
 	}
 	return control.Reset
 }
 
 // readLoad takes a box's load from its answer.
-func readLoad(p *http1.Response) *control.LoadReport {
+func parseLoadReport(p *http1.Response) *control.LoadReport {
 	l := cmsd.Parse(p.Get("cmsd-dynamic"))
 	if l == nil {
 		return nil
@@ -163,39 +163,39 @@
 }
 
 // name is this instance of the edge, as boxes know it.
-func (e *Edge) name() string { return strconv.Itoa(e.Position) + "." + e.boot }
+func (e *Edge) instanceName() string { return strconv.Itoa(e.Position) + "." + e.instanceID }
 
 // Release tells a box that a session is over. It is queued: the owner does not wait. When the queue is
 // full the box learns of it from the list of what the edge holds.
-func (b *boxes) Release(id, server string, attempt int) {
+func (b *boxClient) Release(id, server string, attempt int) {
 	select {
-	case b.release <- released{id, server, attempt}:
+	case b.releaseQueue <- releaseRequest{id, server, attempt}:
 	default:
-		b.e.Log.Warn("release not queued", "session", id, "server", server)
+		b.edge.Log.Warn("release not queued", "session", id, "server", server)
 	}
 }
 
-func (b *boxes) releaseAll(ctx context.Context) {
+func (b *boxClient) sendReleases(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case r := <-b.release:
-			limited, cancel := context.WithTimeout(ctx, releaseFor)
-			_, err := b.client.Do(limited, r.server, "DELETE", "/sessions/"+r.id+"?attempt="+strconv.Itoa(r.attempt), nil, nil)
+		case r := <-b.releaseQueue:
+			limited, cancel := context.WithTimeout(ctx, releaseTimeout)
+			_, err := b.http.Do(limited, r.server, "DELETE", "/sessions/"+r.id+"?attempt="+strconv.Itoa(r.attempt), nil, nil)
 			cancel()
 			if err != nil {
-				b.e.Log.Debug("release", "session", r.id, "server", r.server, "error", err)
+				b.edge.Log.Debug("release", "session", r.id, "server", r.server, "error", err)
 			}
 		}
 	}
 }
 
 // SetRung needs nothing here: the listener's goroutine brings box and playlist to the rung, in order.
-func (b *boxes) SetRung(core.Attempt, int) {}
+func (b *boxClient) SetRung(core.Attempt, int) {}
 
-func (b *boxes) putRung(ctx context.Context, server, id string, rung int) error {
-	p, err := b.client.Do(ctx, server, "PUT", "/sessions/"+id+"?rung="+strconv.Itoa(rung), nil, nil)
+func (b *boxClient) putRung(ctx context.Context, server, id string, rung int) error {
+	p, err := b.http.Do(ctx, server, "PUT", "/sessions/"+id+"?rung="+strconv.Itoa(rung), nil, nil)
 	if err != nil {
 		return err
 	}
@@ -206,65 +206,65 @@
 }
 
 // Probe asks a box for its health.
-func (b *boxes) Probe(server string) {
-	b.e.goes(func() {
-		ctx, cancel := context.WithTimeout(b.e.ctx, b.e.Site.Planner.CheckFor.D())
+func (b *boxClient) Probe(server string) {
+	b.edge.spawn(func() {
+		ctx, cancel := context.WithTimeout(b.edge.ctx, b.edge.Site.Planner.CheckFor.D())
 		defer cancel()
-		p, err := b.client.Do(ctx, server, "GET", "/health", nil, nil)
+		p, err := b.http.Do(ctx, server, "GET", "/health", nil, nil)
 		out := control.ProbeResult{Server: server}
 		if err == nil {
-			out.OK, out.Load = p.Status == 200, readLoad(p)
+			out.OK, out.Load = p.Status == 200, parseLoadReport(p)
 		}
-		b.e.owner.AddEvent(out)
+		b.edge.orchestrator.AddEvent(out)
 	})
 }
 
 // follower hears one box's event stream: notes on sessions there, and by its silence that it is lost.
 type follower struct {
-	held map[string]time.Duration // sessions there, since when
+	sessions map[string]time.Duration // sessions there, since when
 }
 
 const (
-	streamQuiet  = 5 * time.Second // boxes send a line each second at the least
-	streamRetry  = 100 * time.Millisecond
-	streamTries  = 4
-	streamIdle   = 20 * time.Second // kept so long without sessions
-	mostNoteLine = 4096
+	streamReadTimeout = 5 * time.Second // boxes send a line each second at the least
+	streamRetryDelay  = 100 * time.Millisecond
+	maxStreamFailures = 4
+	streamIdleTimeout = 20 * time.Second // kept so long without sessions
+	maxNoteLineBytes  = 4096
 )
 
 // listen makes sure that a box's events are heard.
-func (b *boxes) listen(server string) {
+func (b *boxClient) ensureFollowing(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.follow[server] == nil && b.e.ctx.Err() == nil {
-		f := &follower{held: map[string]time.Duration{}}
-		b.follow[server] = f
-		b.e.goes(func() { b.hear(server, f) })
+	if b.followers[server] == nil && b.edge.ctx.Err() == nil {
+		f := &follower{sessions: map[string]time.Duration{}}
+		b.followers[server] = f
+		b.edge.spawn(func() { b.followEvents(server, f) })
 	}
 }
 
-func (b *boxes) hold(server, id string) {
-	b.listen(server)
+func (b *boxClient) addSession(server, id string) {
+	b.ensureFollowing(server)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if f := b.follow[server]; f != nil {
-		f.held[id] = b.e.now()
+	if f := b.followers[server]; f != nil {
+		f.sessions[id] = b.edge.now()
 	}
 }
 
-func (b *boxes) free(server, id string) {
+func (b *boxClient) removeSession(server, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if f := b.follow[server]; f != nil {
-		delete(f.held, id)
+	if f := b.followers[server]; f != nil {
+		delete(f.sessions, id)
 	}
 }
 
 // boxLine is one line of a box's event stream.
-type boxLine struct {
+type boxEvent struct {
 	Boot     string           `json:"boot"` // in the first line, with all sessions of this edge there
 	Sessions []string         `json:"sessions"`
-	Held     []heldLine       `json:"held"` // what an earlier instance of this edge left
+	Held     []heldSession    `json:"held"` // what an earlier instance of this edge left
 	Session  string           `json:"s"`
 	Kind     control.NoteKind `json:"k"`
 	Value    float64          `json:"x"`
@@ -273,44 +273,44 @@
 
 // hear follows a box until it is lost or idle. A stream that breaks is opened again a few times; what the
 // box then no longer lists is lost, and all is if it does not come back.
-func (b *boxes) hear(server string, f *follower) {
+func (b *boxClient) followEvents(server string, f *follower) {
 	failures := 0
-	for b.e.ctx.Err() == nil {
-		opened := b.e.now()
-		ctx, cancel := context.WithCancel(b.e.ctx)
-		b.e.goes(func() { b.endWhenIdle(ctx, cancel, f) })
-		ok, err := b.client.Lines(ctx, server, "/events?edge="+b.e.name(), streamQuiet, func(line []byte) error {
+	for b.edge.ctx.Err() == nil {
+		opened := b.edge.now()
+		ctx, cancel := context.WithCancel(b.edge.ctx)
+		b.edge.spawn(func() { b.cancelWhenIdle(ctx, cancel, f) })
+		ok, err := b.http.Lines(ctx, server, "/events?edge="+b.edge.instanceName(), streamReadTimeout, func(line []byte) error {
 			failures = 0
-			return b.line(server, f, opened, line)
+			return b.handleEvent(server, f, opened, line)
 		})
-		idleOver := ctx.Err() != nil && b.e.ctx.Err() == nil
+		idleOver := ctx.Err() != nil && b.edge.ctx.Err() == nil
 		cancel()
-		if idleOver && b.forget(server, f) {
+		if idleOver && b.removeIfUnused(server, f) {
 			return
 		}
 		if !ok {
 			failures++
 		}
-		if failures >= streamTries {
-			b.e.Log.Info("box lost", "server", server, "error", err)
-			b.lost(server, f, func(string, time.Duration) bool { return true })
-			if b.forget(server, f) {
+		if failures >= maxStreamFailures {
+			b.edge.Log.Info("box lost", "server", server, "error", err)
+			b.reportLost(server, f, func(string, time.Duration) bool { return true })
+			if b.removeIfUnused(server, f) {
 				return
 			}
 			failures = 0
 		}
 		select {
-		case <-b.e.ctx.Done():
-		case <-time.After(streamRetry):
+		case <-b.edge.ctx.Done():
+		case <-time.After(streamRetryDelay):
 		}
 	}
 }
 
 // endWhenIdle ends a stream after so long without sessions in a row.
-func (b *boxes) endWhenIdle(ctx context.Context, end context.CancelFunc, f *follower) {
+func (b *boxClient) cancelWhenIdle(ctx context.Context, end context.CancelFunc, f *follower) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
-	for idle := time.Duration(0); idle < streamIdle; {
+	for idle := time.Duration(0); idle < streamIdleTimeout; {
 		select {
 		case <-ctx.Done():
 			return
@@ -318,7 +318,7 @@
 		}
 		b.mu.Lock()
 		idle += time.Second
-		if len(f.held) > 0 {
+		if len(f.sessions) > 0 {
 			idle = 0
 		}
 		b.mu.Unlock()
@@ -327,38 +327,38 @@
 }
 
 // forget ends the following of a box without sessions.
-func (b *boxes) forget(server string, f *follower) bool {
+func (b *boxClient) removeIfUnused(server string, f *follower) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(f.held) > 0 {
+	if len(f.sessions) > 0 {
 		return false
 	}
-	delete(b.follow, server)
+	delete(b.followers, server)
 	return true
 }
 
-func (b *boxes) lost(server string, f *follower, gone func(id string, since time.Duration) bool) {
+func (b *boxClient) reportLost(server string, f *follower, gone func(id string, since time.Duration) bool) {
 	b.mu.Lock()
 	var ids []string
-	for id, since := range f.held {
+	for id, since := range f.sessions {
 		if gone(id, since) {
 			ids = append(ids, id)
-			delete(f.held, id)
+			delete(f.sessions, id)
 		}
 	}
 	b.mu.Unlock()
 	if len(ids) > 0 {
-		b.e.owner.SessionsLost(server, ids)
+		b.edge.orchestrator.SessionsLost(server, ids)
 	}
 }
 
-func (b *boxes) line(server string, f *follower, opened time.Duration, raw []byte) error {
+func (b *boxClient) handleEvent(server string, f *follower, opened time.Duration, raw []byte) error {
 	if len(raw) == 0 {
 		return nil
 	}
-	var l boxLine
+	var l boxEvent
 	if err := json.Unmarshal(raw, &l); err != nil {
-		b.e.Log.Warn("event line of a box makes no sense", "server", server, "error", err)
+		b.edge.Log.Warn("event line of a box makes no sense", "server", server, "error", err)
 		return nil
 	}
 	switch {
@@ -367,16 +367,16 @@
 		for _, id := range l.Sessions {
 			there[id] = true
 		}
-		b.lost(server, f, func(id string, since time.Duration) bool {
+		b.reportLost(server, f, func(id string, since time.Duration) bool {
 			return since < opened && !there[id]
 		})
 		for _, h := range l.Held {
-			b.e.goes(func() { b.e.adopt(server, h) })
+			b.edge.spawn(func() { b.edge.adoptSession(server, h) })
 		}
 	case l.End:
-		b.lost(server, f, func(id string, _ time.Duration) bool { return id == l.Session })
+		b.reportLost(server, f, func(id string, _ time.Duration) bool { return id == l.Session })
 	case l.Kind >= control.NoteShare && l.Kind <= control.NoteUplink && l.Value >= 0:
-		b.e.owner.AddNote(control.Note{ID: l.Session, Server: server, Kind: l.Kind, Value: l.Value})
+		b.edge.orchestrator.AddNote(control.Note{ID: l.Session, Server: server, Kind: l.Kind, Value: l.Value})
 	}
 	return nil
 }
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -19,25 +19,25 @@
 )
 
 const (
-	plannerQuiet = 5 * time.Second // the planner sends a line each second at the least
-	retryFirst   = 100 * time.Millisecond
-	retryMost    = 3 * time.Second
+	plannerReadTimeout = 5 * time.Second // the planner sends a line each second at the least
+	minRetryDelay      = 100 * time.Millisecond
+	maxRetryDelay      = 3 * time.Second
 )
 
 // follow keeps the planner's view. Without a planner the last view stands; each try waits longer, by a
 // random part, so that edges do not come back to a restarted planner together.
-func (e *Edge) follow(ctx context.Context) {
-	for range releasers {
-		e.goes(func() { e.boxes.releaseAll(ctx) })
+func (e *Edge) followPlanner(ctx context.Context) {
+	for range releaseWorkers {
+		e.spawn(func() { e.boxes.sendReleases(ctx) })
 	}
 	if e.Planner == "" {
 		return
 	}
-	wait := retryFirst
+	wait := minRetryDelay
 	for ctx.Err() == nil {
 		v := e.fleet.Load().view
 		whole := true // the first line of a stream is the whole view
-		_, err := e.boxes.client.Lines(ctx, e.Planner, "/v1/stream?edge="+strconv.Itoa(e.Position), plannerQuiet, func(raw []byte) error {
+		_, err := e.boxes.http.Lines(ctx, e.Planner, "/v1/stream?edge="+strconv.Itoa(e.Position), plannerReadTimeout, func(raw []byte) error {
 			l, err := view.Decode(raw)
 			if err != nil {
 				return err
@@ -46,13 +46,13 @@
 			if err != nil {
 				return err
 			}
-			wait = retryFirst
+			wait = minRetryDelay
 			if l.Holds != nil {
-				defer e.hold(l.Holds) // after the boxes that it names
+				defer e.applyHolds(l.Holds) // after the boxes that it names
 			}
 			if changed {
 				v = next
-				e.take(v, l, whole, false)
+				e.applyView(v, l, whole, false)
 				whole = false
 			}
 			return nil
@@ -65,12 +65,12 @@
 		case <-ctx.Done():
 		case <-time.After(wait/2 + rand.N(wait)):
 		}
-		wait = min(2*wait, retryMost)
+		wait = min(2*wait, maxRetryDelay)
 	}
 }
 
 // take makes a view the one in force and tells the module.
-func (e *Edge) take(v view.View, l view.Line, whole, cached bool) {
+func (e *Edge) applyView(v view.View, l view.Line, whole, cached bool) {
 	f := &fleet{view: v, titles: make(map[string]view.Title, len(v.Titles))}
 	for _, t := range v.Titles {
 		if t.Home < e.Site.Cells && t.Span <= e.Site.Cells {
@@ -83,40 +83,40 @@
 	e.fleet.Store(f)
 	u := control.ListUpdate{Whole: whole || l.Whole, Cached: cached}
 	for _, b := range l.Boxes {
-		if s, ok := e.server(b, l.Now); ok {
+		if s, ok := e.toServer(b, l.Now); ok {
 			u.Servers = append(u.Servers, s)
 		}
 	}
-	e.owner.AddEvent(u)
+	e.orchestrator.AddEvent(u)
 	e.Log.Info("view", "version", v.Version, "boxes", len(v.Boxes), "titles", len(v.Titles), "changed", len(l.Boxes), "cached", cached)
 	if !cached {
-		e.keepLast(v)
+		e.saveView(v)
 	}
 }
 
 // start is when a box started by this edge's clock. The planner's may be apart by seconds, and a cold box that
 // passes for an older one would be pushed over; so its age is taken, from the line that first told of that
 // start, and the result kept: a line that took longer is no other start.
-func (e *Edge) start(b view.Box, now int64) time.Duration {
+func (e *Edge) boxStartTime(b view.Box, now int64) time.Duration {
 	if b.Started <= 0 || now <= 0 {
 		return bound.Moment(b.Started)
 	}
-	e.starts.Lock()
-	defer e.starts.Unlock()
-	if s, ok := e.starts.of[b.ID]; ok && s.told == b.Started {
-		return s.own
+	e.boxStarts.Lock()
+	defer e.boxStarts.Unlock()
+	if s, ok := e.boxStarts.byBox[b.ID]; ok && s.reported == b.Started {
+		return s.local
 	}
-	if e.starts.of == nil {
-		e.starts.of = map[string]boxStart{}
+	if e.boxStarts.byBox == nil {
+		e.boxStarts.byBox = map[string]boxStart{}
 	}
 	own := max(e.now()-bound.Ms(now-b.Started), 1)
-	e.starts.of[b.ID] = boxStart{b.Started, own}
+	e.boxStarts.byBox[b.ID] = boxStart{b.Started, own}
 	return own
 }
 
-func (e *Edge) server(b view.Box, now int64) (control.Server, bool) {
+func (e *Edge) toServer(b view.Box, now int64) (control.Server, bool) {
 	s := control.Server{ID: b.ID, Zone: e.Site.Zone(b.Zone), Kind: e.Site.Kind(b.Kind), Cell: b.Cell, Weight: b.Weight,
-		Started: e.start(b, now)}
+		Started: e.boxStartTime(b, now)}
 	switch b.State {
 	case view.Ready:
 		s.State = control.Ready
@@ -133,34 +133,34 @@
 }
 
 // Subscribe is answered by the stream, which is always followed: the module gets the whole list.
-func (b *boxes) Subscribe() { b.ReadList() }
+func (b *boxClient) Subscribe() { b.ReadList() }
 
 // ReadList reads the whole list once.
-func (b *boxes) ReadList() {
-	b.e.goes(func() {
-		ctx, cancel := context.WithTimeout(b.e.ctx, 2*time.Second)
+func (b *boxClient) ReadList() {
+	b.edge.spawn(func() {
+		ctx, cancel := context.WithTimeout(b.edge.ctx, 2*time.Second)
 		defer cancel()
 		l, err := b.readView(ctx)
 		if err != nil {
-			b.e.Log.Warn("list not read", "error", err)
-			b.e.owner.AddEvent(control.ListUpdate{Failed: true})
+			b.edge.Log.Warn("list not read", "error", err)
+			b.edge.orchestrator.AddEvent(control.ListUpdate{Failed: true})
 			return
 		}
 		u := control.ListUpdate{Whole: true}
 		for _, x := range l.Boxes {
-			if s, ok := b.e.server(x, l.Now); ok {
+			if s, ok := b.edge.toServer(x, l.Now); ok {
 				u.Servers = append(u.Servers, s)
 			}
 		}
-		b.e.owner.AddEvent(u)
+		b.edge.orchestrator.AddEvent(u)
 	})
 }
 
-func (b *boxes) readView(ctx context.Context) (view.Line, error) {
-	if b.e.Planner == "" {
+func (b *boxClient) readView(ctx context.Context) (view.Line, error) {
+	if b.edge.Planner == "" {
 		return view.Line{}, errors.New("no planner")
 	}
-	p, err := b.client.Do(ctx, b.e.Planner, "GET", "/v1/view", nil, nil)
+	p, err := b.http.Do(ctx, b.edge.Planner, "GET", "/v1/view", nil, nil)
 	if err != nil {
 		return view.Line{}, err
 	}
@@ -170,36 +170,36 @@
 	return view.Decode(p.Body)
 }
 
-func (e *Edge) lastPath() string {
-	return filepath.Join(e.State, "view-"+strconv.Itoa(e.Position)+".json")
+func (e *Edge) viewPath() string {
+	return filepath.Join(e.StateDir, "view-"+strconv.Itoa(e.Position)+".json")
 }
 
 // keepLast makes a view the last one on disk.
-func (e *Edge) keepLast(v view.View) {
-	if e.State == "" {
+func (e *Edge) saveView(v view.View) {
+	if e.StateDir == "" {
 		return
 	}
 	b, err := json.Marshal(view.Line{Version: v.Version, Whole: true, Boxes: v.Boxes, Titles: v.Titles})
 	if err == nil {
-		err = viewstore.Open(e.lastPath()).Write(b, time.Now())
+		err = viewstore.Open(e.viewPath()).Write(b, time.Now())
 	}
 	if err != nil {
-		e.Log.Error("last view not kept", "file", e.lastPath(), "error", err)
+		e.Log.Error("last view not kept", "file", e.viewPath(), "error", err)
 	}
 }
 
 // loadLast starts from the last view. One that is torn or foreign is passed over for the one before; where
 // none is whole, the edge starts empty.
-func (e *Edge) loadLast() {
-	if e.State == "" {
+func (e *Edge) loadSavedView() {
+	if e.StateDir == "" {
 		return
 	}
-	last, err := viewstore.Open(e.lastPath()).Read()
+	last, err := viewstore.Open(e.viewPath()).Read()
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
 	if err != nil {
-		e.Log.Error("last view not used", "file", e.lastPath(), "error", err)
+		e.Log.Error("last view not used", "file", e.viewPath(), "error", err)
 	}
 	if last == nil {
 		return
@@ -214,13 +214,13 @@
 	}
 	e.Log.Info("started from the last view", "file", last.Path, "version", l.Version, "age", time.Since(last.WrittenAt).Round(time.Millisecond))
 	v := view.View{Version: l.Version, Boxes: l.Boxes, Titles: l.Titles}
-	e.take(v, l, true, true)
-	e.reclaim(v)
+	e.applyView(v, l, true, true)
+	e.reclaimSessions(v)
 }
 
 // openPeers opens the port for other edges' messages.
 func (e *Edge) openPeers() error {
-	if !e.set.AllowPeerMessages {
+	if !e.settings.AllowPeerMessages {
 		return nil
 	}
 	for _, o := range e.Site.Edges {
@@ -228,13 +228,13 @@
 		if err != nil {
 			return fmt.Errorf("edge: peer %q: %w", o.Peer, err)
 		}
-		e.peers = append(e.peers, a)
+		e.peerAddrs = append(e.peerAddrs, a)
 	}
-	if e.Peer != nil {
+	if e.PeerConn != nil {
 		return nil
 	}
 	var err error
-	if e.Peer, err = net.ListenPacket("udp", e.Site.Edges[e.Position].Peer); err != nil {
+	if e.PeerConn, err = net.ListenPacket("udp", e.Site.Edges[e.Position].Peer); err != nil {
 		return fmt.Errorf("edge: peers: %w", err)
 	}
 	return nil
@@ -242,28 +242,28 @@
 
 // Datagrams of edges: a mark with the version, then the module's text. The sender is known by its address.
 const (
-	peerMark = "rpl1 "
-	peerMost = 1400
+	peerPrefix     = "rpl1 "
+	maxPeerMessage = 1400
 )
 
 // Tell sends a message to another edge; it may be lost.
-func (b *boxes) Tell(to int, data string) {
-	e := b.e
-	if e.Peer == nil || to < 0 || to >= len(e.peers) || len(data) > peerMost {
+func (b *boxClient) Tell(to int, data string) {
+	e := b.edge
+	if e.PeerConn == nil || to < 0 || to >= len(e.peerAddrs) || len(data) > maxPeerMessage {
 		return
 	}
-	if _, err := e.Peer.WriteTo([]byte(peerMark+data), e.peers[to]); err != nil {
+	if _, err := e.PeerConn.WriteTo([]byte(peerPrefix+data), e.peerAddrs[to]); err != nil {
 		e.Log.Debug("message not sent", "to", to, "error", err)
 	}
 }
 
 // hearPeers takes messages of the edges that the site names; noise is dropped.
-func (e *Edge) hearPeers(ctx context.Context) {
-	stop := context.AfterFunc(ctx, func() { _ = e.Peer.SetReadDeadline(time.Unix(1, 0)) })
+func (e *Edge) receivePeerMessages(ctx context.Context) {
+	stop := context.AfterFunc(ctx, func() { _ = e.PeerConn.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
-	buf := make([]byte, peerMost+len(peerMark)+1)
+	buf := make([]byte, maxPeerMessage+len(peerPrefix)+1)
 	for ctx.Err() == nil {
-		n, from, err := e.Peer.ReadFrom(buf)
+		n, from, err := e.PeerConn.ReadFrom(buf)
 		if err != nil {
 			if ctx.Err() == nil {
 				time.Sleep(10 * time.Millisecond)
@@ -272,15 +272,15 @@
 		}
 		text := string(buf[:n])
 		who := -1
-		for i, a := range e.peers {
+		for i, a := range e.peerAddrs {
 			if i != e.Position && a.String() == from.String() {
 				who = i
 			}
 		}
-		if who < 0 || n == len(buf) || len(text) < len(peerMark) || text[:len(peerMark)] != peerMark {
+		if who < 0 || n == len(buf) || len(text) < len(peerPrefix) || text[:len(peerPrefix)] != peerPrefix {
 			e.Log.Debug("datagram dropped", "from", from.String(), "bytes", n)
 			continue
 		}
-		e.owner.AddEvent(control.PeerMessage{From: who, Data: text[len(peerMark):]})
+		e.orchestrator.AddEvent(control.PeerMessage{From: who, Data: text[len(peerPrefix):]})
 	}
 }
--- a/internal/edge/hold.go
+++ b/internal/edge/hold.go
@@ -14,32 +14,32 @@
 )
 
 // holds is what this edge was told to keep for announced peaks, and what it counts for the planner.
-type holds struct {
-	mu      sync.Mutex
-	told    int           // that the module knows of
-	expires time.Duration // by this edge's own clock
-	count   []view.Count
-	arrived map[string]float64 // first requests, by class and title
-	seq     uint64
+type holdState struct {
+	mu        sync.Mutex
+	active    int           // that the module knows of
+	expiresAt time.Duration // by this edge's own clock
+	counted   []view.Count
+	arrivals  map[string]float64 // first requests, by class and title
+	reportSeq uint64
 }
 
 // mostCounted bounds the titles whose requests are counted.
-const mostCounted = 10000
+const maxCounted = 10000
 
 // arrive counts a viewer's first request.
-func (h *holds) arrive(class, title string) {
+func (h *holdState) countArrival(class, title string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.arrived == nil {
-		h.arrived = map[string]float64{}
+	if h.arrivals == nil {
+		h.arrivals = map[string]float64{}
 	}
-	if k := class + "/" + title; len(h.arrived) < mostCounted || h.arrived[k] > 0 {
-		h.arrived[k]++
+	if k := class + "/" + title; len(h.arrivals) < maxCounted || h.arrivals[k] > 0 {
+		h.arrivals[k]++
 	}
 }
 
 // hold takes what the planner told.
-func (e *Edge) hold(t *view.Holds) {
+func (e *Edge) applyHolds(t *view.Holds) {
 	out := control.HoldsUpdate{}
 	for _, p := range t.Parts {
 		if class := e.Site.Class(p.Class); class >= 0 {
@@ -50,41 +50,41 @@
 	}
 	h := &e.holds
 	h.mu.Lock()
-	tell := h.told+len(out.Holds) > 0
-	h.told, h.expires, h.count = len(out.Holds), e.now()+bound.Ms(t.Lease), t.Count
+	tell := h.active+len(out.Holds) > 0
+	h.active, h.expiresAt, h.counted = len(out.Holds), e.now()+bound.Ms(t.Lease), t.Count
 	h.mu.Unlock()
 	if tell {
-		e.owner.AddEvent(out)
+		e.orchestrator.AddEvent(out)
 	}
 }
 
 // lapse lets holds go that were not told again in time: a planner that is gone keeps nobody out.
-func (e *Edge) lapse() {
+func (e *Edge) expireHolds() {
 	h := &e.holds
 	h.mu.Lock()
-	over := h.told > 0 && e.now() > h.expires
+	over := h.active > 0 && e.now() > h.expiresAt
 	if over {
-		h.told = 0
+		h.active = 0
 	}
 	h.mu.Unlock()
 	if over {
 		e.Log.Warn("holds lapsed: the planner did not renew them")
-		e.owner.AddEvent(control.HoldsUpdate{})
+		e.orchestrator.AddEvent(control.HoldsUpdate{})
 	}
 }
 
 // inForce is how many holds the module knows of.
-func (h *holds) inForce() int {
+func (h *holdState) activeCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.told
+	return h.active
 }
 
-const reportEvery = time.Second
+const reportInterval = time.Second
 
 // reportUse tells the planner what is used of peaks' room, while it asks for it.
-func (e *Edge) reportUse(ctx context.Context) {
-	t := time.NewTicker(reportEvery)
+func (e *Edge) reportUsage(ctx context.Context) {
+	t := time.NewTicker(reportInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -92,7 +92,7 @@
 			return
 		case <-t.C:
 		}
-		u := e.use()
+		u := e.usage()
 		if u == nil {
 			continue
 		}
@@ -101,8 +101,8 @@
 			e.Log.Error("use not reported", "error", err)
 			continue
 		}
-		limited, cancel := context.WithTimeout(ctx, reportEvery)
-		p, err := e.boxes.client.Do(limited, e.Planner, "POST", "/v1/used", []string{"Content-Type", "application/json"}, body)
+		limited, cancel := context.WithTimeout(ctx, reportInterval)
+		p, err := e.boxes.http.Do(limited, e.Planner, "POST", "/v1/used", []string{"Content-Type", "application/json"}, body)
 		cancel()
 		if err != nil || p.Status != 204 {
 			e.Log.Debug("use not reported", "error", err)
@@ -111,17 +111,17 @@
 }
 
 // use sums up the sessions of counted titles; nil where nothing is asked for.
-func (e *Edge) use() *view.Used {
+func (e *Edge) usage() *view.Used {
 	h := &e.holds
 	h.mu.Lock()
-	count := h.count
-	h.seq++
-	u := &view.Used{Edge: strconv.Itoa(e.Position) + "." + e.boot, Seq: h.seq}
+	count := h.counted
+	h.reportSeq++
+	u := &view.Used{Edge: strconv.Itoa(e.Position) + "." + e.instanceID, Seq: h.reportSeq}
 	for _, c := range count {
-		u.Arrived = append(u.Arrived, view.Arrived{Peak: c.Peak, Title: c.Title, N: h.arrived[c.Class+"/"+c.Title]})
+		u.Arrived = append(u.Arrived, view.Arrived{Peak: c.Peak, Title: c.Title, N: h.arrivals[c.Class+"/"+c.Title]})
 	}
 	h.mu.Unlock()
-	u.Outcomes = e.boxes.outcomes()
+	u.Outcomes = e.boxes.takeOutcomes()
 	if len(count) == 0 && len(u.Outcomes) == 0 {
 		return nil
 	}
@@ -130,7 +130,7 @@
 		peak[c.Class+"/"+c.Title] = c.Peak
 	}
 	sums := map[[3]string]*view.Use{}
-	e.table.each(func(s *session) bool {
+	e.sessions.forEach(func(s *session) bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		p, ok := peak[e.Site.Classes[s.class].Name+"/"+s.title.Name]
@@ -142,7 +142,7 @@
 			sums[k] = &view.Use{Peak: p, Title: s.title.Name, Box: s.server}
 		}
 		sums[k].Streams++
-		sums[k].Rate += e.set.Ladder[s.rung] * e.set.Classes[s.class].RateFactor
+		sums[k].Rate += e.settings.Ladder[s.publishedRung] * e.settings.Classes[s.class].RateFactor
 		return true
 	})
 	for _, x := range sums {
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -11,7 +11,7 @@
 
 // newMetrics reads the edge's own counts whenever it is asked, so that the path of a request pays nothing.
 func (e *Edge) newMetrics() *prometheus.Registry {
-	t, r := &e.owner.Stats, prometheus.NewRegistry()
+	t, r := &e.orchestrator.Stats, prometheus.NewRegistry()
 	count := func(name, help string, read func() int64) {
 		r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "rainpulley_edge_" + name, Help: help},
 			func() float64 { return float64(read()) }))
@@ -31,8 +31,8 @@
 	count("overdue_total", "Requests answered by the backstop.", t.Overdue.Load)
 	count("notes_lost_total", "Notes of boxes dropped: the queue was full.", t.NotesDropped.Load)
 	gauge("open_sessions", "Requests and sessions that the module holds.", t.Open.Load)
-	gauge("known_sessions", "Sessions remembered, ended ones of the last minute too.", e.table.size.Load)
-	gauge("holds", "Holds of announced peaks in force.", func() int64 { return int64(e.holds.inForce()) })
+	gauge("known_sessions", "Sessions remembered, ended ones of the last minute too.", e.sessions.size.Load)
+	gauge("holds", "Holds of announced peaks in force.", func() int64 { return int64(e.holds.activeCount()) })
 	gauge("view_version", "Version of the view in force.", func() int64 { return int64(e.fleet.Load().view.Version) })
 	gauge("view_boxes", "Boxes of the view in force.", func() int64 { return int64(len(e.fleet.Load().view.Boxes)) })
 	gauge("view_titles", "Titles of the view in force.", func() int64 { return int64(len(e.fleet.Load().view.Titles)) })
@@ -40,8 +40,8 @@
 }
 
 // showMetrics answers in Prometheus' text format, 0.0.4.
-func (e *Edge) showMetrics(x *http1.Exchange) {
-	families, err := e.metrics.Gather()
+func (e *Edge) writeMetrics(x *http1.Exchange) {
+	families, err := e.metricsRegistry.Gather()
 	format := expfmt.NewFormat(expfmt.TypeTextPlain)
 	var out bytes.Buffer
 	for _, f := range families {
@@ -51,7 +51,7 @@
 	}
 	if err != nil {
 		e.Log.Error("metrics", "error", err)
-		e.no(x, 500, "metrics could not be written")
+		e.writeText(x, 500, "metrics could not be written")
 		return
 	}
 	x.Status(200)
--- a/internal/edge/rig_test.go
+++ b/internal/edge/rig_test.go
@@ -134,8 +134,8 @@
 // startEdge starts one; it is ready when it lists so many boxes.
 func (w *world) startEdge(i, boxes int) {
 	w.t.Helper()
-	o := edge.Options{Site: w.site, Position: i, Planner: w.site.Planner.Listen, State: w.state, Seed: uint64(i + 1), Grace: 3 * time.Second,
-		Log: slog.New(slog.DiscardHandler), Clock: time.Now().Add(w.skew)}
+	o := edge.Options{Site: w.site, Position: i, Planner: w.site.Planner.Listen, StateDir: w.state, Seed: uint64(i + 1), ShutdownGrace: 3 * time.Second,
+		Log: slog.New(slog.DiscardHandler), StartTime: time.Now().Add(w.skew)}
 	if testing.Verbose() {
 		o.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
--- a/internal/edge/source.go
+++ b/internal/edge/source.go
@@ -14,32 +14,32 @@
 )
 
 // source is a title's manifest as a box gave it, ready for rewriting.
-type source struct {
-	base     string // URL of the manifest at the box
-	m        *hls.Multivariant
+type manifest struct {
+	path     string // URL of the manifest at the box
+	parsed   *hls.Multivariant
 	variants []hls.Variant // by bandwidth: one for each rung
-	media    []atomic.Pointer[hls.Track]
+	tracks   []atomic.Pointer[hls.Track]
 }
 
-func newSource(base string, body []byte, rungs int) (*source, error) {
+func parseManifest(base string, body []byte, rungs int) (*manifest, error) {
 	m, err := hls.ParseMultivariant(body)
 	if err != nil {
 		return nil, err
 	}
-	s := &source{base: base, m: m, variants: slices.Clone(m.Variants), media: make([]atomic.Pointer[hls.Track], rungs)}
+	s := &manifest{path: base, parsed: m, variants: slices.Clone(m.Variants), tracks: make([]atomic.Pointer[hls.Track], rungs)}
 	slices.SortStableFunc(s.variants, func(a, b hls.Variant) int { return a.Bandwidth - b.Bandwidth })
 	return s, nil
 }
 
 // variant of a rung; a title with fewer renditions than the ladder has rungs uses its best for the rest.
-func (s *source) variant(rung int) hls.Variant { return s.variants[min(rung, len(s.variants)-1)] }
+func (s *manifest) variant(rung int) hls.Variant { return s.variants[min(rung, len(s.variants)-1)] }
 
 // loaded is the track of a rung, or nil.
-func (s *source) loaded(rung int) *hls.Track { return s.media[rung].Load() }
+func (s *manifest) cachedTrack(rung int) *hls.Track { return s.tracks[rung].Load() }
 
 // length is how long the content plays.
-func (s *source) length(rung int) time.Duration {
-	t := s.loaded(rung)
+func (s *manifest) duration(rung int) time.Duration {
+	t := s.cachedTrack(rung)
 	if t == nil {
 		return 0
 	}
@@ -48,10 +48,10 @@
 
 // multivariant is the manifest for one session: the variant in force and the renditions of its groups,
 // with URIs at the edge under prefix.
-func (s *source) multivariant(rung int, prefix string) *hls.Multivariant {
+func (s *manifest) sessionManifest(rung int, prefix string) *hls.Multivariant {
 	v := s.variant(rung)
-	out := &hls.Multivariant{Version: s.m.Version, Other: s.m.Other}
-	for i, r := range s.m.Renditions {
+	out := &hls.Multivariant{Version: s.parsed.Version, Other: s.parsed.Other}
+	for i, r := range s.parsed.Renditions {
 		if g := v.Attrs.Get(r.Attrs.Get("TYPE")); g != r.Attrs.Get("GROUP-ID") {
 			continue
 		}
@@ -67,45 +67,45 @@
 
 // sources keeps media playlists that were read from boxes. Boxes that hold a title hold the same
 // playlists, so one that was read is good for all; it is read anew after a while.
-type sources struct {
-	e      *Edge
+type playlistCache struct {
+	edge   *Edge
 	mu     sync.Mutex
-	byPath map[string]sourceEntry
+	byPath map[string]cachedPlaylist
 }
 
-type sourceEntry struct {
+type cachedPlaylist struct {
 	track *hls.Track
 	at    time.Duration
 }
 
 const (
-	sourceFor   = 30 * time.Second
-	mostSources = 4096
+	playlistTTL        = 30 * time.Second
+	maxCachedPlaylists = 4096
 )
 
 // track is the track of a rung, read from a box where it is not known.
-func (s *sources) track(ctx context.Context, server string, src *source, rung int) (*hls.Track, error) {
-	path, err := hls.Resolve("http://"+server+src.base, src.variant(rung).URI)
+func (s *playlistCache) rungTrack(ctx context.Context, server string, src *manifest, rung int) (*hls.Track, error) {
+	path, err := hls.Resolve("http://"+server+src.path, src.variant(rung).URI)
 	if err != nil {
 		return nil, err
 	}
-	t, err := s.load(ctx, server, path)
+	t, err := s.loadTrack(ctx, server, path)
 	if err != nil {
 		return nil, err
 	}
-	src.media[rung].Store(t)
+	src.tracks[rung].Store(t)
 	return t, nil
 }
 
-func (s *sources) load(ctx context.Context, server, path string) (*hls.Track, error) {
-	now := s.e.now()
+func (s *playlistCache) loadTrack(ctx context.Context, server, path string) (*hls.Track, error) {
+	now := s.edge.now()
 	s.mu.Lock()
 	have, ok := s.byPath[path]
 	s.mu.Unlock()
-	if ok && now-have.at < sourceFor {
+	if ok && now-have.at < playlistTTL {
 		return have.track, nil
 	}
-	p, err := s.e.boxes.client.Do(ctx, server, "GET", path, nil, nil)
+	p, err := s.edge.boxes.http.Do(ctx, server, "GET", path, nil, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -123,11 +123,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for old := range s.byPath {
-		if len(s.byPath) < mostSources {
+		if len(s.byPath) < maxCachedPlaylists {
 			break
 		}
 		delete(s.byPath, old)
 	}
-	s.byPath[path] = sourceEntry{t, now}
+	s.byPath[path] = cachedPlaylist{t, now}
 	return t, nil
 }
