--- a/internal/cmsd/cmsd.go
+++ b/internal/cmsd/cmsd.go
@@ -9,13 +9,13 @@
 
 // Names of the keys.
 const (
-	Streams = "example.rainpulley-streams" // that it runs or sets up
-	Link    = "example.rainpulley-link"    // asked of its link over what it gives
-	Uplink  = "example.rainpulley-uplink"  // the same for its rack's uplink
+	KeyStreams = "example.rainpulley-streams" // that it runs or sets up
+	KeyLink    = "example.rainpulley-link"    // asked of its link over what it gives
+	KeyUplink  = "example.rainpulley-uplink"  // the same for its rack's uplink
 )
 
 // Load is what a header told; nil fields were not told.
-type Load struct{ Streams, Link, Uplink *float64 }
+type Load struct{ Streams, LinkUtilization, UplinkUtilization *float64 }
 
 // Parse reads a header. Values that make no sense count as not told; nil if nothing was.
 func Parse(header []byte) *Load {
@@ -27,12 +27,12 @@
 			continue
 		}
 		switch k {
-		case Streams:
+		case KeyStreams:
 			l.Streams = &n
-		case Link:
-			l.Link = &n
-		case Uplink:
-			l.Uplink = &n
+		case KeyLink:
+			l.LinkUtilization = &n
+		case KeyUplink:
+			l.UplinkUtilization = &n
 		default:
 			continue
 		}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -103,10 +103,10 @@
 func New(addr string, lastIndex int64, connectTimeout time.Duration, log *slog.Logger,
 	apply func([]Update) error) *Follower {
 	limits := http1.DefaultLimits()
-	limits.Body = maxResponseBytes
-	limits.HeadFor, limits.BodyFor, limits.IdleFor = pollWait+pollGrace, pollWait+pollGrace, pollWait+pollGrace
+	limits.MaxBodyBytes = maxResponseBytes
+	limits.HeadTimeout, limits.BodyTimeout, limits.IdleTimeout = pollWait+pollGrace, pollWait+pollGrace, pollWait+pollGrace
 	return &Follower{Apply: apply, Log: log, addr: addr, lastIndex: lastIndex,
-		client: http1.Client{Limits: limits, Connect: connectTimeout}}
+		client: http1.Client{Limits: limits, ConnectTimeout: connectTimeout}}
 }
 
 // SwitchAddress follows the coordinator at another address from now on and keeps the event numbers. known are events
--- a/internal/edge/adopt.go
+++ b/internal/edge/adopt.go
@@ -7,8 +7,8 @@
 
 	"rainpulley/control"
 	"rainpulley/internal/admission"
-	"rainpulley/internal/bound"
 	"rainpulley/internal/hls"
+	"rainpulley/internal/timeconv"
 	"rainpulley/internal/view"
 )
 
@@ -75,14 +75,14 @@
 	close(y.answered)
 	now := e.now()
 	s.request, s.requestCount, s.state, s.stateSince, s.hasPlayed = y, 1, admission.Playing, now, true
-	s.contentStart = now - bound.Ms(h.Since)
+	s.contentStart = now - timeconv.Milliseconds(h.Since)
 	s.server, s.manifest, s.publishedRung, s.wantedRung = server, src, h.Rung, h.Rung
-	s.window.Aim("http://"+server, sessionQuery(y.id), track, 0)
-	s.window.Begin(track.At((now - s.contentStart).Seconds()))
+	s.window.SetSource("http://"+server, sessionQuery(y.id), track, 0)
+	s.window.StartAt(track.SegmentAt((now - s.contentStart).Seconds()))
 	s.lastSeenAt.Store(int64(now))
 	e.boxes.addSession(server, y.id)
-	left := max(bound.Ms(title.Length)-bound.Ms(h.Since), 0)
-	r := control.Request{ID: y.id, Class: class, Viewer: hash(s.viewerKey), Title: hash(title.Name), HomeCell: title.Home, CellSpan: title.Span,
+	left := max(timeconv.Milliseconds(title.LengthMs)-timeconv.Milliseconds(h.Since), 0)
+	r := control.Request{ID: y.id, Class: class, Viewer: hash(s.viewerKey), Title: hash(title.Name), HomeCell: title.HomeCell, CellSpan: title.CellSpan,
 		BestRung: best, GiveUpAt: now, ExpectedLength: left, Server: server}
 	if title.Listed {
 		r.Holders = title.Holders
--- a/internal/edge/boxes.go
+++ b/internal/edge/boxes.go
@@ -52,7 +52,7 @@
 func newBoxClient(e *Edge) *boxClient {
 	limits := http1.DefaultLimits()
 	return &boxClient{edge: e, followers: map[string]*follower{}, outcomes: map[string]view.Outcome{}, releaseQueue: make(chan releaseRequest, releaseQueueSize),
-		http: &http1.Client{Limits: limits, Connect: e.Site.Attempts.ConnectTimeout.D()}}
+		http: &http1.Client{Limits: limits, ConnectTimeout: e.Site.Attempts.ConnectTimeout.D()}}
 }
 
 // SetUp asks a box to start a session: POST /sessions/<id>. What proves that it never ran is told apart
@@ -135,7 +135,7 @@
 func classifySetUpError(ctx context.Context, err error) control.Outcome {
 	var e *http1.Error
 	switch {
-	case errors.Is(err, http1.ErrNeverSent):
+	case errors.Is(err, http1.ErrNotSent):
 		return control.ConnectFailed
 	case ctx.Err() != nil:
 		return control.Reset // core puts in why it was given up
@@ -159,7 +159,7 @@
 	if l == nil {
 		return nil
 	}
-	return &control.LoadReport{Streams: l.Streams, Link: l.Link, Uplink: l.Uplink}
+	return &control.LoadReport{Streams: l.Streams, Link: l.LinkUtilization, Uplink: l.UplinkUtilization}
 }
 
 // name is this instance of the edge, as boxes know it.
@@ -279,7 +279,7 @@
 		opened := b.edge.now()
 		ctx, cancel := context.WithCancel(b.edge.ctx)
 		b.edge.spawn(func() { b.cancelWhenIdle(ctx, cancel, f) })
-		ok, err := b.http.Lines(ctx, server, "/events?edge="+b.edge.instanceName(), streamReadTimeout, func(line []byte) error {
+		ok, err := b.http.StreamLines(ctx, server, "/events?edge="+b.edge.instanceName(), streamReadTimeout, func(line []byte) error {
 			failures = 0
 			return b.handleEvent(server, f, opened, line)
 		})
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -21,10 +21,10 @@
 
 	"rainpulley/control"
 	"rainpulley/internal/admission"
-	"rainpulley/internal/bound"
 	"rainpulley/internal/config"
 	"rainpulley/internal/core"
 	"rainpulley/internal/http1"
+	"rainpulley/internal/timeconv"
 	"rainpulley/internal/view"
 )
 
@@ -158,7 +158,7 @@
 		e.spawn(func() { e.receivePeerMessages(inner) })
 	}
 	e.Log.Info("edge serves", "address", e.Listener.Addr().String(), "position", e.Position, "instance", e.instanceID)
-	s := &http1.Server{Handle: e.handle, Limits: http1.DefaultLimits(), Conns: e.Site.Limits.Connections, Log: e.Log}
+	s := &http1.Server{Handler: e.handle, Limits: http1.DefaultLimits(), MaxConns: e.Site.Limits.Connections, Log: e.Log}
 	err := s.Serve(ctx, e.Listener, e.ShutdownGrace)
 	e.Log.Info("edge stops", "open", e.orchestrator.Stats.Open.Load())
 	stop()
@@ -186,12 +186,12 @@
 func (e *Edge) submit(s *session, d admission.Decision, patience time.Duration) (*placementRequest, bool) {
 	y := &placementRequest{id: e.nextRequestID(), title: s.title.Name, maxRung: s.maxRung, session: s, edge: e, answered: make(chan struct{}), closed: make(chan struct{})}
 	now := e.now()
-	length := bound.Ms(s.title.Length)
+	length := timeconv.Milliseconds(s.title.LengthMs)
 	if length > 0 && s.resumePosition > 0 {
 		length = max(length-s.resumePosition, 0)
 	}
-	r := control.Request{ID: y.id, Class: s.class, Viewer: hash(s.viewerKey), Title: hash(s.title.Name), HomeCell: s.title.Home,
-		CellSpan: s.title.Span, BestRung: s.maxRung, GiveUpAt: now + patience, ExpectedLength: length,
+	r := control.Request{ID: y.id, Class: s.class, Viewer: hash(s.viewerKey), Title: hash(s.title.Name), HomeCell: s.title.HomeCell,
+		CellSpan: s.title.CellSpan, BestRung: s.maxRung, GiveUpAt: now + patience, ExpectedLength: length,
 		Repeat: d.Repeat, Returned: d.Returned, Moved: d.Moved}
 	if s.title.Listed {
 		r.Holders = s.title.Holders
@@ -292,7 +292,7 @@
 			}
 		} else if s.request == y && s.state == admission.Playing && s.server == server {
 			s.publishedRung = want
-			s.window.Aim("http://"+server, sessionQuery(y.id), track, 0)
+			s.window.SetSource("http://"+server, sessionQuery(y.id), track, 0)
 		}
 		s.mu.Unlock()
 	}
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"rainpulley/control"
-	"rainpulley/internal/bound"
+	"rainpulley/internal/timeconv"
 	"rainpulley/internal/view"
 	"rainpulley/internal/viewstore"
 )
@@ -37,7 +37,7 @@
 	for ctx.Err() == nil {
 		v := e.fleet.Load().view
 		whole := true // the first line of a stream is the whole view
-		_, err := e.boxes.http.Lines(ctx, e.Planner, "/v1/stream?edge="+strconv.Itoa(e.Position), plannerReadTimeout, func(raw []byte) error {
+		_, err := e.boxes.http.StreamLines(ctx, e.Planner, "/v1/stream?edge="+strconv.Itoa(e.Position), plannerReadTimeout, func(raw []byte) error {
 			l, err := view.Decode(raw)
 			if err != nil {
 				return err
@@ -70,10 +70,10 @@
 }
 
 // take makes a view the one in force and tells the module.
-func (e *Edge) applyView(v view.View, l view.Line, whole, cached bool) {
+func (e *Edge) applyView(v view.View, l view.Update, whole, cached bool) {
 	f := &fleet{view: v, titles: make(map[string]view.Title, len(v.Titles))}
 	for _, t := range v.Titles {
-		if t.Home < e.Site.Cells && t.Span <= e.Site.Cells {
+		if t.HomeCell < e.Site.Cells && t.CellSpan <= e.Site.Cells {
 			if t.Listed && t.Holders == nil {
 				t.Holders = []string{} // nobody has it: nil would say that its cells do
 			}
@@ -81,9 +81,9 @@
 		}
 	}
 	e.fleet.Store(f)
-	u := control.ListUpdate{Whole: whole || l.Whole, Cached: cached}
+	u := control.ListUpdate{Whole: whole || l.Full, Cached: cached}
 	for _, b := range l.Boxes {
-		if s, ok := e.toServer(b, l.Now); ok {
+		if s, ok := e.toServer(b, l.NowMs); ok {
 			u.Servers = append(u.Servers, s)
 		}
 	}
@@ -98,19 +98,19 @@
 // passes for an older one would be pushed over; so its age is taken, from the line that first told of that
 // start, and the result kept: a line that took longer is no other start.
 func (e *Edge) boxStartTime(b view.Box, now int64) time.Duration {
-	if b.Started <= 0 || now <= 0 {
-		return bound.Moment(b.Started)
+	if b.StartedMs <= 0 || now <= 0 {
+		return timeconv.UnixMilli(b.StartedMs)
 	}
 	e.boxStarts.Lock()
 	defer e.boxStarts.Unlock()
-	if s, ok := e.boxStarts.byBox[b.ID]; ok && s.reported == b.Started {
+	if s, ok := e.boxStarts.byBox[b.ID]; ok && s.reported == b.StartedMs {
 		return s.local
 	}
 	if e.boxStarts.byBox == nil {
 		e.boxStarts.byBox = map[string]boxStart{}
 	}
-	own := max(e.now()-bound.Ms(now-b.Started), 1)
-	e.boxStarts.byBox[b.ID] = boxStart{b.Started, own}
+	own := max(e.now()-timeconv.Milliseconds(now-b.StartedMs), 1)
+	e.boxStarts.byBox[b.ID] = boxStart{b.StartedMs, own}
 	return own
 }
 
@@ -118,11 +118,11 @@
 	s := control.Server{ID: b.ID, Zone: e.Site.Zone(b.Zone), Kind: e.Site.Kind(b.Kind), Cell: b.Cell, Weight: b.Weight,
 		Started: e.boxStartTime(b, now)}
 	switch b.State {
-	case view.Ready:
+	case view.StateReady:
 		s.State = control.Ready
-	case view.Draining:
+	case view.StateDraining:
 		s.State = control.Draining
-	case view.Gone:
+	case view.StateGone:
 		s.State = control.Gone
 	}
 	if s.Zone < 0 || s.Kind < 0 || b.Cell >= e.Site.Cells {
@@ -148,7 +148,7 @@
 		}
 		u := control.ListUpdate{Whole: true}
 		for _, x := range l.Boxes {
-			if s, ok := b.edge.toServer(x, l.Now); ok {
+			if s, ok := b.edge.toServer(x, l.NowMs); ok {
 				u.Servers = append(u.Servers, s)
 			}
 		}
@@ -156,16 +156,16 @@
 	})
 }
 
-func (b *boxClient) readView(ctx context.Context) (view.Line, error) {
+func (b *boxClient) readView(ctx context.Context) (view.Update, error) {
 	if b.edge.Planner == "" {
-		return view.Line{}, errors.New("no planner")
+		return view.Update{}, errors.New("no planner")
 	}
 	p, err := b.http.Do(ctx, b.edge.Planner, "GET", "/v1/view", nil, nil)
 	if err != nil {
-		return view.Line{}, err
+		return view.Update{}, err
 	}
 	if p.Status != 200 {
-		return view.Line{}, fmt.Errorf("planner answered %d", p.Status)
+		return view.Update{}, fmt.Errorf("planner answered %d", p.Status)
 	}
 	return view.Decode(p.Body)
 }
@@ -179,7 +179,7 @@
 	if e.StateDir == "" {
 		return
 	}
-	b, err := json.Marshal(view.Line{Version: v.Version, Whole: true, Boxes: v.Boxes, Titles: v.Titles})
+	b, err := json.Marshal(view.Update{Version: v.Version, Full: true, Boxes: v.Boxes, Titles: v.Titles})
 	if err == nil {
 		err = viewstore.Open(e.viewPath()).Write(b, time.Now())
 	}
@@ -205,7 +205,7 @@
 		return
 	}
 	l, err := view.Decode(last.Body)
-	if err == nil && !l.Whole {
+	if err == nil && !l.Full {
 		err = errors.New("not a whole view")
 	}
 	if err != nil {
--- a/internal/edge/handle.go
+++ b/internal/edge/handle.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"rainpulley/internal/admission"
-	"rainpulley/internal/bound"
 	"rainpulley/internal/core"
 	"rainpulley/internal/hls"
 	"rainpulley/internal/http1"
+	"rainpulley/internal/timeconv"
 )
 
 const playlistType = "application/vnd.apple.mpegurl" // RFC 8216, 4
@@ -23,18 +23,18 @@
 	get := string(x.Method) == "GET" || string(x.Method) == "HEAD"
 	switch {
 	case !get && string(x.Method) == "OPTIONS": // what a browser asks before another origin's GET
-		x.Status(204)
+		x.StartResponse(204)
 		addCORSHeaders(x)
 	case !get:
-		x.Status(405)
-		x.Header("Allow", "GET, HEAD, OPTIONS")
+		x.StartResponse(405)
+		x.AddHeader("Allow", "GET, HEAD, OPTIONS")
 	case bytes.HasPrefix(x.Path, []byte("/s/")):
 		e.handleMedia(ctx, x)
 	case bytes.HasPrefix(x.Path, []byte("/play/")):
 		e.handlePlay(ctx, x)
 	case string(x.Path) == "/healthz":
-		x.Status(200)
-		x.Out = append(x.Out, "ok\n"...)
+		x.StartResponse(200)
+		x.ResponseBody = append(x.ResponseBody, "ok\n"...)
 	case string(x.Path) == "/status":
 		e.writeStatus(x)
 	case string(x.Path) == "/metrics":
@@ -45,15 +45,15 @@
 }
 
 func addCORSHeaders(x *http1.Exchange) {
-	x.Header("Access-Control-Allow-Origin", "*")
-	x.Header("Access-Control-Allow-Headers", "Rainpulley-Key, Range, CMCD-Session, CMCD-Request, CMCD-Object, CMCD-Status")
+	x.AddHeader("Access-Control-Allow-Origin", "*")
+	x.AddHeader("Access-Control-Allow-Headers", "Rainpulley-Key, Range, CMCD-Session, CMCD-Request, CMCD-Object, CMCD-Status")
 }
 
 func (e *Edge) writeText(x *http1.Exchange, code int, why string) {
-	x.Status(code)
+	x.StartResponse(code)
 	addCORSHeaders(x)
-	x.Header("Content-Type", "text/plain")
-	x.Out = append(append(x.Out, why...), '\n')
+	x.AddHeader("Content-Type", "text/plain")
+	x.ResponseBody = append(append(x.ResponseBody, why...), '\n')
 }
 
 // play is the first request of a session: /play/<title>/index.m3u8?class=&best=&key=&patience=.
@@ -94,7 +94,7 @@
 
 func (e *Edge) parsePlay(x *http1.Exchange, title string) (viewerRequest, error) {
 	a := viewerRequest{title: title}
-	if v := x.Param("class"); v != nil {
+	if v := x.QueryParam("class"); v != nil {
 		a.class = e.Site.Class(string(v))
 	}
 	if a.class < 0 {
@@ -102,7 +102,7 @@
 	}
 	class := &e.settings.Classes[a.class]
 	a.maxRung = e.maxUsableRung(a.class, cmcdValue(x, "cmcd-object", "tb"))
-	if v := x.Param("best"); v != nil {
+	if v := x.QueryParam("best"); v != nil {
 		n, err := strconv.Atoi(string(v))
 		if err != nil || n < 0 {
 			return a, fmt.Errorf("best: no rung")
@@ -123,12 +123,12 @@
 		return a, fmt.Errorf("key: 1 to 64 letters, digits, - . _ ~")
 	}
 	a.patience = class.Deadline
-	if v := x.Param("patience"); v != nil {
+	if v := x.QueryParam("patience"); v != nil {
 		n, err := strconv.ParseInt(string(v), 10, 64)
 		if err != nil || n <= 0 {
 			return a, fmt.Errorf("patience: milliseconds above 0")
 		}
-		a.patience = min(a.patience, bound.Ms(n))
+		a.patience = min(a.patience, timeconv.Milliseconds(n))
 	}
 	a.sessionName = []byte(e.Site.Classes[a.class].Name + "/" + title + "/" + a.viewerKey)
 	return a, nil
@@ -136,7 +136,7 @@
 
 // viewerKey is the query's key, the header's, or the session id of CMCD (CTA-5004, sid).
 func viewerKey(x *http1.Exchange) string {
-	if v := x.Param("key"); v != nil {
+	if v := x.QueryParam("key"); v != nil {
 		return string(v)
 	}
 	if v := x.Get("rainpulley-key"); v != nil {
@@ -148,7 +148,7 @@
 // cmcd is a key of the player's own word (CTA-5004), by query or header; "" if it was not sent.
 func cmcdValue(x *http1.Exchange, header, key string) string {
 	text := string(x.Get(header))
-	if v := x.Param("CMCD"); v != nil {
+	if v := x.QueryParam("CMCD"); v != nil {
 		text = unescapeCMCD(string(v))
 	}
 	for _, part := range strings.Split(text, ",") {
@@ -241,11 +241,11 @@
 	}
 	s.lastSeenAt.Store(int64(now))
 	s.extendWindow(e, now)
-	x.Status(200)
-	x.Header("Content-Type", playlistType)
-	x.Header("Cache-Control", "no-store")
-	x.Header("Access-Control-Allow-Origin", "*")
-	x.Out = s.window.Append(x.Out)
+	x.StartResponse(200)
+	x.AddHeader("Content-Type", playlistType)
+	x.AddHeader("Cache-Control", "no-store")
+	x.AddHeader("Access-Control-Allow-Origin", "*")
+	x.ResponseBody = s.window.Append(x.ResponseBody)
 	return true
 }
 
@@ -257,9 +257,9 @@
 	}
 	play := e.playback.Load()
 	ahead := play.Ahead.D()
-	each := max(track.Start(1)-track.Start(0), 0.1)
+	each := max(track.SegmentStart(1)-track.SegmentStart(0), 0.1)
 	keep := int(math.Ceil((ahead+play.Behind.D()).Seconds()/each)) + 2
-	s.window.Grow(track.At((now - s.contentStart + ahead).Seconds()), keep)
+	s.window.Publish(track.SegmentAt((now - s.contentStart + ahead).Seconds()), keep)
 }
 
 // startFits tells a <best>/<start> of which the start is a time that was, without allocating.
@@ -279,7 +279,7 @@
 			return false
 		}
 	}
-	return n <= bound.Latest && bound.Moment(n) <= now+maxClockSkew
+	return n <= timeconv.MaxUnixMilli && timeconv.UnixMilli(n) <= now+maxClockSkew
 }
 
 // startAhead is how far the clock of the edge that wrote a start may be ahead of this one's.
@@ -312,7 +312,7 @@
 		return a, fmt.Errorf("no such playlist")
 	}
 	a.maxRung, a.patience = best, class.Deadline
-	a.position = max(e.now()-bound.Moment(start), 0)
+	a.position = max(e.now()-timeconv.UnixMilli(start), 0)
 	return a, nil
 }
 
@@ -402,7 +402,7 @@
 
 // await waits for a try's answer. False if the exchange is settled: the viewer went away, or time ran out.
 func (e *Edge) awaitAnswer(x *http1.Exchange, s *session, y *placementRequest, due time.Duration) bool {
-	gone, stop := x.Watch()
+	gone, stop := x.WatchDisconnect()
 	late := time.NewTimer(due + e.Site.Rules.AnswerSlack.D() - e.now())
 	defer late.Stop()
 	ok, left := false, false
@@ -445,8 +445,8 @@
 func (e *Edge) writeRefusal(x *http1.Exchange, after time.Duration) {
 	e.writeText(x, 503, "no room now")
 	if after > 0 {
-		x.Header("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
-		x.Header("Rainpulley-Retry-After-Ms", strconv.FormatInt(after.Milliseconds(), 10))
+		x.AddHeader("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
+		x.AddHeader("Rainpulley-Retry-After-Ms", strconv.FormatInt(after.Milliseconds(), 10))
 	}
 }
 
@@ -458,24 +458,24 @@
 		return
 	}
 	defer s.mu.Unlock()
-	x.Status(200)
+	x.StartResponse(200)
 	addCORSHeaders(x)
-	x.Header("Content-Type", playlistType)
-	x.Header("Cache-Control", "no-store")
+	x.AddHeader("Content-Type", playlistType)
+	x.AddHeader("Cache-Control", "no-store")
 	if k == admission.Reload {
 		s.extendWindow(e, now)
-		x.Out = s.window.Append(x.Out)
+		x.ResponseBody = s.window.Append(x.ResponseBody)
 		return
 	}
 	prefix := "/s/" + s.name + "/" + strconv.Itoa(s.maxRung) + "/" + strconv.FormatInt(s.contentStart.Milliseconds(), 36) + "/"
-	x.Out = s.manifest.sessionManifest(s.publishedRung, prefix).Append(x.Out)
+	x.ResponseBody = s.manifest.sessionManifest(s.publishedRung, prefix).Append(x.ResponseBody)
 }
 
 func (e *Edge) writeStatus(x *http1.Exchange) {
-	x.Status(200)
-	x.Header("Content-Type", "application/json")
+	x.StartResponse(200)
+	x.AddHeader("Content-Type", "application/json")
 	t, v := &e.orchestrator.Stats, e.fleet.Load().view
-	x.Out = fmt.Appendf(x.Out, `{"position":%d,"instance":%q,"view":%d,"boxes":%d,"titles":%d,"sessions":%d,"open":%d,`+
+	x.ResponseBody = fmt.Appendf(x.ResponseBody, `{"position":%d,"instance":%q,"view":%d,"boxes":%d,"titles":%d,"sessions":%d,"open":%d,`+
 		`"requests":%d,"turned_away":%d,"plays":%d,"refused":%d,"failed":%d,"attempts":%d,"further":%d,"overdue":%d,"notes_lost":%d,"holds":%d}`+"\n",
 		e.Position, e.instanceID, v.Version, len(v.Boxes), len(v.Titles), e.sessions.size.Load(), t.Open.Load(), t.Requests.Load(),
 		t.QueueFull.Load(), t.Started.Load(), t.Refused.Load(), t.Failed.Load(), t.Attempts.Load(), t.FurtherAttempts.Load(),
--- a/internal/edge/hold.go
+++ b/internal/edge/hold.go
@@ -9,7 +9,7 @@
 
 	"rainpulley/control"
 	"rainpulley/internal/admission"
-	"rainpulley/internal/bound"
+	"rainpulley/internal/timeconv"
 	"rainpulley/internal/view"
 )
 
@@ -18,7 +18,7 @@
 	mu        sync.Mutex
 	active    int           // that the module knows of
 	expiresAt time.Duration // by this edge's own clock
-	counted   []view.Count
+	counted   []view.CountedTitle
 	arrivals  map[string]float64 // first requests, by class and title
 	reportSeq uint64
 }
@@ -41,7 +41,7 @@
 // hold takes what the planner told.
 func (e *Edge) applyHolds(t *view.Holds) {
 	out := control.HoldsUpdate{}
-	for _, p := range t.Parts {
+	for _, p := range t.Entries {
 		if class := e.Site.Class(p.Class); class >= 0 {
 			out.Holds = append(out.Holds, control.Hold{Server: p.Box, Class: class, Title: hash(p.Title), Rate: p.Rate, Streams: p.Streams})
 		} else {
@@ -51,7 +51,7 @@
 	h := &e.holds
 	h.mu.Lock()
 	tell := h.active+len(out.Holds) > 0
-	h.active, h.expiresAt, h.counted = len(out.Holds), e.now()+bound.Ms(t.Lease), t.Count
+	h.active, h.expiresAt, h.counted = len(out.Holds), e.now()+timeconv.Milliseconds(t.LeaseMs), t.CountedTitles
 	h.mu.Unlock()
 	if tell {
 		e.orchestrator.AddEvent(out)
@@ -111,14 +111,14 @@
 }
 
 // use sums up the sessions of counted titles; nil where nothing is asked for.
-func (e *Edge) usage() *view.Used {
+func (e *Edge) usage() *view.UsageReport {
 	h := &e.holds
 	h.mu.Lock()
 	count := h.counted
 	h.reportSeq++
-	u := &view.Used{Edge: strconv.Itoa(e.Position) + "." + e.instanceID, Seq: h.reportSeq}
+	u := &view.UsageReport{Edge: strconv.Itoa(e.Position) + "." + e.instanceID, Seq: h.reportSeq}
 	for _, c := range count {
-		u.Arrived = append(u.Arrived, view.Arrived{Peak: c.Peak, Title: c.Title, N: h.arrivals[c.Class+"/"+c.Title]})
+		u.Arrivals = append(u.Arrivals, view.TitleArrivals{Peak: c.Peak, Title: c.Title, Count: h.arrivals[c.Class+"/"+c.Title]})
 	}
 	h.mu.Unlock()
 	u.Outcomes = e.boxes.takeOutcomes()
@@ -129,7 +129,7 @@
 	for _, c := range count {
 		peak[c.Class+"/"+c.Title] = c.Peak
 	}
-	sums := map[[3]string]*view.Use{}
+	sums := map[[3]string]*view.TitleUsage{}
 	e.sessions.forEach(func(s *session) bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -139,14 +139,14 @@
 		}
 		k := [3]string{p, s.title.Name, s.server}
 		if sums[k] == nil {
-			sums[k] = &view.Use{Peak: p, Title: s.title.Name, Box: s.server}
+			sums[k] = &view.TitleUsage{Peak: p, Title: s.title.Name, Box: s.server}
 		}
 		sums[k].Streams++
 		sums[k].Rate += e.settings.Ladder[s.publishedRung] * e.settings.Classes[s.class].RateFactor
 		return true
 	})
 	for _, x := range sums {
-		u.Uses = append(u.Uses, *x)
+		u.Usage = append(u.Usage, *x)
 	}
 	return u
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -54,7 +54,7 @@
 		e.writeText(x, 500, "metrics could not be written")
 		return
 	}
-	x.Status(200)
-	x.Header("Content-Type", string(format))
-	x.Out = append(x.Out, out.Bytes()...)
+	x.StartResponse(200)
+	x.AddHeader("Content-Type", string(format))
+	x.ResponseBody = append(x.ResponseBody, out.Bytes()...)
 }
--- a/internal/edge/rendition.go
+++ b/internal/edge/rendition.go
@@ -14,11 +14,11 @@
 func (e *Edge) writeRendition(ctx context.Context, x *http1.Exchange, s *session, a viewerRequest) {
 	server, src, id, until := s.server, s.manifest, s.request.id, e.now()-s.contentStart+e.playback.Load().Ahead.D()
 	s.mu.Unlock()
-	if a.playlist > len(src.parsed.Renditions) || src.parsed.Renditions[a.playlist-1].Attrs.Get("URI") == "" {
+	if a.playlist > len(src.parsed.Renditions) || src.parsed.Renditions[a.playlist-1].Attributes.Get("URI") == "" {
 		e.writeText(x, 404, "no such rendition")
 		return
 	}
-	path, err := hls.Resolve("http://"+server+src.path, src.parsed.Renditions[a.playlist-1].Attrs.Get("URI"))
+	path, err := hls.ResolvePath("http://"+server+src.path, src.parsed.Renditions[a.playlist-1].Attributes.Get("URI"))
 	var t *hls.Track
 	if err == nil {
 		var cancel context.CancelFunc
@@ -39,11 +39,11 @@
 		return
 	}
 	var w hls.Window
-	w.Aim("http://"+server, sessionQuery(id), t, 0)
-	w.Grow(t.At(until.Seconds()), t.Len())
-	x.Status(200)
+	w.SetSource("http://"+server, sessionQuery(id), t, 0)
+	w.Publish(t.SegmentAt(until.Seconds()), t.Len())
+	x.StartResponse(200)
 	addCORSHeaders(x)
-	x.Header("Content-Type", playlistType)
-	x.Header("Cache-Control", "no-store")
-	x.Out = w.Append(x.Out)
+	x.AddHeader("Content-Type", playlistType)
+	x.AddHeader("Cache-Control", "no-store")
+	x.ResponseBody = w.Append(x.ResponseBody)
 }
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -150,9 +150,9 @@
 	} else {
 		s.contentStart = now - s.resumePosition
 	}
-	resume := setup.track.At(s.resumePosition.Seconds())
-	s.window.Aim("http://"+a.Server, sessionQuery(y.id), setup.track, resume)
-	s.window.Begin(resume)
+	resume := setup.track.SegmentAt(s.resumePosition.Seconds())
+	s.window.SetSource("http://"+a.Server, sessionQuery(y.id), setup.track, resume)
+	s.window.StartAt(resume)
 	s.lastSeenAt.Store(int64(now))
 	y.edge.boxes.addSession(a.Server, y.id)
 	if s.wantedRung != s.publishedRung {
--- a/internal/edge/source.go
+++ b/internal/edge/source.go
@@ -9,14 +9,14 @@
 	"sync/atomic"
 	"time"
 
-	"rainpulley/internal/bound"
 	"rainpulley/internal/hls"
+	"rainpulley/internal/timeconv"
 )
 
 // source is a title's manifest as a box gave it, ready for rewriting.
 type manifest struct {
 	path     string // URL of the manifest at the box
-	parsed   *hls.Multivariant
+	parsed   *hls.MultivariantPlaylist
 	variants []hls.Variant // by bandwidth: one for each rung
 	tracks   []atomic.Pointer[hls.Track]
 }
@@ -43,20 +43,20 @@
 	if t == nil {
 		return 0
 	}
-	return bound.Seconds(t.Start(t.Len()))
+	return timeconv.Seconds(t.SegmentStart(t.Len()))
 }
 
 // multivariant is the manifest for one session: the variant in force and the renditions of its groups,
 // with URIs at the edge under prefix.
-func (s *manifest) sessionManifest(rung int, prefix string) *hls.Multivariant {
+func (s *manifest) sessionManifest(rung int, prefix string) *hls.MultivariantPlaylist {
 	v := s.variant(rung)
-	out := &hls.Multivariant{Version: s.parsed.Version, Other: s.parsed.Other}
+	out := &hls.MultivariantPlaylist{Version: s.parsed.Version, OtherTags: s.parsed.OtherTags}
 	for i, r := range s.parsed.Renditions {
-		if g := v.Attrs.Get(r.Attrs.Get("TYPE")); g != r.Attrs.Get("GROUP-ID") {
+		if g := v.Attributes.Get(r.Attributes.Get("TYPE")); g != r.Attributes.Get("GROUP-ID") {
 			continue
 		}
-		if r.Attrs.Get("URI") != "" {
-			r.Attrs = r.Attrs.With("URI", prefix+"r"+strconv.Itoa(i+1)+".m3u8")
+		if r.Attributes.Get("URI") != "" {
+			r.Attributes = r.Attributes.WithValue("URI", prefix+"r"+strconv.Itoa(i+1)+".m3u8")
 		}
 		out.Renditions = append(out.Renditions, r)
 	}
@@ -85,7 +85,7 @@
 
 // track is the track of a rung, read from a box where it is not known.
 func (s *playlistCache) rungTrack(ctx context.Context, server string, src *manifest, rung int) (*hls.Track, error) {
-	path, err := hls.Resolve("http://"+server+src.path, src.variant(rung).URI)
+	path, err := hls.ResolvePath("http://"+server+src.path, src.variant(rung).URI)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/hls/hls_test.go
+++ b/internal/hls/hls_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-const full = `#EXTM3U
+const fullPlaylist = `#EXTM3U
 #EXT-X-VERSION:7
 #EXT-X-TARGETDURATION:6
 #EXT-X-MEDIA-SEQUENCE:10
@@ -34,7 +34,7 @@
 #EXT-X-ENDLIST
 `
 
-func media(t testing.TB, text string) *Media {
+func parseMedia(t testing.TB, text string) *MediaPlaylist {
 	t.Helper()
 	m, err := ParseMedia([]byte(text))
 	if err != nil {
@@ -44,19 +44,19 @@
 }
 
 func TestParseMedia(t *testing.T) {
-	m := media(t, full)
-	if m.Version != 7 || m.Target != 6 || m.Sequence != 10 || m.Discontinuity != 2 || !m.End || len(m.Segments) != 3 {
+	m := parseMedia(t, fullPlaylist)
+	if m.Version != 7 || m.TargetDuration != 6 || m.MediaSequence != 10 || m.DiscontinuitySequence != 2 || !m.EndList || len(m.Segments) != 3 {
 		t.Errorf("%+v", m)
 	}
 	a, b, c := m.Segments[0], m.Segments[1], m.Segments[2]
-	if a.URI != "v1/all.mp4" || a.Range != "1000@600" || a.Title != "first" || len(a.Key) != 2 || !strings.Contains(a.Map, "v1/init.mp4") ||
-		len(a.Other) != 1 {
+	if a.URI != "v1/all.mp4" || a.ByteRange != "1000@600" || a.Title != "first" || len(a.Keys) != 2 || !strings.Contains(a.Map, "v1/init.mp4") ||
+		len(a.OtherTags) != 1 {
 		t.Errorf("first %+v", a)
 	}
-	if b.Range != "2000@1600" || b.Map != a.Map {
+	if b.ByteRange != "2000@1600" || b.Map != a.Map {
 		t.Errorf("a range without offset follows the one before: %+v", b)
 	}
-	if !c.Discontinuity || len(c.Key) != 0 || len(c.Other) != 1 || c.Other[0] != `#EXT-X-SPECIAL:A=1,B="two, three"` {
+	if !c.Discontinuity || len(c.Keys) != 0 || len(c.OtherTags) != 1 || c.OtherTags[0] != `#EXT-X-SPECIAL:A=1,B="two, three"` {
 		t.Errorf("third %+v", c)
 	}
 }
@@ -113,7 +113,7 @@
 	if got := string(m.Append(nil)); got != text {
 		t.Errorf("written as\n%s", got)
 	}
-	if got := m.Renditions[0].Attrs.With("URI", "/r1").String(); got != `TYPE=AUDIO,GROUP-ID="a",NAME="hi, there",URI="/r1"` {
+	if got := m.Renditions[0].Attributes.WithValue("URI", "/r1").String(); got != `TYPE=AUDIO,GROUP-ID="a",NAME="hi, there",URI="/r1"` {
 		t.Error(got)
 	}
 }
@@ -124,20 +124,20 @@
 		{"http://b/t/", "/abs", "/abs"}, {"http://b/t/", "http://b/same", "/same"},
 		{"http://b/t/", "http://evil/x", ""}, {"http://b/t/", "//evil/x", ""}, {"http://b/t/", "https://b/x", ""}, {"http://b/t/", "data:x", ""},
 	} {
-		got, err := Resolve(c.base, c.ref)
+		got, err := ResolvePath(c.base, c.ref)
 		if got != c.want || (err != nil) != (c.want == "") {
 			t.Errorf("%s + %s = %q, %v; want %q", c.base, c.ref, got, err, c.want)
 		}
 	}
 }
 
-func track(t testing.TB, n int, dir string) *Track {
+func newTestTrack(t testing.TB, n int, dir string) *Track {
 	var b strings.Builder
 	b.WriteString("#EXTM3U\n#EXT-X-TARGETDURATION:2\n")
 	for i := range n {
 		fmt.Fprintf(&b, "#EXTINF:2,\n%d.ts\n", i)
 	}
-	x, err := NewTrack(media(t, b.String()), "http://box/"+dir+"/m.m3u8")
+	x, err := NewTrack(parseMedia(t, b.String()), "http://box/"+dir+"/m.m3u8")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,13 +146,13 @@
 
 // A player's life: growth, a change of rung, a move in mid-play, the end.
 func TestWindow(t *testing.T) {
-	low, high := track(t, 8, "low"), track(t, 8, "high")
+	low, high := newTestTrack(t, 8, "low"), newTestTrack(t, 8, "high")
 	var w Window
-	w.Aim("http://b1", "s=1", low, 0)
-	w.Begin(0)
-	w.Grow(2, 4)
-	w.Aim("http://b1", "s=1", high, 0)
-	w.Grow(4, 4)
+	w.SetSource("http://b1", "s=1", low, 0)
+	w.StartAt(0)
+	w.Publish(2, 4)
+	w.SetSource("http://b1", "s=1", high, 0)
+	w.Publish(4, 4)
 	first := string(w.Append(nil))
 	want := "#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-TARGETDURATION:2\n#EXT-X-MEDIA-SEQUENCE:1\n" +
 		"#EXTINF:2,\nhttp://b1/low/1.ts?s=1\n#EXTINF:2,\nhttp://b1/low/2.ts?s=1\n" +
@@ -160,15 +160,15 @@
 	if first != want {
 		t.Errorf("got\n%swant\n%s", first, want)
 	}
-	w.Aim("http://b2", "s=2", high, 3) // play stands at 3: 3 and 4 are published again, at the new box
-	w.Grow(5, 4)
+	w.SetSource("http://b2", "s=2", high, 3) // play stands at 3: 3 and 4 are published again, at the new box
+	w.Publish(5, 4)
 	second := string(w.Append(nil))
 	want = "#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-TARGETDURATION:2\n#EXT-X-MEDIA-SEQUENCE:5\n#EXT-X-DISCONTINUITY-SEQUENCE:1\n" +
 		"#EXT-X-DISCONTINUITY\n#EXTINF:2,\nhttp://b2/high/3.ts?s=2\n#EXTINF:2,\nhttp://b2/high/4.ts?s=2\n#EXTINF:2,\nhttp://b2/high/5.ts?s=2\n"
 	if second != want || strings.Contains(second, "b1") {
 		t.Errorf("got\n%swant\n%s", second, want)
 	}
-	w.Grow(100, 4)
+	w.Publish(100, 4)
 	if end := string(w.Append(nil)); !strings.HasSuffix(end, "7.ts?s=2\n#EXT-X-ENDLIST\n") || !w.Ended() {
 		t.Error(end)
 	}
@@ -176,13 +176,13 @@
 
 // The keys and the map in force stand wherever the window begins, at the session's box.
 func TestWindowKeysAndMap(t *testing.T) {
-	x, err := NewTrack(media(t, full), "http://box/t/m.m3u8")
+	x, err := NewTrack(parseMedia(t, fullPlaylist), "http://box/t/m.m3u8")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var w Window
-	w.Aim("http://b1", "s=1", x, 0)
-	w.Grow(1, 1)
+	w.SetSource("http://b1", "s=1", x, 0)
+	w.Publish(1, 1)
 	got := string(w.Append(nil))
 	for _, want := range []string{`#EXT-X-MAP:URI="http://b1/t/v1/init.mp4",BYTERANGE="600@0"`, `URI="http://b1/t/key?id=1",IV=0x01`,
 		`URI="skd://x"`, "#EXT-X-BYTERANGE:2000@1600", "http://b1/t/v1/all.mp4?s=1", "#EXT-X-MEDIA-SEQUENCE:1"} {
@@ -190,13 +190,13 @@
 			t.Errorf("no %s in\n%s", want, got)
 		}
 	}
-	w.Grow(2, 2)
+	w.Publish(2, 2)
 	got = string(w.Append(nil))
 	if !strings.Contains(got, "#EXT-X-KEY:METHOD=NONE") || !strings.Contains(got, "http://b1/other/x.mp4?y=z&s=1") ||
 		!strings.Contains(got, "#EXT-X-SPECIAL") {
 		t.Error(got)
 	}
-	if _, err := NewTrack(media(t, "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\nhttp://evil/x\n"), "http://box/m"); err == nil {
+	if _, err := NewTrack(parseMedia(t, "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\nhttp://evil/x\n"), "http://box/m"); err == nil {
 		t.Error("a segment at another host was taken")
 	}
 }
@@ -204,11 +204,11 @@
 // For any course of play, what RFC 8216, 6.2.1 asks of a playlist that changes: a segment keeps its
 // number and URI, numbers do not fall, the end stays, and nothing names a box that was left.
 func TestWindowProperty(t *testing.T) {
-	tracks := []*Track{track(t, 30, "r0"), track(t, 30, "r1"), track(t, 30, "r2")}
+	tracks := []*Track{newTestTrack(t, 30, "r0"), newTestTrack(t, 30, "r1"), newTestTrack(t, 30, "r2")}
 	rapid.Check(t, func(rt *rapid.T) {
 		var w Window
 		box, rung, play := 0, 0, 0
-		w.Aim("http://b0", "s=0", tracks[0], 0)
+		w.SetSource("http://b0", "s=0", tracks[0], 0)
 		seen := map[uint64]string{}
 		var last uint64
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
@@ -221,18 +221,18 @@
 				play += rapid.IntRange(0, 3).Draw(rt, "plays")
 			}
 			host := fmt.Sprint("http://b", box)
-			w.Aim(host, fmt.Sprint("s=", box), tracks[rung], play)
-			w.Grow(play+3, 8)
+			w.SetSource(host, fmt.Sprint("s=", box), tracks[rung], play)
+			w.Publish(play+3, 8)
 			m, err := ParseMedia(w.Append(nil))
 			if err != nil {
 				rt.Fatal(err)
 			}
-			if m.Sequence < last {
-				rt.Fatalf("sequence fell from %d to %d", last, m.Sequence)
+			if m.MediaSequence < last {
+				rt.Fatalf("sequence fell from %d to %d", last, m.MediaSequence)
 			}
-			last = m.Sequence
+			last = m.MediaSequence
 			for i, s := range m.Segments {
-				n := m.Sequence + uint64(i)
+				n := m.MediaSequence + uint64(i)
 				if !strings.HasPrefix(s.URI, host+"/") {
 					rt.Fatalf("%s names a box that was left", s.URI)
 				}
@@ -267,7 +267,7 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	roundTrip(t, []byte(full))
+	roundTrip(t, []byte(fullPlaylist))
 	lines := []string{"#EXT-X-VERSION:7", "#EXT-X-MEDIA-SEQUENCE:4", "#EXT-X-DISCONTINUITY", "#EXT-X-KEY:METHOD=NONE", "#EXTINF:3.25,t",
 		`#EXT-X-KEY:METHOD=AES-128,URI="k"`, `#EXT-X-KEY:METHOD=AES-128,URI="j",KEYFORMAT="z"`, `#EXT-X-MAP:URI="m"`, "#EXT-X-BYTERANGE:5@3",
 		"#EXT-X-BYTERANGE:5", "a.ts", "b.ts", "#EXT-X-NEW:1", "# comment", "#EXT-X-ENDLIST", "#EXT-X-START:TIME-OFFSET=0", "#EXT-X-GAP"}
@@ -278,15 +278,15 @@
 }
 
 func FuzzPlaylist(f *testing.F) {
-	f.Add([]byte(full))
+	f.Add([]byte(fullPlaylist))
 	f.Add([]byte("#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1,A=\"b\"\nx\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		roundTrip(t, in)
 		if m, err := ParseMedia(in); err == nil {
 			if x, err := NewTrack(m, "http://box/t/m.m3u8"); err == nil {
 				var w Window
-				w.Aim("http://b", "s=1", x, 0)
-				w.Grow(x.Len(), 16)
+				w.SetSource("http://b", "s=1", x, 0)
+				w.Publish(x.Len(), 16)
 				if _, err := ParseMedia(w.Append(nil)); err != nil {
 					t.Fatalf("%q is written as %q: %v", in, w.Append(nil), err)
 				}
@@ -297,8 +297,8 @@
 
 func BenchmarkWindow(b *testing.B) {
 	var w Window
-	w.Aim("http://127.0.0.1:9000", "s=1", track(b, 60, "t/clip/r2"), 0)
-	w.Grow(20, 11)
+	w.SetSource("http://127.0.0.1:9000", "s=1", newTestTrack(b, 60, "t/clip/r2"), 0)
+	w.Publish(20, 11)
 	var buf []byte
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/hls/parse.go
+++ b/internal/hls/parse.go
@@ -11,24 +11,24 @@
 	"strings"
 	"time"
 
-	"rainpulley/internal/bound"
+	"rainpulley/internal/timeconv"
 )
 
 // Limits of a playlist that is read.
 const (
-	MaxBytes    = 1 << 20
-	MaxSegments = 20000
-	MaxVariants = 200
+	MaxPlaylistBytes = 1 << 20
+	MaxSegments      = 20000
+	MaxVariants      = 200
 )
 
 // Attr is one attribute of a tag's list, with its value as it stood (RFC 8216, 4.2).
-type Attr struct{ Name, Value string }
+type Attribute struct{ Name, Value string }
 
 // Attrs is an attribute list in its order.
-type Attrs []Attr
+type AttributeList []Attribute
 
 // Get is the value of an attribute, unquoted; "" if it is not there.
-func (a Attrs) Get(name string) string {
+func (a AttributeList) Get(name string) string {
 	for _, x := range a {
 		if x.Name == name {
 			return unquote(x.Value)
@@ -38,8 +38,8 @@
 }
 
 // With replaces the value of an attribute that is there by a quoted string.
-func (a Attrs) With(name, value string) Attrs {
-	out := append(Attrs(nil), a...)
+func (a AttributeList) WithValue(name, value string) AttributeList {
+	out := append(AttributeList(nil), a...)
 	for i := range out {
 		if out[i].Name == name {
 			out[i].Value = `"` + value + `"`
@@ -48,7 +48,7 @@
 	return out
 }
 
-func (a Attrs) String() string {
+func (a AttributeList) String() string {
 	var b strings.Builder
 	for i, x := range a {
 		if i > 0 {
@@ -68,20 +68,20 @@
 
 // Variant is one EXT-X-STREAM-INF with its URI.
 type Variant struct {
-	Attrs     Attrs
-	URI       string
-	Bandwidth int // bits a second
+	Attributes AttributeList
+	URI        string
+	Bandwidth  int // bits a second
 }
 
 // Rendition is one EXT-X-MEDIA.
-type Rendition struct{ Attrs Attrs }
+type Rendition struct{ Attributes AttributeList }
 
 // Multivariant is a multivariant playlist.
-type Multivariant struct {
+type MultivariantPlaylist struct {
 	Version    int
 	Variants   []Variant
 	Renditions []Rendition
-	Other      []string // lines of tags that this package does not know, and of those it only passes on
+	OtherTags  []string // lines of tags that this package does not know, and of those it only passes on
 }
 
 // Segment is one media segment with the tags that apply to it.
@@ -89,32 +89,32 @@
 	Duration      float64 // seconds
 	Title         string
 	URI           string
-	Range         string // EXT-X-BYTERANGE with an explicit offset
+	ByteRange     string // EXT-X-BYTERANGE with an explicit offset
 	Discontinuity bool
-	Key           []string // EXT-X-KEY lines in force
+	Keys          []string // EXT-X-KEY lines in force
 	Map           string   // EXT-X-MAP line in force
-	Other         []string // further lines that stood before the URI
+	OtherTags     []string // further lines that stood before the URI
 }
 
 // Media is a media playlist.
-type Media struct {
-	Version       int
-	Target        int // seconds
-	Sequence      uint64
-	Discontinuity uint64 // EXT-X-DISCONTINUITY-SEQUENCE
-	Type          string // EVENT, VOD or nothing
-	End           bool
-	Segments      []Segment
-	Other         []string // lines of the playlist as a whole that are passed on
+type MediaPlaylist struct {
+	Version               int
+	TargetDuration        int // seconds
+	MediaSequence         uint64
+	DiscontinuitySequence uint64 // EXT-X-DISCONTINUITY-SEQUENCE
+	Type                  string // EVENT, VOD or nothing
+	EndList               bool
+	Segments              []Segment
+	OtherTags             []string // lines of the playlist as a whole that are passed on
 }
 
 // Duration is the length of all segments together.
-func (m *Media) Duration() time.Duration {
+func (m *MediaPlaylist) Duration() time.Duration {
 	sum := 0.0
 	for i := range m.Segments {
 		sum += m.Segments[i].Duration
 	}
-	return bound.Seconds(sum)
+	return timeconv.Seconds(sum)
 }
 
 // lineError names the line at fault.
@@ -127,19 +127,19 @@
 func (e *lineError) Unwrap() error { return e.err }
 
 // reader goes through the lines of a playlist and puts in the values of its variables.
-type reader struct {
-	vars map[string]string
-	seen map[string]bool
+type lineReader struct {
+	variables map[string]string
+	seenTags  map[string]bool
 }
 
-var errNoPlaylist = errors.New("playlist does not begin with #EXTM3U")
+var errNotPlaylist = errors.New("playlist does not begin with #EXTM3U")
 
 // each calls f for every line that is not blank.
-func (r *reader) each(body []byte, f func(line string) error) error {
-	if len(body) > MaxBytes {
-		return fmt.Errorf("hls: playlist of %d bytes, %d at most", len(body), MaxBytes)
+func (r *lineReader) forEachLine(body []byte, f func(line string) error) error {
+	if len(body) > MaxPlaylistBytes {
+		return fmt.Errorf("hls: playlist of %d bytes, %d at most", len(body), MaxPlaylistBytes)
 	}
-	r.vars, r.seen = map[string]string{}, map[string]bool{}
+	r.variables, r.seenTags = map[string]string{}, map[string]bool{}
 	for n := 1; len(body) > 0; n++ {
 		line := body
 		if i := bytes.IndexByte(body, '\n'); i >= 0 {
@@ -150,7 +150,7 @@
 		line = bytes.TrimSuffix(line, []byte("\r"))
 		if n == 1 {
 			if string(line) != "#EXTM3U" {
-				return &lineError{1, errNoPlaylist}
+				return &lineError{1, errNotPlaylist}
 			}
 			continue
 		}
@@ -162,7 +162,7 @@
 				return &lineError{n, errors.New("control character")}
 			}
 		}
-		text, err := r.fill(string(line))
+		text, err := r.substitute(string(line))
 		if err == nil {
 			err = f(text)
 		}
@@ -174,9 +174,9 @@
 }
 
 // fill puts in variables, and takes their definitions.
-func (r *reader) fill(line string) (string, error) {
+func (r *lineReader) substitute(line string) (string, error) {
 	if rest, ok := strings.CutPrefix(line, "#EXT-X-DEFINE:"); ok {
-		a, err := attrs(rest)
+		a, err := parseAttributes(rest)
 		if err != nil {
 			return "", err
 		}
@@ -184,13 +184,13 @@
 		if name == "" {
 			return "", errors.New("EXT-X-DEFINE without NAME: IMPORT and QUERYPARAM cannot be followed here")
 		}
-		if _, twice := r.vars[name]; twice {
+		if _, twice := r.variables[name]; twice {
 			return "", fmt.Errorf("variable %q defined twice", name)
 		}
-		r.vars[name] = a.Get("VALUE")
+		r.variables[name] = a.Get("VALUE")
 		return "", nil
 	}
-	if len(r.vars) == 0 || !strings.Contains(line, "{$") {
+	if len(r.variables) == 0 || !strings.Contains(line, "{$") {
 		return line, nil
 	}
 	var b strings.Builder
@@ -205,14 +205,14 @@
 			break
 		}
 		name := line[i+2 : i+j]
-		v, ok := r.vars[name]
+		v, ok := r.variables[name]
 		if !ok {
 			return "", fmt.Errorf("variable %q is not defined", name)
 		}
 		b.WriteString(line[:i])
 		b.WriteString(v)
 		line = line[i+j+1:]
-		if b.Len() > MaxBytes {
+		if b.Len() > MaxPlaylistBytes {
 			return "", errors.New("line too long")
 		}
 	}
@@ -220,26 +220,26 @@
 }
 
 // once refuses a tag that may stand only once.
-func (r *reader) once(tag string) error {
-	if r.seen[tag] {
+func (r *lineReader) requireUnique(tag string) error {
+	if r.seenTags[tag] {
 		return fmt.Errorf("%s stands twice", tag)
 	}
-	r.seen[tag] = true
+	r.seenTags[tag] = true
 	return nil
 }
 
 // attrs reads an attribute list.
-func attrs(s string) (Attrs, error) {
-	var out Attrs
+func parseAttributes(s string) (AttributeList, error) {
+	var out AttributeList
 	for len(s) > 0 {
 		eq := strings.IndexByte(s, '=')
 		if eq <= 0 {
-			return nil, fmt.Errorf("attribute list malformed at %q", clip(s))
+			return nil, fmt.Errorf("attribute list malformed at %q", truncate(s))
 		}
 		name := s[:eq]
 		for _, c := range name {
 			if !(c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-') {
-				return nil, fmt.Errorf("attribute name %q malformed", clip(name))
+				return nil, fmt.Errorf("attribute name %q malformed", truncate(name))
 			}
 		}
 		s = s[eq+1:]
@@ -266,22 +266,22 @@
 				return nil, fmt.Errorf("attribute %s stands twice", name)
 			}
 		}
-		out = append(out, Attr{name, value})
+		out = append(out, Attribute{name, value})
 	}
 	return out, nil
 }
 
-func clip(s string) string { return s[:min(len(s), 40)] }
+func truncate(s string) string { return s[:min(len(s), 40)] }
 
-func split(line string) (tag, value string) {
+func splitTag(line string) (tag, value string) {
 	tag, value, _ = strings.Cut(line, ":")
 	return tag, value
 }
 
-func number(tag, v string) (int, error) {
+func parseInteger(tag, v string) (int, error) {
 	n, err := strconv.ParseUint(v, 10, 31)
 	if err != nil {
-		return 0, fmt.Errorf("%s: %q is no whole number", tag, clip(v))
+		return 0, fmt.Errorf("%s: %q is no whole number", tag, truncate(v))
 	}
 	return int(n), nil
 }
@@ -290,11 +290,11 @@
 func IsMultivariant(body []byte) bool { return bytes.Contains(body, []byte("#EXT-X-STREAM-INF")) }
 
 // ParseMultivariant reads a multivariant playlist.
-func ParseMultivariant(body []byte) (*Multivariant, error) {
-	m := &Multivariant{Version: 1}
-	var r reader
+func ParseMultivariant(body []byte) (*MultivariantPlaylist, error) {
+	m := &MultivariantPlaylist{Version: 1}
+	var r lineReader
 	var open *Variant
-	err := r.each(body, func(line string) error {
+	err := r.forEachLine(body, func(line string) error {
 		if line == "" {
 			return nil
 		}
@@ -306,28 +306,28 @@
 			m.Variants, open = append(m.Variants, *open), nil
 			return nil
 		}
-		tag, value := split(line)
+		tag, value := splitTag(line)
 		switch tag {
 		case "#EXT-X-VERSION":
-			if err := r.once(tag); err != nil {
+			if err := r.requireUnique(tag); err != nil {
 				return err
 			}
 			var err error
-			m.Version, err = number(tag, value)
+			m.Version, err = parseInteger(tag, value)
 			return err
 		case "#EXT-X-STREAM-INF":
 			if open != nil || len(m.Variants) >= MaxVariants {
 				return errors.New("EXT-X-STREAM-INF without URI, or too many of them")
 			}
-			a, err := attrs(value)
+			a, err := parseAttributes(value)
 			if err != nil {
 				return err
 			}
-			open = &Variant{Attrs: a}
-			open.Bandwidth, err = number("BANDWIDTH", a.Get("BANDWIDTH"))
+			open = &Variant{Attributes: a}
+			open.Bandwidth, err = parseInteger("BANDWIDTH", a.Get("BANDWIDTH"))
 			return err
 		case "#EXT-X-MEDIA":
-			a, err := attrs(value)
+			a, err := parseAttributes(value)
 			if err != nil {
 				return err
 			}
@@ -339,7 +339,7 @@
 			return fmt.Errorf("%s in a multivariant playlist", tag)
 		default:
 			if strings.HasPrefix(line, "#EXT") {
-				m.Other = append(m.Other, line)
+				m.OtherTags = append(m.OtherTags, line)
 			}
 		}
 		return nil
@@ -357,109 +357,109 @@
 }
 
 // mediaReader holds what applies to the segment that comes next.
-type mediaReader struct {
-	reader
-	m        *Media
-	next     Segment
-	have     bool // EXTINF was read
-	key      []string
-	rangeEnd int64
-	rangeURI string
+type mediaParser struct {
+	lineReader
+	playlist     *MediaPlaylist
+	nextSegment  Segment
+	hasDuration  bool // EXTINF was read
+	keys         []string
+	lastRangeEnd int64
+	lastRangeURI string
 }
 
 // ParseMedia reads a media playlist.
-func ParseMedia(body []byte) (*Media, error) {
-	r := &mediaReader{m: &Media{Version: 1}}
-	if err := r.each(body, r.line); err != nil {
+func ParseMedia(body []byte) (*MediaPlaylist, error) {
+	r := &mediaParser{playlist: &MediaPlaylist{Version: 1}}
+	if err := r.forEachLine(body, r.parseLine); err != nil {
 		return nil, err
 	}
-	m := r.m
+	m := r.playlist
 	switch {
-	case r.have:
+	case r.hasDuration:
 		return nil, errors.New("hls: last EXTINF has no URI")
-	case !r.seen["#EXT-X-TARGETDURATION"]:
+	case !r.seenTags["#EXT-X-TARGETDURATION"]:
 		return nil, errors.New("hls: no EXT-X-TARGETDURATION")
 	}
 	for i := range m.Segments {
-		if math.Round(m.Segments[i].Duration) > float64(m.Target) {
+		if math.Round(m.Segments[i].Duration) > float64(m.TargetDuration) {
 			return nil, fmt.Errorf("hls: segment %d is longer than the target duration", i)
 		}
 	}
 	return m, nil
 }
 
-func (r *mediaReader) line(line string) error {
+func (r *mediaParser) parseLine(line string) error {
 	if line == "" {
 		return nil
 	}
 	if line[0] != '#' {
-		return r.segment(line)
+		return r.addSegment(line)
 	}
-	tag, value := split(line)
+	tag, value := splitTag(line)
 	switch tag {
 	case "#EXT-X-VERSION", "#EXT-X-TARGETDURATION", "#EXT-X-MEDIA-SEQUENCE", "#EXT-X-DISCONTINUITY-SEQUENCE",
 		"#EXT-X-PLAYLIST-TYPE", "#EXT-X-ENDLIST":
-		return r.whole(tag, value)
+		return r.parsePlaylistTag(tag, value)
 	case "#EXT-X-STREAM-INF", "#EXT-X-MEDIA", "#EXT-X-I-FRAME-STREAM-INF":
 		return fmt.Errorf("%s in a media playlist", tag)
 	case "#EXTINF":
 		d, title, _ := strings.Cut(value, ",")
 		n, err := strconv.ParseFloat(d, 64)
-		if err != nil || !(n >= 0) || n > 3600 || r.have {
-			return fmt.Errorf("EXTINF %q malformed or twice", clip(value))
+		if err != nil || !(n >= 0) || n > 3600 || r.hasDuration {
+			return fmt.Errorf("EXTINF %q malformed or twice", truncate(value))
 		}
-		r.next.Duration, r.next.Title, r.have = n, title, true
+		r.nextSegment.Duration, r.nextSegment.Title, r.hasDuration = n, title, true
 	case "#EXT-X-BYTERANGE":
-		r.next.Range = value
+		r.nextSegment.ByteRange = value
 	case "#EXT-X-DISCONTINUITY":
-		r.next.Discontinuity = true
+		r.nextSegment.Discontinuity = true
 	case "#EXT-X-KEY":
-		return r.keys(line, value)
+		return r.parseKey(line, value)
 	case "#EXT-X-MAP":
-		if _, err := attrs(value); err != nil {
+		if _, err := parseAttributes(value); err != nil {
 			return err
 		}
-		r.next.Map = line
+		r.nextSegment.Map = line
 	case "#EXT-X-INDEPENDENT-SEGMENTS", "#EXT-X-START", "#EXT-X-I-FRAMES-ONLY":
-		r.m.Other = append(r.m.Other, line)
+		r.playlist.OtherTags = append(r.playlist.OtherTags, line)
 	default:
 		if strings.HasPrefix(line, "#EXT") {
-			r.next.Other = append(r.next.Other, line)
+			r.nextSegment.OtherTags = append(r.nextSegment.OtherTags, line)
 		}
 	}
 	return nil
 }
 
-func (r *mediaReader) whole(tag, value string) (err error) {
-	if err = r.once(tag); err != nil {
+func (r *mediaParser) parsePlaylistTag(tag, value string) (err error) {
+	if err = r.requireUnique(tag); err != nil {
 		return err
 	}
 	n := 0
 	switch tag {
 	case "#EXT-X-VERSION":
-		r.m.Version, err = number(tag, value)
+		r.playlist.Version, err = parseInteger(tag, value)
 	case "#EXT-X-TARGETDURATION":
-		r.m.Target, err = number(tag, value)
+		r.playlist.TargetDuration, err = parseInteger(tag, value)
 	case "#EXT-X-MEDIA-SEQUENCE":
-		n, err = number(tag, value)
-		r.m.Sequence = uint64(n)
+		n, err = parseInteger(tag, value)
+		r.playlist.MediaSequence = uint64(n)
 	case "#EXT-X-DISCONTINUITY-SEQUENCE":
-		n, err = number(tag, value)
-		r.m.Discontinuity = uint64(n)
+		n, err = parseInteger(tag, value)
+		r.playlist.DiscontinuitySequence = uint64(n)
 	case "#EXT-X-PLAYLIST-TYPE":
 		if value != "EVENT" && value != "VOD" {
-			return fmt.Errorf("%s: %q is neither EVENT nor VOD", tag, clip(value))
+			return fmt.Errorf("%s: %q is neither EVENT nor VOD", tag, truncate(value))
 		}
-		r.m.Type = value
+		r.playlist.Type = value
 	case "#EXT-X-ENDLIST":
-		r.m.End = true
+		r.playlist.EndList = true
 	}
 	return err
 }
 
 // keys follows EXT-X-KEY: lines of different KEYFORMATs stand beside each other, NONE ends them all.
-func (r *mediaReader) keys(line, value string) error {
-	a, err := attrs(value)
+func (r *mediaParser) parseKey(line, value string) error {
+	a, err := parseAttributes(value)
 	if err != nil {
 		return err
 	}
@@ -467,52 +467,52 @@
 	case a.Get("METHOD") == "":
 		return errors.New("EXT-X-KEY without METHOD")
 	case a.Get("METHOD") == "NONE":
-		r.key = nil
+		r.keys = nil
 		return nil
 	}
 	kept := []string{}
-	for _, k := range r.key {
-		_, v := split(k)
-		if old, err := attrs(v); err == nil && old.Get("KEYFORMAT") != a.Get("KEYFORMAT") {
+	for _, k := range r.keys {
+		_, v := splitTag(k)
+		if old, err := parseAttributes(v); err == nil && old.Get("KEYFORMAT") != a.Get("KEYFORMAT") {
 			kept = append(kept, k)
 		}
 	}
-	r.key = append(kept, line)
+	r.keys = append(kept, line)
 	return nil
 }
 
-func (r *mediaReader) segment(uri string) error {
-	if !r.have {
+func (r *mediaParser) addSegment(uri string) error {
+	if !r.hasDuration {
 		return errors.New("URI without EXTINF")
 	}
-	if len(r.m.Segments) >= MaxSegments {
+	if len(r.playlist.Segments) >= MaxSegments {
 		return errors.New("too many segments")
 	}
-	s := r.next
-	s.URI, s.Key = uri, r.key
-	if s.Range != "" {
-		if err := r.byteRange(&s); err != nil {
+	s := r.nextSegment
+	s.URI, s.Keys = uri, r.keys
+	if s.ByteRange != "" {
+		if err := r.resolveByteRange(&s); err != nil {
 			return err
 		}
 	}
-	r.m.Segments = append(r.m.Segments, s)
-	r.next, r.have = Segment{Map: s.Map}, false
+	r.playlist.Segments = append(r.playlist.Segments, s)
+	r.nextSegment, r.hasDuration = Segment{Map: s.Map}, false
 	return nil
 }
 
 // byteRange gives every range its offset: one that is left out follows the segment before
 // (RFC 8216, 4.3.2.2), which may no longer stand in what is written.
-func (r *mediaReader) byteRange(s *Segment) error {
-	length, offset, told := strings.Cut(s.Range, "@")
+func (r *mediaParser) resolveByteRange(s *Segment) error {
+	length, offset, told := strings.Cut(s.ByteRange, "@")
 	n, err := strconv.ParseInt(length, 10, 63)
-	from := r.rangeEnd
+	from := r.lastRangeEnd
 	if err == nil && told {
 		from, err = strconv.ParseInt(offset, 10, 63)
 	}
-	if err != nil || n < 0 || from < 0 || n > math.MaxInt64-from || !told && r.rangeURI != s.URI {
-		return fmt.Errorf("EXT-X-BYTERANGE %q malformed or without offset", clip(s.Range))
+	if err != nil || n < 0 || from < 0 || n > math.MaxInt64-from || !told && r.lastRangeURI != s.URI {
+		return fmt.Errorf("EXT-X-BYTERANGE %q malformed or without offset", truncate(s.ByteRange))
 	}
-	s.Range = fmt.Sprintf("%d@%d", n, from)
-	r.rangeEnd, r.rangeURI = from+n, s.URI
+	s.ByteRange = fmt.Sprintf("%d@%d", n, from)
+	r.lastRangeEnd, r.lastRangeURI = from+n, s.URI
 	return nil
 }
--- a/internal/hls/write.go
+++ b/internal/hls/write.go
@@ -9,31 +9,31 @@
 )
 
 // Append writes a multivariant playlist.
-func (m *Multivariant) Append(dst []byte) []byte {
+func (m *MultivariantPlaylist) Append(dst []byte) []byte {
 	dst = fmt.Appendf(dst, "#EXTM3U\n#EXT-X-VERSION:%d\n", m.Version)
-	for _, o := range m.Other {
+	for _, o := range m.OtherTags {
 		dst = append(append(dst, o...), '\n')
 	}
 	for _, r := range m.Renditions {
-		dst = fmt.Appendf(dst, "#EXT-X-MEDIA:%s\n", r.Attrs)
+		dst = fmt.Appendf(dst, "#EXT-X-MEDIA:%s\n", r.Attributes)
 	}
 	for _, v := range m.Variants {
-		dst = fmt.Appendf(dst, "#EXT-X-STREAM-INF:%s\n%s\n", v.Attrs, v.URI)
+		dst = fmt.Appendf(dst, "#EXT-X-STREAM-INF:%s\n%s\n", v.Attributes, v.URI)
 	}
 	return dst
 }
 
 // Append writes a media playlist.
-func (m *Media) Append(dst []byte) []byte {
-	dst = fmt.Appendf(dst, "#EXTM3U\n#EXT-X-VERSION:%d\n#EXT-X-TARGETDURATION:%d\n", m.Version, m.Target)
-	dst = fmt.Appendf(dst, "#EXT-X-MEDIA-SEQUENCE:%d\n", m.Sequence)
-	if m.Discontinuity > 0 {
-		dst = fmt.Appendf(dst, "#EXT-X-DISCONTINUITY-SEQUENCE:%d\n", m.Discontinuity)
+func (m *MediaPlaylist) Append(dst []byte) []byte {
+	dst = fmt.Appendf(dst, "#EXTM3U\n#EXT-X-VERSION:%d\n#EXT-X-TARGETDURATION:%d\n", m.Version, m.TargetDuration)
+	dst = fmt.Appendf(dst, "#EXT-X-MEDIA-SEQUENCE:%d\n", m.MediaSequence)
+	if m.DiscontinuitySequence > 0 {
+		dst = fmt.Appendf(dst, "#EXT-X-DISCONTINUITY-SEQUENCE:%d\n", m.DiscontinuitySequence)
 	}
 	if m.Type != "" {
 		dst = append(append(append(dst, "#EXT-X-PLAYLIST-TYPE:"...), m.Type...), '\n')
 	}
-	for _, o := range m.Other {
+	for _, o := range m.OtherTags {
 		dst = append(append(dst, o...), '\n')
 	}
 	var before *Segment
@@ -43,7 +43,7 @@
 		dst = append(append(dst, s.URI...), '\n')
 		before = s
 	}
-	if m.End {
+	if m.EndList {
 		dst = append(dst, "#EXT-X-ENDLIST\n"...)
 	}
 	return dst
@@ -54,26 +54,26 @@
 	if s.Discontinuity {
 		dst = append(dst, "#EXT-X-DISCONTINUITY\n"...)
 	}
-	if before == nil && len(s.Key) > 0 || before != nil && !slices.Equal(before.Key, s.Key) {
-		if before != nil && len(before.Key) > 0 {
+	if before == nil && len(s.Keys) > 0 || before != nil && !slices.Equal(before.Keys, s.Keys) {
+		if before != nil && len(before.Keys) > 0 {
 			dst = append(dst, "#EXT-X-KEY:METHOD=NONE\n"...)
 		}
-		for _, k := range s.Key {
+		for _, k := range s.Keys {
 			dst = append(append(dst, k...), '\n')
 		}
 	}
 	if s.Map != "" && (before == nil || before.Map != s.Map) {
 		dst = append(append(dst, s.Map...), '\n')
 	}
-	return s.appendOwn(dst)
+	return s.appendOwnTags(dst)
 }
 
-func (s *Segment) appendOwn(dst []byte) []byte {
-	for _, o := range s.Other {
+func (s *Segment) appendOwnTags(dst []byte) []byte {
+	for _, o := range s.OtherTags {
 		dst = append(append(dst, o...), '\n')
 	}
-	if s.Range != "" {
-		dst = append(append(append(dst, "#EXT-X-BYTERANGE:"...), s.Range...), '\n')
+	if s.ByteRange != "" {
+		dst = append(append(append(dst, "#EXT-X-BYTERANGE:"...), s.ByteRange...), '\n')
 	}
 	dst = append(dst, "#EXTINF:"...)
 	dst = strconv.AppendFloat(dst, s.Duration, 'f', -1, 64)
@@ -82,7 +82,7 @@
 
 // Resolve makes a reference absolute-path within its server: what stands before the path is dropped,
 // since the box that a session is at names the server. A reference to another host is refused.
-func Resolve(base, ref string) (string, error) {
+func ResolvePath(base, ref string) (string, error) {
 	b, err := url.Parse(base)
 	if err != nil {
 		return "", err
@@ -92,7 +92,7 @@
 		return "", fmt.Errorf("hls: %w", err)
 	}
 	if u.Host != "" && u.Host != b.Host || u.Scheme != b.Scheme {
-		return "", fmt.Errorf("hls: %q leads to another host", clip(ref))
+		return "", fmt.Errorf("hls: %q leads to another host", truncate(ref))
 	}
 	p := u.EscapedPath()
 	if !strings.HasPrefix(p, "/") {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -20,10 +20,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func short() Limits {
+func testLimits() Limits {
 	l := DefaultLimits()
-	l.Line, l.Head, l.Headers, l.Body = 256, 512, 8, 64
-	l.HeadFor, l.IdleFor, l.BodyFor = 150*time.Millisecond, time.Second, 150*time.Millisecond
+	l.MaxLineBytes, l.MaxHeadBytes, l.MaxHeaders, l.MaxBodyBytes = 256, 512, 8, 64
+	l.HeadTimeout, l.IdleTimeout, l.BodyTimeout = 150*time.Millisecond, time.Second, 150*time.Millisecond
 	return l
 }
 
@@ -32,17 +32,17 @@
 	if string(x.Path) == "/panic" {
 		panic("on purpose")
 	}
-	x.Status(200)
-	x.Out = fmt.Appendf(x.Out, "%s %s %s %s|%s", x.Method, x.Path, x.Query, x.Param("key"), x.Body)
+	x.StartResponse(200)
+	x.ResponseBody = fmt.Appendf(x.ResponseBody, "%s %s %s %s|%s", x.Method, x.Path, x.Query, x.QueryParam("key"), x.Body)
 }
 
-func serve(t *testing.T, h Handler) string {
+func startServer(t *testing.T, h Handler) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	s := &Server{Handle: h, Limits: short(), Conns: 4, Log: slog.New(slog.DiscardHandler)}
+	s := &Server{Handler: h, Limits: testLimits(), MaxConns: 4, Log: slog.New(slog.DiscardHandler)}
 	over := make(chan error, 1)
 	go func() { over <- s.Serve(ctx, ln, time.Second) }()
 	t.Cleanup(func() {
@@ -55,7 +55,7 @@
 }
 
 // raw sends bytes and returns all that comes back until the connection ends.
-func raw(t *testing.T, addr, text string) string {
+func sendRaw(t *testing.T, addr, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -71,7 +71,7 @@
 }
 
 func TestRefusedMessages(t *testing.T) {
-	addr := serve(t, echo)
+	addr := startServer(t, echo)
 	for _, c := range []struct{ name, text, want string }{
 		{"no version", "GET /\r\n\r\n", "400"},
 		{"no target", "GET  HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
@@ -105,7 +105,7 @@
 		{"too many headers", "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 9) + "\r\n", "431"},
 		{"slow head", "GET / HTTP/1.1\r\nHo", "408"},
 	} {
-		got := raw(t, addr, c.text)
+		got := sendRaw(t, addr, c.text)
 		if !strings.HasPrefix(got, "HTTP/1.1 "+c.want+" ") || strings.Count(got, "HTTP/1.1 ") != 1 {
 			t.Errorf("%s: got %q, want %s once", c.name, got, c.want)
 		}
@@ -113,7 +113,7 @@
 }
 
 func TestAcceptedMessages(t *testing.T) {
-	addr := serve(t, echo)
+	addr := startServer(t, echo)
 	for _, c := range []struct{ name, text, want string }{
 		{"query", "GET /p?a=1&key=v&keyx=2 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", "GET /p a=1&key=v&keyx=2 v|"},
 		{"empty lines first", "\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\nConnection: x, Close\r\n\r\n", "GET /  |"},
@@ -121,7 +121,7 @@
 		{"length", "POST / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 3\r\n\r\nabc", "POST /  |abc"},
 		{"1.0 ends the connection", "GET / HTTP/1.0\r\n\r\n", "GET /  |"},
 	} {
-		if got := raw(t, addr, c.text); !strings.HasPrefix(got, "HTTP/1.1 200 OK") || !strings.HasSuffix(got, c.want) {
+		if got := sendRaw(t, addr, c.text); !strings.HasPrefix(got, "HTTP/1.1 200 OK") || !strings.HasSuffix(got, c.want) {
 			t.Errorf("%s: %q", c.name, got)
 		}
 	}
@@ -129,8 +129,8 @@
 
 // Pipelined requests are answered in their order; one that breaks costs itself only.
 func TestPipeline(t *testing.T) {
-	addr := serve(t, echo)
-	got := raw(t, addr, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\nGET /panic HTTP/1.1\r\nHost: a\r\n\r\n")
+	addr := startServer(t, echo)
+	got := sendRaw(t, addr, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\nGET /panic HTTP/1.1\r\nHost: a\r\n\r\n")
 	one, two, three := strings.Index(got, "GET /1"), strings.Index(got, "GET /2"), strings.Index(got, " 500 ")
 	if one < 0 || two < one || three < two {
 		t.Errorf("got %q", got)
@@ -140,8 +140,8 @@
 // A peer that hangs up while it waits is noticed; one that sends its next request early is not taken for that.
 func TestWatch(t *testing.T) {
 	heard := make(chan string, 2)
-	addr := serve(t, func(_ context.Context, x *Exchange) {
-		gone, stop := x.Watch()
+	addr := startServer(t, func(_ context.Context, x *Exchange) {
+		gone, stop := x.WatchDisconnect()
 		defer stop()
 		select {
 		case <-gone:
@@ -149,7 +149,7 @@
 		case <-time.After(100 * time.Millisecond):
 			heard <- "stayed"
 		}
-		x.Status(200)
+		x.StartResponse(200)
 	})
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -188,18 +188,18 @@
 	s := &http.Server{Handler: mux}
 	go func() { _ = s.Serve(ln) }()
 	defer s.Close()
-	c := &Client{Limits: DefaultLimits(), Connect: time.Second}
+	c := &Client{Limits: DefaultLimits(), ConnectTimeout: time.Second}
 	ctx := context.Background()
 	p, err := c.Do(ctx, ln.Addr().String(), "POST", "/a?b=c", []string{"X-Y", "z"}, []byte("body"))
 	if err != nil || p.Status != 201 || string(p.Body) != "POST /a?b=c body" || string(p.Get("CMSD-dynamic")) != "x" {
 		t.Errorf("%+v %v", p, err)
 	}
 	var lines []string
-	ok, err := c.Lines(ctx, ln.Addr().String(), "/lines", time.Second, func(b []byte) error {
+	ok, err := c.StreamLines(ctx, ln.Addr().String(), "/lines", time.Second, func(b []byte) error {
 		lines = append(lines, string(b))
 		return nil
 	})
-	if !ok || !errors.Is(err, errEnd) || strings.Join(lines, ",") != "line 0,line 1,line 2" {
+	if !ok || !errors.Is(err, errStreamEnd) || strings.Join(lines, ",") != "line 0,line 1,line 2" {
 		t.Errorf("%v %v %v", ok, err, lines)
 	}
 	limited, cancel := context.WithTimeout(ctx, 30*time.Millisecond)
@@ -207,7 +207,7 @@
 	if _, err := c.Do(limited, ln.Addr().String(), "GET", "/wait", nil, nil); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("time-out: %v", err)
 	}
-	if _, err := c.Do(ctx, "127.0.0.1:1", "GET", "/", nil, nil); !errors.Is(err, ErrNeverSent) {
+	if _, err := c.Do(ctx, "127.0.0.1:1", "GET", "/", nil, nil); !errors.Is(err, ErrNotSent) {
 		t.Errorf("nobody listens: %v", err)
 	}
 }
@@ -229,8 +229,8 @@
 			_, _ = io.WriteString(conn, answer)
 			_ = conn.Close()
 		}()
-		c := &Client{Limits: DefaultLimits(), Connect: time.Second}
-		if p, err := c.Do(context.Background(), ln.Addr().String(), "GET", "/", nil, nil); err == nil || errors.Is(err, ErrNeverSent) {
+		c := &Client{Limits: DefaultLimits(), ConnectTimeout: time.Second}
+		if p, err := c.Do(context.Background(), ln.Addr().String(), "GET", "/", nil, nil); err == nil || errors.Is(err, ErrNotSent) {
 			t.Errorf("%q: %+v, %v", answer, p, err)
 		}
 		_ = ln.Close()
@@ -239,8 +239,8 @@
 
 // What the client writes the server reads the same.
 func TestWriteReadProperty(t *testing.T) {
-	addr := serve(t, echo)
-	c := &Client{Limits: DefaultLimits(), Connect: time.Second}
+	addr := startServer(t, echo)
+	c := &Client{Limits: DefaultLimits(), ConnectTimeout: time.Second}
 	rapid.Check(t, func(rt *rapid.T) {
 		path := "/" + rapid.StringMatching(`[a-z0-9/._~-]{0,40}`).Draw(rt, "path")
 		key := rapid.StringMatching(`[a-zA-Z0-9-]{1,20}`).Draw(rt, "key")
@@ -260,10 +260,10 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		read := func(b []byte) (*Request, []byte, error) {
 			q, r := &Request{}, bufio.NewReaderSize(bytes.NewReader(b), 256)
-			if err := q.read(r, short()); err != nil {
+			if err := q.read(r, testLimits()); err != nil {
 				return nil, nil, err
 			}
-			body, err := q.readBody(nil, r, short())
+			body, err := q.readBody(nil, r, testLimits())
 			return q, body, err
 		}
 		q, body, err := read(in)
@@ -289,14 +289,14 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\na\n\r\n0\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, in []byte, lines bool) {
 		p, r := &Response{}, bufio.NewReaderSize(bytes.NewReader(in), 256)
-		if p.readResponse(r, short()) != nil {
+		if p.readResponse(r, testLimits()) != nil {
 			return
 		}
 		if !lines {
-			_, _ = p.readBody(nil, r, short())
+			_, _ = p.readBody(nil, r, testLimits())
 			return
 		}
-		l := &lineReader{r: r, chunked: p.chunked, max: 64}
+		l := &lineReader{r: r, chunked: p.chunked, maxLineBytes: 64}
 		for range len(in) + 1 {
 			if _, err := l.next(); err != nil {
 				return
@@ -308,10 +308,10 @@
 
 // The absolute form is taken as RFC 9112, 3.2.2 asks of every server.
 func TestAbsoluteForm(t *testing.T) {
-	addr := serve(t, echo)
+	addr := startServer(t, echo)
 	for _, c := range []struct{ target, want string }{{"http://a/b?key=c", "GET /b key=c c|"}, {"HTTP://a:80/", "GET /  |"},
 		{"http://a", "GET /  |"}, {"http://a?key=@", "GET / key=@ @|"}, {"http://a/b@c", "GET /b@c  |"}} {
-		got := raw(t, addr, "GET "+c.target+" HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
+		got := sendRaw(t, addr, "GET "+c.target+" HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 		if !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.HasSuffix(got, c.want) {
 			t.Errorf("%s: %q, want %q", c.target, got, c.want)
 		}
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -18,20 +18,20 @@
 
 // Limits bound what one peer may send and how long it may take. Sizes in bytes.
 type Limits struct {
-	Line    int           // request or status line, and one header line
-	Head    int           // whole head
-	Headers int           // number of header lines
-	Body    int           // decoded body
-	HeadFor time.Duration // from a message's first byte to the end of its head
-	BodyFor time.Duration // for its body
-	IdleFor time.Duration // between messages of a connection
-	SendFor time.Duration // for writing one answer
+	MaxLineBytes int           // request or status line, and one header line
+	MaxHeadBytes int           // whole head
+	MaxHeaders   int           // number of header lines
+	MaxBodyBytes int           // decoded body
+	HeadTimeout  time.Duration // from a message's first byte to the end of its head
+	BodyTimeout  time.Duration // for its body
+	IdleTimeout  time.Duration // between messages of a connection
+	WriteTimeout time.Duration // for writing one answer
 }
 
 // DefaultLimits suit viewers and boxes.
 func DefaultLimits() Limits {
-	return Limits{Line: 8 << 10, Head: 16 << 10, Headers: 64, Body: 1 << 20, HeadFor: 5 * time.Second,
-		BodyFor: 10 * time.Second, IdleFor: 30 * time.Second, SendFor: 10 * time.Second}
+	return Limits{MaxLineBytes: 8 << 10, MaxHeadBytes: 16 << 10, MaxHeaders: 64, MaxBodyBytes: 1 << 20, HeadTimeout: 5 * time.Second,
+		BodyTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second, WriteTimeout: 10 * time.Second}
 }
 
 // Error is a refusal to read a message on; Status is the answer that a server owes (RFC 9110, 15.5).
@@ -42,19 +42,19 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("http1: %s (%d)", e.Reason, e.Status) }
 
-func bad(format string, a ...any) error { return &Error{400, fmt.Sprintf(format, a...)} }
+func malformed(format string, a ...any) error { return &Error{400, fmt.Sprintf(format, a...)} }
 
 // Header is one header line; its parts are valid until the next message is read.
 type Header struct{ Name, Value []byte }
 
 // message is what requests and responses share.
 type message struct {
-	head    []byte
-	ends    []int // where each line ends in head
-	Headers []Header
-	Close   bool // the connection ends after this message
-	length  int  // of the body; -1: until the connection ends
-	chunked bool
+	head       []byte
+	lineEnds   []int // where each line ends in head
+	Headers    []Header
+	Close      bool // the connection ends after this message
+	bodyLength int  // of the body; -1: until the connection ends
+	chunked    bool
 }
 
 // Get is the first value of a header, or nil. Names compare without case (RFC 9110, 5.1).
@@ -72,14 +72,14 @@
 		return false
 	}
 	for i := range a {
-		if lower(a[i]) != lower(b[i]) {
+		if toLower(a[i]) != toLower(b[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-func lower(c byte) byte {
+func toLower(c byte) byte {
 	if 'A' <= c && c <= 'Z' {
 		return c + 'a' - 'A'
 	}
@@ -87,7 +87,7 @@
 }
 
 // token tells characters of methods and header names (RFC 9110, 5.6.2).
-func token(c byte) bool {
+func isTokenChar(c byte) bool {
 	switch {
 	case 'a' <= c && c <= 'z', 'A' <= c && c <= 'Z', '0' <= c && c <= '9':
 		return true
@@ -95,9 +95,9 @@
 	return c != 0 && bytes.IndexByte([]byte("!#$%&'*+-.^_`|~"), c) >= 0
 }
 
-func allTokens(b []byte) bool {
+func isToken(b []byte) bool {
 	for _, c := range b {
-		if !token(c) {
+		if !isTokenChar(c) {
 			return false
 		}
 	}
@@ -106,67 +106,67 @@
 
 // readHead reads a start line and header lines up to the empty one.
 func (m *message) readHead(r *bufio.Reader, l Limits) error {
-	m.head, m.ends, m.Headers = m.head[:0], m.ends[:0], m.Headers[:0]
-	m.Close, m.length, m.chunked = false, 0, false
+	m.head, m.lineEnds, m.Headers = m.head[:0], m.lineEnds[:0], m.Headers[:0]
+	m.Close, m.bodyLength, m.chunked = false, 0, false
 	for {
 		line, err := r.ReadSlice('\n')
 		switch {
-		case errors.Is(err, bufio.ErrBufferFull) || len(line) > l.Line:
-			return m.tooLong()
+		case errors.Is(err, bufio.ErrBufferFull) || len(line) > l.MaxLineBytes:
+			return m.lineTooLong()
 		case err != nil:
 			if len(m.head)+len(line) > 0 && errors.Is(err, io.EOF) {
 				return io.ErrUnexpectedEOF
 			}
 			return err
 		case len(line) < 2 || line[len(line)-2] != '\r':
-			return bad("line %d ends without CR", len(m.ends)+1)
+			return malformed("line %d ends without CR", len(m.lineEnds)+1)
 		}
 		line = line[:len(line)-2]
 		if len(line) == 0 {
-			if len(m.ends) == 0 {
+			if len(m.lineEnds) == 0 {
 				continue // RFC 9112, 2.2: empty lines before a request are skipped
 			}
 			return m.parseHeaders()
 		}
-		if len(m.head)+len(line) > l.Head || len(m.ends) > l.Headers {
+		if len(m.head)+len(line) > l.MaxHeadBytes || len(m.lineEnds) > l.MaxHeaders {
 			return &Error{431, "head too large"}
 		}
 		m.head = append(m.head, line...)
-		m.ends = append(m.ends, len(m.head))
+		m.lineEnds = append(m.lineEnds, len(m.head))
 	}
 }
 
-func (m *message) tooLong() error {
-	if len(m.ends) == 0 {
+func (m *message) lineTooLong() error {
+	if len(m.lineEnds) == 0 {
 		return &Error{414, "start line too long"}
 	}
 	return &Error{431, "header line too long"}
 }
 
-func (m *message) start() []byte { return m.head[:m.ends[0]] }
+func (m *message) startLine() []byte { return m.head[:m.lineEnds[0]] }
 
 func (m *message) parseHeaders() error {
-	for i := 1; i < len(m.ends); i++ {
-		line := m.head[m.ends[i-1]:m.ends[i]]
+	for i := 1; i < len(m.lineEnds); i++ {
+		line := m.head[m.lineEnds[i-1]:m.lineEnds[i]]
 		if line[0] == ' ' || line[0] == '\t' {
-			return bad("header %d is folded", i)
+			return malformed("header %d is folded", i)
 		}
 		colon := bytes.IndexByte(line, ':')
-		if colon < 0 || !allTokens(line[:colon]) {
-			return bad("header %d has no valid name", i)
+		if colon < 0 || !isToken(line[:colon]) {
+			return malformed("header %d has no valid name", i)
 		}
-		value := trim(line[colon+1:])
+		value := trimBlanks(line[colon+1:])
 		for _, c := range value {
 			if c < ' ' && c != '\t' || c == 0x7f {
-				return bad("header %d holds a control character", i)
+				return malformed("header %d holds a control character", i)
 			}
 		}
 		m.Headers = append(m.Headers, Header{line[:colon], value})
 	}
-	return m.framing()
+	return m.parseFraming()
 }
 
-func trim(b []byte) []byte {
+func trimBlanks(b []byte) []byte {
 	for len(b) > 0 && (b[0] == ' ' || b[0] == '\t') {
 		b = b[1:]
 	}
@@ -177,17 +177,17 @@
 }
 
 // framing settles the body's length (RFC 9112, 6.3). Both ways at once, or one told twice, is refused.
-func (m *message) framing() error {
+func (m *message) parseFraming() error {
 	lengths, codings := 0, 0
 	for _, h := range m.Headers {
 		switch {
 		case equalFold(h.Name, "content-length"):
 			lengths++
-			n, ok := decimal(h.Value)
+			n, ok := parseDecimal(h.Value)
 			if !ok {
-				return bad("content-length is no number")
+				return malformed("content-length is no number")
 			}
-			m.length = n
+			m.bodyLength = n
 		case equalFold(h.Name, "transfer-encoding"):
 			codings++
 			if !equalFold(h.Value, "chunked") {
@@ -199,15 +199,15 @@
 		}
 	}
 	if lengths+codings > 1 {
-		return bad("more than one body length")
+		return malformed("more than one body length")
 	}
 	if lengths+codings == 0 {
-		m.length = -1 // the caller knows what none means
+		m.bodyLength = -1 // the caller knows what none means
 	}
 	return nil
 }
 
-func decimal(b []byte) (int, bool) {
+func parseDecimal(b []byte) (int, bool) {
 	if len(b) == 0 || len(b) > 15 {
 		return 0, false
 	}
@@ -229,7 +229,7 @@
 		} else {
 			list = nil
 		}
-		if equalFold(trim(part), want) {
+		if equalFold(trimBlanks(part), want) {
 			return true
 		}
 	}
@@ -240,14 +240,14 @@
 func (m *message) readBody(dst []byte, r *bufio.Reader, l Limits) ([]byte, error) {
 	switch {
 	case m.chunked:
-		return readChunks(dst, r, l)
-	case m.length > l.Body:
+		return readChunked(dst, r, l)
+	case m.bodyLength > l.MaxBodyBytes:
 		return dst, &Error{413, "body too large"}
-	case m.length >= 0:
-		return readN(dst, r, m.length)
+	case m.bodyLength >= 0:
+		return readFull(dst, r, m.bodyLength)
 	}
 	for { // until the connection ends
-		if len(dst) > l.Body {
+		if len(dst) > l.MaxBodyBytes {
 			return dst, &Error{413, "body too large"}
 		}
 		dst = append(dst, 0)
@@ -262,7 +262,7 @@
 	}
 }
 
-func readN(dst []byte, r *bufio.Reader, n int) ([]byte, error) {
+func readFull(dst []byte, r *bufio.Reader, n int) ([]byte, error) {
 	at := len(dst)
 	dst = slices.Grow(dst, n)[:at+n]
 	_, err := io.ReadFull(r, dst[at:])
@@ -273,41 +273,41 @@
 }
 
 // readChunks decodes the chunked coding (RFC 9112, 7.1). Trailers are read and dropped.
-func readChunks(dst []byte, r *bufio.Reader, l Limits) ([]byte, error) {
+func readChunked(dst []byte, r *bufio.Reader, l Limits) ([]byte, error) {
 	for {
-		line, err := chunkLine(r)
+		line, err := readChunkLine(r)
 		if err != nil {
 			return dst, err
 		}
 		if i := bytes.IndexByte(line, ';'); i >= 0 {
-			line = trim(line[:i])
+			line = trimBlanks(line[:i])
 		}
-		size, ok := hex(line)
+		size, ok := parseHex(line)
 		if !ok {
-			return dst, bad("chunk size is no number")
+			return dst, malformed("chunk size is no number")
 		}
 		if size == 0 {
 			break
 		}
-		if len(dst)+size > l.Body {
+		if len(dst)+size > l.MaxBodyBytes {
 			return dst, &Error{413, "body too large"}
 		}
-		if dst, err = readN(dst, r, size); err != nil {
+		if dst, err = readFull(dst, r, size); err != nil {
 			return dst, err
 		}
-		if end, err := chunkLine(r); err != nil || len(end) > 0 {
-			return dst, bad("chunk longer than its size")
+		if end, err := readChunkLine(r); err != nil || len(end) > 0 {
+			return dst, malformed("chunk longer than its size")
 		}
 	}
-	for range l.Headers {
-		if line, err := chunkLine(r); err != nil || len(line) == 0 {
+	for range l.MaxHeaders {
+		if line, err := readChunkLine(r); err != nil || len(line) == 0 {
 			return dst, err
 		}
 	}
 	return dst, &Error{431, "too many trailers"}
 }
 
-func chunkLine(r *bufio.Reader) ([]byte, error) {
+func readChunkLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, io.EOF) {
@@ -316,14 +316,14 @@
 		return nil, err
 	}
 	if len(line) < 2 || line[len(line)-2] != '\r' || bytes.IndexByte(line[:len(line)-2], '\r') >= 0 {
-		return nil, bad("chunk line ends without CR")
+		return nil, malformed("chunk line ends without CR")
 	}
 	return line[:len(line)-2], nil
 }
 
-func hex(b []byte) (n int, ok bool) {
+func parseHex(b []byte) (n int, ok bool) {
 	for _, c := range b {
-		switch c = lower(c); {
+		switch c = toLower(c); {
 		case '0' <= c && c <= '9':
 			n = n<<4 | int(c-'0')
 		case 'a' <= c && c <= 'f':
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -19,35 +19,35 @@
 	message
 	Method, Path, Query []byte
 	Body                []byte
-	minor               int
+	minorVersion        int
 }
 
-func (q *Request) parseStart() error {
-	line := q.start()
+func (q *Request) parseRequestLine() error {
+	line := q.startLine()
 	first, last := bytes.IndexByte(line, ' '), bytes.LastIndexByte(line, ' ')
-	if first <= 0 || last <= first+1 || !allTokens(line[:first]) {
-		return bad("request line has not three parts")
+	if first <= 0 || last <= first+1 || !isToken(line[:first]) {
+		return malformed("request line has not three parts")
 	}
 	target, version := line[first+1:last], line[last+1:]
 	for _, c := range target {
 		if c <= ' ' || c >= 0x7f {
-			return bad("request target holds a character that is not allowed")
+			return malformed("request target holds a character that is not allowed")
 		}
 	}
 	switch string(version) {
 	case "HTTP/1.1":
-		q.minor = 1
+		q.minorVersion = 1
 	case "HTTP/1.0":
-		q.minor = 0
+		q.minorVersion = 0
 	default:
 		if !bytes.HasPrefix(version, []byte("HTTP/")) {
-			return bad("request line has no version")
+			return malformed("request line has no version")
 		}
 		return &Error{505, "HTTP version not known"}
 	}
 	var ok bool
-	if target, ok = originForm(target); !ok {
-		return bad("request target is no path")
+	if target, ok = toOriginForm(target); !ok {
+		return malformed("request target is no path")
 	}
 	q.Method, q.Path, q.Query = line[:first], target, nil
 	if i := bytes.IndexByte(target, '?'); i >= 0 {
@@ -58,7 +58,7 @@
 
 // originForm leaves path and query of a target. The absolute form is accepted as RFC 9112, 3.2.2 asks of
 // every server: its authority stands in for Host's, and neither is used here. "*" and others are no paths.
-func originForm(target []byte) ([]byte, bool) {
+func toOriginForm(target []byte) ([]byte, bool) {
 	if target[0] == '/' {
 		return target, true
 	}
@@ -84,24 +84,24 @@
 	if err := q.readHead(r, l); err != nil {
 		return err
 	}
-	if err := q.parseStart(); err != nil {
+	if err := q.parseRequestLine(); err != nil {
 		return err
 	}
-	if q.minor == 0 {
+	if q.minorVersion == 0 {
 		q.Close = true
 		if q.chunked {
-			return bad("chunked body in HTTP/1.0")
+			return malformed("chunked body in HTTP/1.0")
 		}
-	} else if hosts := q.count("host"); hosts != 1 {
-		return bad("%d host headers", hosts) // RFC 9112, 3.2
+	} else if hosts := q.countHeaders("host"); hosts != 1 {
+		return malformed("%d host headers", hosts) // RFC 9112, 3.2
 	}
-	if q.length < 0 {
-		q.length = 0
+	if q.bodyLength < 0 {
+		q.bodyLength = 0
 	}
 	return nil
 }
 
-func (q *Request) count(name string) (n int) {
+func (q *Request) countHeaders(name string) (n int) {
 	for _, h := range q.Headers {
 		if equalFold(h.Name, name) {
 			n++
@@ -111,7 +111,7 @@
 }
 
 // Param is the raw value of a query parameter, nil if it is not there.
-func (q *Request) Param(name string) []byte {
+func (q *Request) QueryParam(name string) []byte {
 	rest := q.Query
 	for len(rest) > 0 {
 		part := rest
@@ -130,38 +130,38 @@
 // Exchange is one request with the answer that is being made for it.
 type Exchange struct {
 	Request
-	conn   *serverConn
-	r      *bufio.Reader
-	head   []byte
-	status int
-	Out    []byte // the answer's body
+	conn           *serverConn
+	reader         *bufio.Reader
+	responseHead   []byte
+	responseStatus int
+	ResponseBody   []byte // the answer's body
 }
 
 // Remote is the peer's address.
-func (x *Exchange) Remote() string { return x.conn.RemoteAddr().String() }
+func (x *Exchange) RemoteAddr() string { return x.conn.RemoteAddr().String() }
 
 // Status begins the answer; header lines follow by Header. The body goes into Out.
-func (x *Exchange) Status(code int) {
-	x.status, x.head, x.Out = code, x.head[:0], x.Out[:0]
+func (x *Exchange) StartResponse(code int) {
+	x.responseStatus, x.responseHead, x.ResponseBody = code, x.responseHead[:0], x.ResponseBody[:0]
 }
 
 // Header adds a header line. Neither part may hold a line break; the caller's own words only.
-func (x *Exchange) Header(name, value string) {
-	x.head = append(x.head, name...)
-	x.head = append(x.head, ": "...)
-	x.head = append(x.head, value...)
-	x.head = append(x.head, "\r\n"...)
+func (x *Exchange) AddHeader(name, value string) {
+	x.responseHead = append(x.responseHead, name...)
+	x.responseHead = append(x.responseHead, ": "...)
+	x.responseHead = append(x.responseHead, value...)
+	x.responseHead = append(x.responseHead, "\r\n"...)
 }
 
 // Watch reports by closing gone when the peer hangs up while its request is being answered.
 // stop must be called before the handler returns.
-func (x *Exchange) Watch() (gone <-chan struct{}, stop func()) {
+func (x *Exchange) WatchDisconnect() (gone <-chan struct{}, stop func()) {
 	left, over := make(chan struct{}), make(chan struct{})
-	x.conn.readBy = deadline{}
+	x.conn.readDeadline = lazyDeadline{}
 	_ = x.conn.SetReadDeadline(time.Time{})
 	go func() {
 		defer close(over)
-		if _, err := x.r.Peek(1); err != nil {
+		if _, err := x.reader.Peek(1); err != nil {
 			var late net.Error
 			if !errors.As(err, &late) || !late.Timeout() {
 				close(left)
@@ -216,7 +216,7 @@
 	return "Status"
 }
 
-func appendAnswer(dst []byte, code int, head, body []byte, end, bodyless bool) []byte {
+func appendResponse(dst []byte, code int, head, body []byte, end, bodyless bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(code), 10)
 	dst = append(dst, ' ')
@@ -241,37 +241,37 @@
 // Server serves connections, one goroutine for each. Requests of one connection are answered in
 // order, pipelined ones too.
 type Server struct {
-	Handle Handler
-	Limits Limits
-	Conns  int // at most at once; more are closed at once
-	Log    *slog.Logger
+	Handler  Handler
+	Limits   Limits
+	MaxConns int // at most at once; more are closed at once
+	Log      *slog.Logger
 
-	mu    sync.Mutex
-	conns map[*serverConn]struct{}
-	done  atomic.Bool
-	wg    sync.WaitGroup
+	mu       sync.Mutex
+	conns    map[*serverConn]struct{}
+	draining atomic.Bool
+	wg       sync.WaitGroup
 }
 
 // serverConn is one connection. Its state tells the end of the server which connections may be closed
 // at once: a connection is either idle, or a request on it is being answered, or it was closed while idle.
 type serverConn struct {
 	net.Conn
-	state   atomic.Int32
-	readBy  deadline
-	writeBy deadline
+	state         atomic.Int32
+	readDeadline  lazyDeadline
+	writeDeadline lazyDeadline
 }
 
 const (
-	idle int32 = iota
-	busy
-	shut
+	connIdle int32 = iota
+	connBusy
+	connClosed
 )
 
 // deadline is one that is set anew only when much of it has gone: setting it costs more than a small
 // request is worth, and a wait that is a quarter shorter than its limit harms nobody.
-type deadline struct{ at time.Time }
+type lazyDeadline struct{ at time.Time }
 
-func (d *deadline) due(now time.Time, limit time.Duration) (time.Time, bool) {
+func (d *lazyDeadline) refresh(now time.Time, limit time.Duration) (time.Time, bool) {
 	if left := d.at.Sub(now); left > limit-limit/4 && left <= limit {
 		return d.at, false
 	}
@@ -290,7 +290,7 @@
 		if c, err = ln.Accept(); err != nil {
 			break
 		}
-		if !s.add(c) {
+		if !s.startConn(c) {
 			_ = c.Close()
 		}
 	}
@@ -302,24 +302,24 @@
 	return err
 }
 
-func (s *Server) add(c net.Conn) bool {
+func (s *Server) startConn(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.done.Load() || s.Conns > 0 && len(s.conns) >= s.Conns {
+	if s.draining.Load() || s.MaxConns > 0 && len(s.conns) >= s.MaxConns {
 		return false
 	}
 	sc := &serverConn{Conn: c}
 	s.conns[sc] = struct{}{}
 	s.wg.Add(1)
-	go s.serve(sc)
+	go s.serveConn(sc)
 	return true
 }
 
 func (s *Server) drain(grace time.Duration) {
-	s.done.Store(true)
+	s.draining.Store(true)
 	s.mu.Lock()
 	for c := range s.conns {
-		if c.state.CompareAndSwap(idle, shut) {
+		if c.state.CompareAndSwap(connIdle, connClosed) {
 			_ = c.Close()
 		}
 	}
@@ -341,7 +341,7 @@
 	<-over
 }
 
-func (s *Server) serve(c *serverConn) {
+func (s *Server) serveConn(c *serverConn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer func() {
 		cancel()
@@ -351,68 +351,68 @@
 		s.mu.Unlock()
 		s.wg.Done()
 	}()
-	x := &Exchange{conn: c, r: bufio.NewReaderSize(c, s.Limits.Line)}
+	x := &Exchange{conn: c, reader: bufio.NewReaderSize(c, s.Limits.MaxLineBytes)}
 	var out []byte
 	for {
 		now := time.Now()
-		if at, anew := c.readBy.due(now, s.Limits.IdleFor); anew {
+		if at, anew := c.readDeadline.refresh(now, s.Limits.IdleTimeout); anew {
 			_ = c.SetReadDeadline(at)
 		}
-		if _, err := x.r.Peek(1); err != nil || !c.state.CompareAndSwap(idle, busy) {
+		if _, err := x.reader.Peek(1); err != nil || !c.state.CompareAndSwap(connIdle, connBusy) {
 			return
 		}
-		if err := s.read(c, x); err != nil {
-			s.refuse(c, x, err)
+		if err := s.readRequest(c, x); err != nil {
+			s.reject(c, x, err)
 			return
 		}
-		s.answer(ctx, x)
-		end := x.Close || s.done.Load()
-		out = appendAnswer(out[:0], x.status, x.head, x.Out, end, string(x.Method) == "HEAD")
-		if at, anew := c.writeBy.due(now, s.Limits.SendFor); anew {
+		s.handle(ctx, x)
+		end := x.Close || s.draining.Load()
+		out = appendResponse(out[:0], x.responseStatus, x.responseHead, x.ResponseBody, end, string(x.Method) == "HEAD")
+		if at, anew := c.writeDeadline.refresh(now, s.Limits.WriteTimeout); anew {
 			_ = c.SetWriteDeadline(at)
 		}
 		if _, err := c.Write(out); err != nil || end {
 			return
 		}
-		c.state.Store(idle)
-		if s.done.Load() { // the end may have passed this connection by while it was busy
+		c.state.Store(connIdle)
+		if s.draining.Load() { // the end may have passed this connection by while it was busy
 			return
 		}
 	}
 }
 
 // read takes a request off the connection. One whose head is here already needs no time limit of its own.
-func (s *Server) read(c *serverConn, x *Exchange) error {
-	here, _ := x.r.Peek(x.r.Buffered())
+func (s *Server) readRequest(c *serverConn, x *Exchange) error {
+	here, _ := x.reader.Peek(x.reader.Buffered())
 	if !bytes.Contains(here, []byte("\r\n\r\n")) {
-		c.readBy = deadline{}
-		_ = c.SetReadDeadline(time.Now().Add(s.Limits.HeadFor))
+		c.readDeadline = lazyDeadline{}
+		_ = c.SetReadDeadline(time.Now().Add(s.Limits.HeadTimeout))
 	}
-	if err := x.read(x.r, s.Limits); err != nil {
+	if err := x.read(x.reader, s.Limits); err != nil {
 		return err
 	}
-	return s.body(c, x)
+	return s.readBody(c, x)
 }
 
 // answer calls the handler; one that panics costs its own request only.
-func (s *Server) answer(ctx context.Context, x *Exchange) {
-	x.status = 0
+func (s *Server) handle(ctx context.Context, x *Exchange) {
+	x.responseStatus = 0
 	defer func() {
 		if p := recover(); p != nil {
 			s.Log.Error("handler broke", "panic", p, "path", string(x.Path))
-			x.status = 0
+			x.responseStatus = 0
 		}
-		if x.status == 0 {
-			x.Status(500)
+		if x.responseStatus == 0 {
+			x.StartResponse(500)
 			x.Close = true
 		}
 	}()
-	s.Handle(ctx, x)
+	s.Handler(ctx, x)
 }
 
-func (s *Server) body(c *serverConn, x *Exchange) (err error) {
+func (s *Server) readBody(c *serverConn, x *Exchange) (err error) {
 	x.Body = x.Body[:0]
-	if !x.chunked && x.length == 0 {
+	if !x.chunked && x.bodyLength == 0 {
 		return nil
 	}
 	if e := x.Get("expect"); e != nil {
@@ -420,15 +420,15 @@
 			return err
 		}
 	}
-	c.readBy = deadline{}
-	_ = c.SetReadDeadline(time.Now().Add(s.Limits.BodyFor))
-	x.Body, err = x.readBody(x.Body, x.r, s.Limits)
+	c.readDeadline = lazyDeadline{}
+	_ = c.SetReadDeadline(time.Now().Add(s.Limits.BodyTimeout))
+	x.Body, err = x.readBody(x.Body, x.reader, s.Limits)
 	return err
 }
 
 // refuse answers a message that cannot be read, and the connection ends: what follows on it can
 // no longer be told apart.
-func (s *Server) refuse(c *serverConn, x *Exchange, err error) {
+func (s *Server) reject(c *serverConn, x *Exchange, err error) {
 	var e *Error
 	var late net.Error
 	switch {
@@ -443,7 +443,7 @@
 	s.Log.Warn("request refused", "remote", c.RemoteAddr().String(), "status", e.Status, "reason", e.Reason)
 	_ = c.SetWriteDeadline(time.Now().Add(time.Second))
 	body := append([]byte(e.Reason), '\n')
-	if _, err := c.Write(appendAnswer(nil, e.Status, []byte("Content-Type: text/plain\r\n"), body, true, false)); err != nil {
+	if _, err := c.Write(appendResponse(nil, e.Status, []byte("Content-Type: text/plain\r\n"), body, true, false)); err != nil {
 		return
 	}
 	if t, ok := c.Conn.(*net.TCPConn); ok { // let the answer out before unread input resets the connection
--- a/internal/peaks/book.go
+++ b/internal/peaks/book.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"rainpulley/internal/bound"
+	"rainpulley/internal/timeconv"
 )
 
 // Announcement is an hour that was announced. Times are Unix milliseconds, lengths milliseconds.
@@ -156,4 +156,4 @@
 	}
 }
 
-func ms(n int64) time.Duration { return bound.Ms(n) }
+func ms(n int64) time.Duration { return timeconv.Milliseconds(n) }
--- a/internal/planner/copies.go
+++ b/internal/planner/copies.go
@@ -118,7 +118,7 @@
 // base are the boxes where a title lies at rest. p.mu is held.
 func (p *Planner) base(t view.Title) (out []string) {
 	for id, b := range p.watch.boxes {
-		if n := p.Site.Cells; t.Span > 0 && ((b.box.Cell-t.Home)%n+n)%n < t.Span {
+		if n := p.Site.Cells; t.CellSpan > 0 && ((b.box.Cell-t.HomeCell)%n+n)%n < t.CellSpan {
 			out = append(out, id)
 		}
 	}
@@ -147,9 +147,9 @@
 	}
 	var list []copies.Box
 	for id, b := range p.watch.boxes {
-		if b.state() != view.Gone {
+		if b.state() != view.StateGone {
 			link := b.box.Weight * float64(p.Site.Links.PerWeight)
-			list = append(list, copies.Box{ID: id, Ready: b.state() == view.Ready, Link: link, Busy: b.link * link})
+			list = append(list, copies.Box{ID: id, Ready: b.state() == view.StateReady, Link: link, Busy: b.link * link})
 		}
 	}
 	p.copy.manager.SetBoxes(list)
@@ -327,11 +327,11 @@
 	p.tellBoxes()
 	count := 0
 	for _, b := range p.watch.boxes {
-		if b.state() == view.Ready {
+		if b.state() == view.StateReady {
 			count++
 		}
 	}
-	ready := func(id string) bool { return p.watch.boxes[id] != nil && p.watch.boxes[id].state() == view.Ready }
+	ready := func(id string) bool { return p.watch.boxes[id] != nil && p.watch.boxes[id].state() == view.StateReady }
 	var open []peaks.Announcement
 	for _, a := range p.board.book.List() {
 		if p.copiesFor(&a, now) && p.copy.board.Open(a.ID, a.Version, count, ready) && p.copy.manager.Known() {
--- a/internal/planner/keep.go
+++ b/internal/planner/keep.go
@@ -87,7 +87,7 @@
 	}
 	p.told.Titles = map[string]view.Title{}
 	for name, x := range t.Titles {
-		if x.Name != name || x.Home < 0 || x.Home >= p.Site.Cells || x.Span < 0 || x.Span > p.Site.Cells {
+		if x.Name != name || x.HomeCell < 0 || x.HomeCell >= p.Site.Cells || x.CellSpan < 0 || x.CellSpan > p.Site.Cells {
 			p.Log.Warn("title of before dropped: it does not fit the cells", "title", name)
 			continue
 		}
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -18,7 +18,7 @@
 	}
 	gauge("view_version", "Version of the view that is published; 0: none yet.", nil, func() float64 { return float64(p.now.Version) })
 	gauge("titles", "Titles of the view.", nil, func() float64 { return float64(len(p.now.Titles)) })
-	for _, state := range []view.State{view.Ready, view.Draining} {
+	for _, state := range []view.State{view.StateReady, view.StateDraining} {
 		gauge("boxes", "Boxes of the view by state.", prometheus.Labels{"state": string(state)}, func() (n float64) {
 			for _, b := range p.now.Boxes {
 				if b.State == state {
--- a/internal/planner/peaks.go
+++ b/internal/planner/peaks.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"rainpulley/internal/bound"
 	"rainpulley/internal/config"
 	"rainpulley/internal/peaks"
+	"rainpulley/internal/timeconv"
 	"rainpulley/internal/view"
 )
 
@@ -157,13 +157,13 @@
 // takeUse takes an edge's report. Arrivals are counted from one report to the next, so that one that is
 // lost or comes twice counts none twice.
 func (p *Planner) takeUse(w http.ResponseWriter, r *http.Request) {
-	var u view.Used
+	var u view.UsageReport
 	if err := readJSON(w, r, &u); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	uses := make([]peaks.Use, 0, len(u.Uses))
-	for _, x := range u.Uses {
+	uses := make([]peaks.Use, 0, len(u.Usage))
+	for _, x := range u.Usage {
 		uses = append(uses, peaks.Use{Key: peaks.Key{Peak: x.Peak, Title: x.Title, Box: x.Box}, Rate: x.Rate, Streams: x.Streams})
 	}
 	p.mu.Lock()
@@ -175,12 +175,12 @@
 		b.instance[position] = u.Edge
 	}
 	if b.ledger.Report(u.Edge, u.Seq, time.Now().UnixMilli(), uses) {
-		for _, x := range u.Arrived {
+		for _, x := range u.Arrivals {
 			k := u.Edge + "\x00" + peaks.PeakTitle(x.Peak, x.Title)
-			if last, seen := b.arrived[k]; seen && x.N > last {
-				b.pending[x.Peak] += x.N - last
+			if last, seen := b.arrived[k]; seen && x.Count > last {
+				b.pending[x.Peak] += x.Count - last
 			}
-			b.arrived[k] = x.N
+			b.arrived[k] = x.Count
 		}
 	}
 	p.evidence(u.Edge, u.Outcomes, time.Now().UnixMilli())
@@ -267,12 +267,12 @@
 func (p *Planner) plays(a *peaks.Announcement) time.Duration {
 	n := a.Session
 	if n <= 0 && len(a.Titles) > 0 {
-		n = p.watch.titles[a.Titles[0]].Length
+		n = p.watch.titles[a.Titles[0]].LengthMs
 	}
 	if n <= 0 {
 		return time.Minute
 	}
-	return bound.Ms(n)
+	return timeconv.Milliseconds(n)
 }
 
 // demand is what a title of a peak needs at once, and for how many seconds viewers still come.
@@ -288,7 +288,7 @@
 		worth = p.Site.Classes[class].Worth
 	}
 	zone := p.Site.Zone(a.Zone)
-	return peaks.Demand{Peak: a.ID, Title: name, Class: class, Home: t.Home, Span: t.Span, Worth: worth, Holders: holders(t), Zoned: zone >= 0, Zone: zone,
+	return peaks.Demand{Peak: a.ID, Title: name, Class: class, Home: t.HomeCell, Span: t.CellSpan, Worth: worth, Holders: holders(t), Zoned: zone >= 0, Zone: zone,
 		Count: rate * min(plays, float64(a.Length)/1000)}, comes.Seconds()
 }
 
@@ -325,14 +325,14 @@
 	sizes := map[string]peaks.Size{}
 	now := time.Now()
 	for _, b := range p.now.Boxes {
-		if b.State != view.Ready {
+		if b.State != view.StateReady {
 			continue
 		}
 		w := p.watch.boxes[b.ID]
 		if w == nil {
 			continue
 		}
-		x := peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Zone: s.Zone(b.Zone), Link: b.Weight * float64(s.Links.PerWeight), Warm: warm(s, b.Started, now)}
+		x := peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Zone: s.Zone(b.Zone), Link: b.Weight * float64(s.Links.PerWeight), Warm: warm(s, b.StartedMs, now)}
 		if k := s.Kind(b.Kind); k >= 0 {
 			x.Streams = float64(s.Kinds[k].Streams)
 		}
@@ -358,9 +358,9 @@
 // tellHolds makes the holds in force known to the streams. p.mu is held.
 func (p *Planner) tellHolds() {
 	b := &p.board
-	h := &view.Holds{Lease: holdLease.Milliseconds()}
+	h := &view.Holds{LeaseMs: holdLease.Milliseconds()}
 	for _, x := range b.ledger.Held() {
-		h.Parts = append(h.Parts, view.Hold{Title: x.Title, Class: p.Site.Classes[x.Class].Name, Box: x.Box, Rate: x.Rate, Streams: x.Streams})
+		h.Entries = append(h.Entries, view.Hold{Title: x.Title, Class: p.Site.Classes[x.Class].Name, Box: x.Box, Rate: x.Rate, Streams: x.Streams})
 	}
 	now := time.Now().UnixMilli()
 	for _, a := range b.book.List() {
@@ -368,10 +368,10 @@
 			continue
 		}
 		for _, t := range a.Titles {
-			h.Count = append(h.Count, view.Count{Peak: a.ID, Title: t, Class: a.Class})
+			h.CountedTitles = append(h.CountedTitles, view.CountedTitle{Peak: a.ID, Title: t, Class: a.Class})
 		}
 	}
-	if len(h.Parts)+len(h.Count) == 0 && (b.told == nil || len(b.told.Parts)+len(b.told.Count) == 0) {
+	if len(h.Entries)+len(h.CountedTitles) == 0 && (b.told == nil || len(b.told.Entries)+len(b.told.CountedTitles) == 0) {
 		return
 	}
 	b.told = h
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -13,11 +13,11 @@
 	"sync"
 	"time"
 
-	"rainpulley/internal/bound"
 	"rainpulley/internal/cmsd"
 	"rainpulley/internal/config"
 	"rainpulley/internal/http1"
 	"rainpulley/internal/registry"
+	"rainpulley/internal/timeconv"
 	"rainpulley/internal/view"
 )
 
@@ -56,7 +56,7 @@
 // New makes a planner. Its versions begin at the time, so that a restarted one is above its forerunner.
 func New(o Options) *Planner {
 	p := &Planner{Options: o, watch: NewWatch(o.Site.Planner.GoneAfter, uint64(time.Now().UnixMilli())), more: make(chan struct{}),
-		client: &http1.Client{Limits: http1.DefaultLimits(), Connect: o.Site.Planner.CheckFor.D()}}
+		client: &http1.Client{Limits: http1.DefaultLimits(), ConnectTimeout: o.Site.Planner.CheckFor.D()}}
 	for _, b := range o.Site.Boxes {
 		p.watch.Add(p.siteBox(b))
 	}
@@ -195,14 +195,14 @@
 	}
 	c := Check{Answered: true, Draining: h.State == "draining", Boot: h.Boot, Titles: h.Titles, At: time.Now()}
 	if l := cmsd.Parse(r.Get("cmsd-dynamic")); l != nil {
-		if l.Link != nil {
-			c.Link = *l.Link
+		if l.LinkUtilization != nil {
+			c.Link = *l.LinkUtilization
 		}
 		if l.Streams != nil {
 			c.Streams = *l.Streams
 		}
 	}
-	if h.StartedMs > 0 && h.StartedMs <= bound.Latest {
+	if h.StartedMs > 0 && h.StartedMs <= timeconv.MaxUnixMilli {
 		c.Started = time.UnixMilli(h.StartedMs)
 	}
 	return c
@@ -233,13 +233,13 @@
 			}
 			continue
 		}
-		l := view.Line{Version: v.Version}
+		l := view.Update{Version: v.Version}
 		switch {
 		case first:
-			l = view.Line{Version: v.Version, Whole: true, Boxes: v.Boxes, Titles: v.Titles, Now: time.Now().UnixMilli()}
+			l = view.Update{Version: v.Version, Full: true, Boxes: v.Boxes, Titles: v.Titles, NowMs: time.Now().UnixMilli()}
 		case v.Version != sent.Version:
 			l = view.Diff(sent, v)
-			l.Now = time.Now().UnixMilli()
+			l.NowMs = time.Now().UnixMilli()
 		}
 		l.Holds = holds
 		sent, first = v, false
@@ -265,7 +265,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(view.Line{Version: v.Version, Whole: true, Boxes: v.Boxes, Titles: v.Titles, Now: time.Now().UnixMilli()})
+	_ = json.NewEncoder(w).Encode(view.Update{Version: v.Version, Full: true, Boxes: v.Boxes, Titles: v.Titles, NowMs: time.Now().UnixMilli()})
 }
 
 func (p *Planner) drain(w http.ResponseWriter, r *http.Request, on bool) {
@@ -296,8 +296,8 @@
 	if r.Method == http.MethodPut {
 		d := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096))
 		d.DisallowUnknownFields()
-		if err := d.Decode(&t); err != nil || t.Name != r.PathValue("name") || t.Home < 0 || t.Home >= p.Site.Cells ||
-			t.Span < 1 || t.Span > p.Site.Cells || t.Length < 0 || t.Length > bound.Longest.Milliseconds() {
+		if err := d.Decode(&t); err != nil || t.Name != r.PathValue("name") || t.HomeCell < 0 || t.HomeCell >= p.Site.Cells ||
+			t.CellSpan < 1 || t.CellSpan > p.Site.Cells || t.LengthMs < 0 || t.LengthMs > timeconv.MaxDuration.Milliseconds() {
 			http.Error(w, "want {\"name\",\"home\",\"span\",\"length_ms\"} that fit the cells", http.StatusBadRequest)
 			return
 		}
--- a/internal/planner/reload.go
+++ b/internal/planner/reload.go
@@ -20,7 +20,7 @@
 }
 
 func siteTitle(t config.Title) view.Title {
-	return view.Title{Name: t.Name, Home: t.Home, Span: t.Span, Length: t.Length.D().Milliseconds()}
+	return view.Title{Name: t.Name, HomeCell: t.Home, CellSpan: t.Span, LengthMs: t.Length.D().Milliseconds()}
 }
 
 // checkFrom begins to ask a box. p.mu is held.
--- a/internal/planner/sources.go
+++ b/internal/planner/sources.go
@@ -172,7 +172,7 @@
 	named := map[string]bool{}
 	for _, t := range titles {
 		named[t.Name] = true
-		if old := p.watch.titles[t.Name]; old.Home != t.Home || old.Span != t.Span || old.Length != t.Length {
+		if old := p.watch.titles[t.Name]; old.HomeCell != t.HomeCell || old.CellSpan != t.CellSpan || old.LengthMs != t.LengthMs {
 			set(t)
 		}
 	}
@@ -260,7 +260,7 @@
 	}
 	var out []BoxLine
 	for id, x := range p.watch.boxes {
-		l := BoxLine{ID: id, State: string(view.Gone), Source: "site", Reason: "answers its checks"}
+		l := BoxLine{ID: id, State: string(view.StateGone), Source: "site", Reason: "answers its checks"}
 		if s, ok := states[id]; ok {
 			l.State = string(s)
 		}
@@ -273,7 +273,7 @@
 			l.Reason = "drain told by an operator"
 		case x.misses > 0 || !x.known:
 			l.Reason = l.Reason + "; " + strconv.Itoa(x.misses) + " of the planner's checks missed"
-		case x.box.State == view.Draining:
+		case x.box.State == view.StateDraining:
 			l.Reason = "says that it drains"
 		}
 		out = append(out, l)
--- a/internal/planner/watch.go
+++ b/internal/planner/watch.go
@@ -54,7 +54,7 @@
 // Add makes a box known; it is not listed before it answers.
 func (w *Watch) Add(b view.Box) {
 	if w.boxes[b.ID] == nil {
-		b.State = view.Gone
+		b.State = view.StateGone
 		w.boxes[b.ID] = &watched{box: b}
 	}
 }
@@ -62,7 +62,7 @@
 // Update changes what is known of a box from its installation; its state and start stay.
 func (w *Watch) Update(b view.Box) {
 	if o := w.boxes[b.ID]; o != nil {
-		b.State, b.Started = o.box.State, o.box.Started
+		b.State, b.StartedMs = o.box.State, o.box.StartedMs
 		o.box = b
 		return
 	}
@@ -79,17 +79,17 @@
 		return false
 	}
 	b.drain = on
-	if on && b.box.State == view.Ready {
-		b.box.State = view.Draining
-	} else if !on && b.box.State == view.Draining {
-		b.box.State = view.Ready // the next check says otherwise where the box itself drains
+	if on && b.box.State == view.StateReady {
+		b.box.State = view.StateDraining
+	} else if !on && b.box.State == view.StateDraining {
+		b.box.State = view.StateReady // the next check says otherwise where the box itself drains
 	}
 	return true
 }
 
 // SetTitle adds or changes a title; a span of 0 removes it.
 func (w *Watch) SetTitle(t view.Title) {
-	if t.Span == 0 {
+	if t.CellSpan == 0 {
 		delete(w.titles, t.Name)
 		return
 	}
@@ -107,21 +107,21 @@
 	}
 	if !c.Answered {
 		if b.misses++; b.misses >= w.goneAfter {
-			b.box.State = view.Gone
+			b.box.State = view.StateGone
 		}
 		return
 	}
 	b.misses, b.known, b.link, b.streams = 0, true, c.Link, c.Streams
-	if c.Boot != b.boot || b.box.Started == 0 {
+	if c.Boot != b.boot || b.box.StartedMs == 0 {
 		if !c.Started.IsZero() {
-			b.box.Started = b.began(c).UnixMilli()
+			b.box.StartedMs = b.began(c).UnixMilli()
 		}
 		b.boot = c.Boot
 	}
 	b.heard = c.At
-	b.box.State = view.Ready
+	b.box.State = view.StateReady
 	if c.Draining || b.drain {
-		b.box.State = view.Draining
+		b.box.State = view.StateDraining
 	}
 }
 
@@ -147,18 +147,18 @@
 		return
 	}
 	b.belief = s
-	if b.box.Started > 0 && started > b.box.Started {
-		b.box.Started = started
+	if b.box.StartedMs > 0 && started > b.box.StartedMs {
+		b.box.StartedMs = started
 	}
 }
 
 // state is a box's state in the view: the worse of its own checks and of what is believed of other sources.
 func (b *watched) state() view.State {
 	switch {
-	case b.box.State == view.Gone || b.belief == view.Gone:
-		return view.Gone
-	case b.belief == view.Draining:
-		return view.Draining
+	case b.box.State == view.StateGone || b.belief == view.StateGone:
+		return view.StateGone
+	case b.belief == view.StateDraining:
+		return view.StateDraining
 	}
 	return b.box.State
 }
@@ -177,7 +177,7 @@
 // View is the view as it stands, with a higher version if anything changed since the last call.
 func (w *Watch) View() (v view.View, changed bool) {
 	for _, b := range w.boxes {
-		if s := b.state(); s != view.Gone {
+		if s := b.state(); s != view.StateGone {
 			x := b.box
 			x.State = s
 			v.Boxes = append(v.Boxes, x)
--- a/internal/planner/watch_test.go
+++ b/internal/planner/watch_test.go
@@ -19,10 +19,10 @@
 		v, _ := w.View()
 		for _, b := range v.Boxes {
 			if b.ID == id {
-				return b.State, b.Started
+				return b.State, b.StartedMs
 			}
 		}
-		return view.Gone, 0
+		return view.StateGone, 0
 	}
 	w.Saw("a", ok)
 	if w.Settled() {
@@ -30,20 +30,20 @@
 	}
 	w.Saw("b", Check{})
 	w.Saw("b", Check{})
-	if s, _ := state("a"); !w.Settled() || s != view.Ready {
+	if s, _ := state("a"); !w.Settled() || s != view.StateReady {
 		t.Error("not settled, or a not ready")
 	}
 	w.Saw("a", Check{})
-	if s, _ := state("a"); s != view.Ready {
+	if s, _ := state("a"); s != view.StateReady {
 		t.Error("gone after one check missed")
 	}
 	w.Saw("a", Check{})
-	if s, _ := state("a"); s != view.Gone {
+	if s, _ := state("a"); s != view.StateGone {
 		t.Error("not gone after two")
 	}
 	again := Check{Answered: true, Boot: "two", Started: time.UnixMilli(9000)}
 	w.Saw("a", again)
-	if s, at := state("a"); s != view.Ready || at != 9000 {
+	if s, at := state("a"); s != view.StateReady || at != 9000 {
 		t.Errorf("back as %s, started %d", s, at)
 	}
 	again.Started = time.UnixMilli(9500) // a clock that was set is no restart
@@ -53,13 +53,13 @@
 	}
 	w.Drain("a", true)
 	w.Saw("a", again)
-	if s, _ := state("a"); s != view.Draining {
+	if s, _ := state("a"); s != view.StateDraining {
 		t.Error("an operator's drain was forgotten")
 	}
 	w.Drain("a", false)
 	again.Draining = true
 	w.Saw("a", again)
-	if s, _ := state("a"); s != view.Draining {
+	if s, _ := state("a"); s != view.StateDraining {
 		t.Error("the box's own drain was forgotten")
 	}
 	if w.Drain("nobody", true) {
@@ -77,8 +77,8 @@
 		w.Saw("a", Check{Answered: true, Boot: "one", Started: at(10), At: at(100)})
 		w.Saw("a", Check{})
 		w.Saw("a", Check{Answered: true, Boot: "two", Started: at(told), At: at(103)})
-		if v, _ := w.View(); v.Boxes[0].Started != want {
-			t.Errorf("told %d s: %d, want %d", told, v.Boxes[0].Started, want)
+		if v, _ := w.View(); v.Boxes[0].StartedMs != want {
+			t.Errorf("told %d s: %d, want %d", told, v.Boxes[0].StartedMs, want)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 			case 0:
 				w.Drain(id, rapid.Bool().Draw(t, "on"))
 			case 1:
-				w.SetTitle(view.Title{Name: "t", Span: rapid.IntRange(0, 2).Draw(t, "span")})
+				w.SetTitle(view.Title{Name: "t", CellSpan: rapid.IntRange(0, 2).Draw(t, "span")})
 			default:
 				w.Saw(id, Check{Answered: rapid.Bool().Draw(t, "answered"), Draining: rapid.Bool().Draw(t, "draining"),
 					Boot: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "boot"), Started: time.UnixMilli(rapid.Int64Range(1, 9).Draw(t, "started"))})
--- a/internal/registry/consul_test.go
+++ b/internal/registry/consul_test.go
@@ -95,7 +95,7 @@
 	r := newRig(t, nil)
 	r.watch()
 	r.until("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 && len(s.Titles) == 1 })
-	if b := r.last.Boxes[1]; b.ID != "127.0.0.1:9001" || b.Cell != 1 || b.Weight != 2.5 || b.Zone != "east" || b.Started != 1700000000000 || r.last.Titles[0].Span != 3 {
+	if b := r.last.Boxes[1]; b.ID != "127.0.0.1:9001" || b.Cell != 1 || b.Weight != 2.5 || b.Zone != "east" || b.Started != 1700000000000 || r.last.Titles[0].CellSpan != 3 {
 		t.Errorf("%+v", r.last)
 	}
 	r.change(0, func(s *standin.Service) { s.Checks["alive"] = "critical" })
--- a/internal/registry/mapping.go
+++ b/internal/registry/mapping.go
@@ -13,8 +13,8 @@
 	"github.com/hashicorp/consul/api"
 
 	"rainpulley/internal/belief"
-	"rainpulley/internal/bound"
 	"rainpulley/internal/config"
+	"rainpulley/internal/timeconv"
 	"rainpulley/internal/view"
 )
 
@@ -93,7 +93,7 @@
 		}
 	}
 	if s, told := meta[MetaStarted]; told {
-		if b.Started, err = strconv.ParseInt(s, 10, 64); err != nil || b.Started < 0 || b.Started > bound.Latest {
+		if b.Started, err = strconv.ParseInt(s, 10, 64); err != nil || b.Started < 0 || b.Started > timeconv.MaxUnixMilli {
 			return bad(MetaStarted, "%q: Unix milliseconds", s)
 		}
 	}
@@ -136,10 +136,10 @@
 		case err != nil:
 		case t.Name != name || !config.Segment(name):
 			err = fmt.Errorf("name %q does not fit the key, or a URL", t.Name)
-		case t.Home < 0 || t.Home >= site.Cells || t.Span < 1 || t.Span > site.Cells:
-			err = fmt.Errorf("home %d and span %d do not fit %d cells", t.Home, t.Span, site.Cells)
-		case t.Length < 0 || t.Length > bound.Longest.Milliseconds():
-			err = fmt.Errorf("length_ms %d", t.Length)
+		case t.HomeCell < 0 || t.HomeCell >= site.Cells || t.CellSpan < 1 || t.CellSpan > site.Cells:
+			err = fmt.Errorf("home %d and span %d do not fit %d cells", t.HomeCell, t.CellSpan, site.Cells)
+		case t.LengthMs < 0 || t.LengthMs > timeconv.MaxDuration.Milliseconds():
+			err = fmt.Errorf("length_ms %d", t.LengthMs)
 		case t.Listed || t.Holders != nil:
 			err = fmt.Errorf("holders are not for the catalogue to say")
 		}
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -113,7 +113,7 @@
 		}
 		line := b[:i]
 		b = b[i+1:]
-		var l view.Line
+		var l view.Update
 		if len(line) == 0 || line[0] != '{' || json.Unmarshal(line, &l) != nil {
 			continue // heads and chunk sizes
 		}
@@ -121,7 +121,7 @@
 	}
 }
 
-func (r *Relay) told(l view.Line) {
+func (r *Relay) told(l view.Update) {
 	add := func(box, state string) {
 		r.Log.Add(audit.Entry{Side: "relay", Who: box, What: audit.Told, Edge: strconv.Itoa(r.Edge), Text: state})
 	}
@@ -132,12 +132,12 @@
 		listed[b.ID], r.boxes[b.ID] = true, true
 		add(b.ID, string(b.State))
 	}
-	if !l.Whole {
+	if !l.Full {
 		return
 	}
 	for id := range r.boxes { // what a whole view does not name is gone
 		if !listed[id] {
-			add(id, string(view.Gone))
+			add(id, string(view.StateGone))
 		}
 	}
 }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -10,7 +10,7 @@
 	"slices"
 	"strings"
 
-	"rainpulley/internal/bound"
+	"rainpulley/internal/timeconv"
 )
 
 // State of a box.
@@ -18,29 +18,29 @@
 
 // States of a box.
 const (
-	Ready    State = "ready"
-	Draining State = "draining"
-	Gone     State = "gone"
+	StateReady    State = "ready"
+	StateDraining State = "draining"
+	StateGone     State = "gone"
 )
 
 // Box is one streaming server. Zone and kind are names; its rack follows from its cell.
 type Box struct {
-	ID      string  `json:"id"` // host:port
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	Rack    int     `json:"rack"`
-	State   State   `json:"state"`
-	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms,omitempty"` // Unix milliseconds; 0: long ago or not known
+	ID        string  `json:"id"` // host:port
+	Zone      string  `json:"zone"`
+	Kind      string  `json:"kind"`
+	Cell      int     `json:"cell"`
+	Rack      int     `json:"rack"`
+	State     State   `json:"state"`
+	Weight    float64 `json:"weight"`
+	StartedMs int64   `json:"started_ms,omitempty"` // Unix milliseconds; 0: long ago or not known
 }
 
 // Title is what can be played and where it lies.
 type Title struct {
-	Name   string `json:"name"`
-	Home   int    `json:"home"`
-	Span   int    `json:"span"`
-	Length int64  `json:"length_ms,omitempty"` // 0: not known
+	Name     string `json:"name"`
+	HomeCell int    `json:"home"`
+	CellSpan int    `json:"span"`
+	LengthMs int64  `json:"length_ms,omitempty"` // 0: not known
 
 	Listed  bool     `json:"listed,omitempty"`  // Holders counts, not Home and Span
 	Holders []string `json:"holders,omitempty"` // boxes that have it whole, in order of their ids
@@ -48,7 +48,7 @@
 
 // Equal compares two titles.
 func (t Title) Equal(o Title) bool {
-	return t.Name == o.Name && t.Home == o.Home && t.Span == o.Span && t.Length == o.Length && t.Listed == o.Listed &&
+	return t.Name == o.Name && t.HomeCell == o.HomeCell && t.CellSpan == o.CellSpan && t.LengthMs == o.LengthMs && t.Listed == o.Listed &&
 		slices.Equal(t.Holders, o.Holders)
 }
 
@@ -61,23 +61,23 @@
 
 // Line is one line of the stream: a whole view, changes to the version before, or a heartbeat
 // (neither, with the version in force).
-type Line struct {
-	Version uint64   `json:"v"`
-	Now     int64    `json:"now_ms,omitempty"` // of the planner's clock when it was sent: boxes' starts count from it
-	Base    uint64   `json:"base,omitempty"`   // the version that changes apply to
-	Whole   bool     `json:"whole,omitempty"`
-	Boxes   []Box    `json:"boxes,omitempty"`
-	Titles  []Title  `json:"titles,omitempty"`
-	Removed []string `json:"removed_titles,omitempty"`
-	Holds   *Holds   `json:"holds,omitempty"` // replaces the holds told before
+type Update struct {
+	Version       uint64   `json:"v"`
+	NowMs         int64    `json:"now_ms,omitempty"` // of the planner's clock when it was sent: boxes' starts count from it
+	BaseVersion   uint64   `json:"base,omitempty"`   // the version that changes apply to
+	Full          bool     `json:"whole,omitempty"`
+	Boxes         []Box    `json:"boxes,omitempty"`
+	Titles        []Title  `json:"titles,omitempty"`
+	RemovedTitles []string `json:"removed_titles,omitempty"`
+	Holds         *Holds   `json:"holds,omitempty"` // replaces the holds told before
 }
 
 // Holds is the room that is kept for announced peaks, and what edges should count for the planner.
 // It lapses where it is not told again within its lease: lengths, not times, so that clocks may differ.
 type Holds struct {
-	Lease int64   `json:"lease_ms"`
-	Parts []Hold  `json:"parts,omitempty"`
-	Count []Count `json:"count,omitempty"`
+	LeaseMs       int64          `json:"lease_ms"`
+	Entries       []Hold         `json:"parts,omitempty"`
+	CountedTitles []CountedTitle `json:"count,omitempty"`
 }
 
 // Hold is room on a box for one title and class, as yet unused by any edge.
@@ -90,18 +90,18 @@
 }
 
 // Count names a peak's title whose arrivals and use edges report.
-type Count struct {
+type CountedTitle struct {
 	Peak  string `json:"peak"`
 	Title string `json:"title"`
 	Class string `json:"class"`
 }
 
 // Used is what an edge reports. Arrived counts up from the edge's start.
-type Used struct {
-	Edge    string    `json:"edge"` // position.instance
-	Seq     uint64    `json:"seq"`
-	Uses    []Use     `json:"uses"`
-	Arrived []Arrived `json:"arrived"`
+type UsageReport struct {
+	Edge     string          `json:"edge"` // position.instance
+	Seq      uint64          `json:"seq"`
+	Usage    []TitleUsage    `json:"uses"`
+	Arrivals []TitleArrivals `json:"arrived"`
 
 	Outcomes []Outcome `json:"outcomes,omitempty"`
 }
@@ -115,7 +115,7 @@
 }
 
 // Use is what sessions of a peak's title take on a box.
-type Use struct {
+type TitleUsage struct {
 	Peak    string  `json:"peak"`
 	Title   string  `json:"title"`
 	Box     string  `json:"box"`
@@ -124,86 +124,86 @@
 }
 
 // Arrived is how many first requests came for a peak's title.
-type Arrived struct {
+type TitleArrivals struct {
 	Peak  string  `json:"peak"`
 	Title string  `json:"title"`
-	N     float64 `json:"n"`
+	Count float64 `json:"n"`
 }
 
 // ErrGap says that changes do not follow on what is held; the whole view must be read.
-var ErrGap = errors.New("view: gap in versions")
+var ErrVersionGap = errors.New("view: gap in versions")
 
 // Decode reads a line and checks it; a line that makes no sense changes nothing.
-func Decode(b []byte) (Line, error) {
-	var l Line
+func Decode(b []byte) (Update, error) {
+	var l Update
 	d := json.NewDecoder(strings.NewReader(string(b)))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&l); err != nil {
 		return l, fmt.Errorf("view: line: %w", err)
 	}
-	if !l.Whole && l.Base == 0 && len(l.Boxes)+len(l.Titles)+len(l.Removed) > 0 {
+	if !l.Full && l.BaseVersion == 0 && len(l.Boxes)+len(l.Titles)+len(l.RemovedTitles) > 0 {
 		return l, errors.New("view: changes without base")
 	}
 	for _, x := range l.Boxes {
-		if x.Started < 0 || x.Started > bound.Latest {
-			return l, fmt.Errorf("view: box %q: started_ms %d makes no sense", x.ID, x.Started)
+		if x.StartedMs < 0 || x.StartedMs > timeconv.MaxUnixMilli {
+			return l, fmt.Errorf("view: box %q: started_ms %d makes no sense", x.ID, x.StartedMs)
 		}
-		if x.ID == "" || x.State != Ready && x.State != Draining && x.State != Gone || x.Cell < 0 {
+		if x.ID == "" || x.State != StateReady && x.State != StateDraining && x.State != StateGone || x.Cell < 0 {
 			return l, fmt.Errorf("view: box %q: state %q or cell %d makes no sense", x.ID, x.State, x.Cell)
 		}
 	}
 	if l.Holds != nil {
-		if l.Holds.Lease <= 0 || l.Holds.Lease > bound.Longest.Milliseconds() {
+		if l.Holds.LeaseMs <= 0 || l.Holds.LeaseMs > timeconv.MaxDuration.Milliseconds() {
 			return l, errors.New("view: holds without a lease")
 		}
-		for _, h := range l.Holds.Parts {
+		for _, h := range l.Holds.Entries {
 			if !(h.Rate >= 0) || !(h.Streams >= 0) || h.Box == "" || h.Title == "" {
 				return l, fmt.Errorf("view: hold for %q on %q: rate %v or streams %v makes no sense", h.Title, h.Box, h.Rate, h.Streams)
 			}
 		}
 	}
 	for _, t := range l.Titles {
-		if t.Name == "" || t.Home < 0 || t.Span < 1 {
-			return l, fmt.Errorf("view: title %q: home %d or span %d makes no sense", t.Name, t.Home, t.Span)
+		if t.Name == "" || t.HomeCell < 0 || t.CellSpan < 1 {
+			return l, fmt.Errorf("view: title %q: home %d or span %d makes no sense", t.Name, t.HomeCell, t.CellSpan)
 		}
 		if t.Listed && !slices.IsSorted(t.Holders) || !t.Listed && t.Holders != nil {
 			return l, fmt.Errorf("view: title %q: holders out of order, or not listed", t.Name)
 		}
-		if t.Length < 0 || t.Length > bound.Longest.Milliseconds() {
-			return l, fmt.Errorf("view: title %q: length_ms %d makes no sense", t.Name, t.Length)
+		if t.LengthMs < 0 || t.LengthMs > timeconv.MaxDuration.Milliseconds() {
+			return l, fmt.Errorf("view: title %q: length_ms %d makes no sense", t.Name, t.LengthMs)
 		}
 	}
 	return l, nil
 }
 
 // Apply returns the view after a line, and whether anything changed. v is not changed.
-func Apply(v View, l Line) (View, bool, error) {
-	if l.Whole {
+func Apply(v View, l Update) (View, bool, error) {
+	if l.Full {
 		return View{l.Version, l.Boxes, l.Titles}, true, nil
 	}
-	if l.Base == 0 { // heartbeat
+	if l.BaseVersion == 0 { // heartbeat
 		if l.Version != v.Version {
-			return v, false, ErrGap
+			return v, false, ErrVersionGap
 		}
 		return v, false, nil
 	}
-	if l.Base != v.Version || l.Version <= l.Base {
-		return v, false, ErrGap
+	if l.BaseVersion != v.Version || l.Version <= l.BaseVersion {
+		return v, false, ErrVersionGap
 	}
 	out := View{Version: l.Version, Boxes: slices.Clone(v.Boxes), Titles: slices.Clone(v.Titles)}
 	for _, b := range l.Boxes {
 		i := slices.IndexFunc(out.Boxes, func(o Box) bool { return o.ID == b.ID })
 		switch {
-		case b.State == Gone && i >= 0:
+		case b.State == StateGone && i >= 0:
 			out.Boxes = slices.Delete(out.Boxes, i, i+1)
-		case b.State == Gone:
+		case b.State == StateGone:
 		case i >= 0:
 			out.Boxes[i] = b
 		default:
 			out.Boxes = append(out.Boxes, b)
 		}
 	}
-	out.Titles = slices.DeleteFunc(out.Titles, func(t Title) bool { return slices.Contains(l.Removed, t.Name) })
+	out.Titles = slices.DeleteFunc(out.Titles, func(t Title) bool { return slices.Contains(l.RemovedTitles, t.Name) })
 	for _, t := range l.Titles {
 		if i := slices.IndexFunc(out.Titles, func(o Title) bool { return o.Name == t.Name }); i >= 0 {
 			out.Titles[i] = t
@@ -221,26 +221,26 @@
 }
 
 // Diff is the line that leads from one view to a later one.
-func Diff(from, to View) Line {
-	l := Line{Version: to.Version, Base: from.Version}
+func Diff(from, to View) Update {
+	l := Update{Version: to.Version, BaseVersion: from.Version}
 	id := func(b Box) string { return b.ID }
 	var gone []Box
-	l.Boxes, gone = changes(from.Boxes, to.Boxes, id, func(a, b Box) bool { return a == b })
+	l.Boxes, gone = diffByKey(from.Boxes, to.Boxes, id, func(a, b Box) bool { return a == b })
 	for _, b := range gone {
-		b.State = Gone
+		b.State = StateGone
 		l.Boxes = append(l.Boxes, b)
 	}
 	name := func(t Title) string { return t.Name }
 	var removed []Title
-	l.Titles, removed = changes(from.Titles, to.Titles, name, Title.Equal)
+	l.Titles, removed = diffByKey(from.Titles, to.Titles, name, Title.Equal)
 	for _, t := range removed {
-		l.Removed = append(l.Removed, t.Name)
+		l.RemovedTitles = append(l.RemovedTitles, t.Name)
 	}
 	return l
 }
 
 // changes are the entries that are new or other than before, and those that are no more.
-func changes[T any](from, to []T, key func(T) string, equal func(a, b T) bool) (changed, gone []T) {
+func diffByKey[T any](from, to []T, key func(T) string, equal func(a, b T) bool) (changed, gone []T) {
 	old := map[string]T{}
 	for _, x := range from {
 		old[key(x)] = x
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -9,17 +9,17 @@
 	"pgregory.net/rapid"
 )
 
-func draw(t *rapid.T, name string) View {
+func drawView(t *rapid.T, name string) View {
 	var v View
 	for _, id := range []string{"a:1", "b:1", "c:1", "d:1"} {
 		if rapid.Bool().Draw(t, name+id) {
-			v.Boxes = append(v.Boxes, Box{ID: id, Zone: "z", Kind: "k", State: rapid.SampledFrom([]State{Ready, Draining}).Draw(t, "state"),
-				Cell: rapid.IntRange(0, 2).Draw(t, "cell"), Started: rapid.Int64Range(0, 2).Draw(t, "started")})
+			v.Boxes = append(v.Boxes, Box{ID: id, Zone: "z", Kind: "k", State: rapid.SampledFrom([]State{StateReady, StateDraining}).Draw(t, "state"),
+				Cell: rapid.IntRange(0, 2).Draw(t, "cell"), StartedMs: rapid.Int64Range(0, 2).Draw(t, "started")})
 		}
 	}
 	for _, n := range []string{"t", "u"} {
 		if rapid.Bool().Draw(t, name+n) {
-			v.Titles = append(v.Titles, Title{Name: n, Span: rapid.IntRange(1, 2).Draw(t, "span")})
+			v.Titles = append(v.Titles, Title{Name: n, CellSpan: rapid.IntRange(1, 2).Draw(t, "span")})
 		}
 	}
 	return v
@@ -28,7 +28,7 @@
 // Changes, sent as lines, lead from any view to any other; the old one is not touched.
 func TestDiffApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from, to := draw(t, "from"), draw(t, "to")
+		from, to := drawView(t, "from"), drawView(t, "to")
 		from.Version, to.Version = 5, 6
 		b, err := json.Marshal(Diff(from, to))
 		if err != nil {
@@ -62,7 +62,7 @@
 	for _, c := range []struct {
 		line string
 		want error
-	}{{`{"v":5}`, nil}, {`{"v":6}`, ErrGap}, {`{"v":4}`, ErrGap}, {`{"v":7,"base":6}`, ErrGap}, {`{"v":5,"base":5}`, ErrGap}, {`{"v":3,"whole":true}`, nil}} {
+	}{{`{"v":5}`, nil}, {`{"v":6}`, ErrVersionGap}, {`{"v":4}`, ErrVersionGap}, {`{"v":7,"base":6}`, ErrVersionGap}, {`{"v":5,"base":5}`, ErrVersionGap}, {`{"v":3,"whole":true}`, nil}} {
 		l, err := Decode([]byte(c.line))
 		if err == nil {
 			_, _, err = Apply(v, l)
