--- a/internal/cmsd/cmsd.go
+++ b/internal/cmsd/cmsd.go
@@ -1,5 +1,5 @@
-// Package cmsd reads a box's load from the CMSD-Dynamic response header (CTA-5006): keys of the project's
-// own, as the standard allows with a reverse domain name.
+// Package cmsd reads the load of a box from the CMSD-Dynamic response header (CTA-5006). It uses custom keys, which
+// the standard allows with a reverse domain name as prefix.
 package cmsd
 
 import (
@@ -7,39 +7,39 @@
 	"strings"
 )
 
-// Names of the keys.
+// Custom keys of the CMSD-Dynamic header.
 const (
-	KeyStreams = "example.rainpulley-streams" // that it runs or sets up
-	KeyLink    = "example.rainpulley-link"    // asked of its link over what it gives
-	KeyUplink  = "example.rainpulley-uplink"  // the same for its rack's uplink
+	KeyStreams = "example.rainpulley-streams" // number of streams that run or are being set up
+	KeyLink    = "example.rainpulley-link"    // demand on the box's link divided by its capacity
+	KeyUplink  = "example.rainpulley-uplink"  // demand on the uplink of its rack divided by its capacity
 )
 
-// Load is what a header told; nil fields were not told.
+// Load holds the values of a header; a nil field was absent or invalid.
 type Load struct{ Streams, LinkUtilization, UplinkUtilization *float64 }
 
-// Parse reads a header. Values that make no sense count as not told; nil if nothing was.
+// Parse parses a header. It ignores invalid values, and returns nil if there is no valid one.
 func Parse(header []byte) *Load {
-	l, any := &Load{}, false
+	load, found := &Load{}, false
 	for _, part := range strings.Split(string(header), ";") {
-		k, v, _ := strings.Cut(strings.TrimSpace(part), "=")
-		n, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(n >= 0) || n > 1e6 {
+		key, text, _ := strings.Cut(strings.TrimSpace(part), "=")
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(value >= 0) || value > 1e6 {
 			continue
 		}
-		switch k {
+		switch key {
 		case KeyStreams:
-			l.Streams = &n
+			load.Streams = &value
 		case KeyLink:
-			l.LinkUtilization = &n
+			load.LinkUtilization = &value
 		case KeyUplink:
-			l.UplinkUtilization = &n
+			load.UplinkUtilization = &value
 		default:
 			continue
 		}
-		any = true
+		found = true
 	}
-	if !any {
+	if !found {
 		return nil
 	}
-	return l
+	return load
 }
--- a/internal/hls/hls_test.go
+++ b/internal/hls/hls_test.go
@@ -43,25 +43,28 @@
 	return m
 }
 
+// TestParseMedia checks variables, keys, map, byte ranges and unknown tags of a playlist that has all of them.
 func TestParseMedia(t *testing.T) {
 	m := parseMedia(t, fullPlaylist)
 	if m.Version != 7 || m.TargetDuration != 6 || m.MediaSequence != 10 || m.DiscontinuitySequence != 2 || !m.EndList || len(m.Segments) != 3 {
-		t.Errorf("%+v", m)
+		t.Errorf("unexpected playlist fields: %+v", m)
 	}
 	a, b, c := m.Segments[0], m.Segments[1], m.Segments[2]
 	if a.URI != "v1/all.mp4" || a.ByteRange != "1000@600" || a.Title != "first" || len(a.Keys) != 2 || !strings.Contains(a.Map, "v1/init.mp4") ||
 		len(a.OtherTags) != 1 {
-		t.Errorf("first %+v", a)
+		t.Errorf("first segment: %+v", a)
 	}
 	if b.ByteRange != "2000@1600" || b.Map != a.Map {
-		t.Errorf("a range without offset follows the one before: %+v", b)
+		t.Errorf("byte range without offset does not continue the previous one, or the map changed: %+v", b)
 	}
-	if !c.Discontinuity || len(c.Keys) != 0 || len(c.OtherTags) != 1 || c.OtherTags[0] != `#EXT-X-SPECIAL:A=1,B="two, three"` {
-		t.Errorf("third %+v", c)
+	if !c.Discontinuity || len(c.Keys) != 0 || len(c.OtherTags) != 1 ||
+		c.OtherTags[0] != `#EXT-X-SPECIAL:A=1,B="two, three"` {
+		t.Errorf("third segment: %+v", c)
 	}
 }
 
-func TestBadPlaylists(t *testing.T) {
+// TestMalformedPlaylists checks the errors for malformed playlists; an empty want means that the text is valid.
+func TestMalformedPlaylists(t *testing.T) {
 	head := "#EXTM3U\n#EXT-X-TARGETDURATION:6\n"
 	for _, c := range []struct{ text, want string }{
 		{"", "TARGETDURATION"}, {"\n#EXTM3U\n", "line 1"}, {"#EXTM3U8\n", "line 1"},
@@ -71,12 +74,13 @@
 		{head + "#EXTINF:1,\n#EXTINF:1,\na\n", "line 4"},
 		{head + "#EXTINF:7,\na\n", "longer than the target"},
 		{head + "#EXTINF:1,\n", "no URI"},
-		{head + "#EXT-X-TARGETDURATION:6\n", "stands twice"},
-		{head + "#EXT-X-MEDIA-SEQUENCE:-1\n", "whole number"},
+		{head + "#EXT-X-TARGETDURATION:6\n", "appears more than once"},
+		{head + "#EXT-X-MEDIA-SEQUENCE:-1\n", "not a decimal integer"},
 		{head + "#EXT-X-BYTERANGE:10\n#EXTINF:1,\na\n", "BYTERANGE"},
 		{head + "#EXT-X-BYTERANGE:9223372036854775807@1\n#EXTINF:1,\na\n", "BYTERANGE"},
 		{head + "#EXT-X-KEY:URI=\"x\"\n", "METHOD"}, {head + "#EXT-X-MAP:URI=\"x\n", "quote"},
-		{head + "#EXT-X-MAP:URI=\"x\",URI=\"y\"\n", "twice"}, {head + "#EXT-X-MAP:uri=\"x\"\n", "malformed"},
+		{head + "#EXT-X-MAP:URI=\"x\",URI=\"y\"\n", "duplicate attribute URI"},
+		{head + "#EXT-X-MAP:uri=\"x\"\n", "malformed"},
 		{head + "#EXTINF:1,\n{$no}\n", ""}, {head + "#EXT-X-DEFINE:NAME=\"a\",VALUE=\"b\"\n#EXTINF:1,\n{$no}\n", "line 5"}, {head + "#EXT-X-DEFINE:NAME=\"a\",VALUE=\"{$a}\"\n#EXTINF:1,\n{$a}", ""},
 		{head + "#EXT-X-DEFINE:IMPORT=\"a\"\n", "IMPORT"}, {head + "#EXTINF:1,\na\x01\n", "control"},
 		{head + "#EXT-X-STREAM-INF:BANDWIDTH=1\n", "in a media playlist"}, {head + "#EXT-X-PLAYLIST-TYPE:LIVE\n", "neither"},
@@ -96,7 +100,8 @@
 	}
 }
 
-func TestMultivariant(t *testing.T) {
+// TestMultivariantRoundTrip checks that a multivariant playlist is written as it was read.
+func TestMultivariantRoundTrip(t *testing.T) {
 	text := `#EXTM3U
 #EXT-X-VERSION:4
 #EXT-X-SESSION-DATA:DATA-ID="x",VALUE="y"
@@ -118,7 +123,8 @@
 	}
 }
 
-func TestResolve(t *testing.T) {
+// TestResolvePath checks relative and absolute references; an empty want means an error.
+func TestResolvePath(t *testing.T) {
 	for _, c := range []struct{ base, ref, want string }{
 		{"http://b/t/x/index.m3u8", "r1/media.m3u8", "/t/x/r1/media.m3u8"}, {"http://b/t/x/r1/media.m3u8", "../../y?a=b#c", "/t/y?a=b"},
 		{"http://b/t/", "/abs", "/abs"}, {"http://b/t/", "http://b/same", "/same"},
@@ -131,6 +137,7 @@
 	}
 }
 
+// newTestTrack returns a track of n segments of 2 s, with URIs below dir.
 func newTestTrack(t testing.TB, n int, dir string) *Track {
 	var b strings.Builder
 	b.WriteString("#EXTM3U\n#EXT-X-TARGETDURATION:2\n")
@@ -144,8 +151,8 @@
 	return x
 }
 
-// A player's life: growth, a change of rung, a move in mid-play, the end.
-func TestWindow(t *testing.T) {
+// TestWindowLifecycle publishes segments across a change of rung, a move to another box and the end of the content.
+func TestWindowLifecycle(t *testing.T) {
 	low, high := newTestTrack(t, 8, "low"), newTestTrack(t, 8, "high")
 	var w Window
 	w.SetSource("http://b1", "s=1", low, 0)
@@ -160,7 +167,7 @@
 	if first != want {
 		t.Errorf("got\n%swant\n%s", first, want)
 	}
-	w.SetSource("http://b2", "s=2", high, 3) // play stands at 3: 3 and 4 are published again, at the new box
+	w.SetSource("http://b2", "s=2", high, 3) // the player is at segment 3, so 3 and 4 are published again on the new box
 	w.Publish(5, 4)
 	second := string(w.Append(nil))
 	want = "#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-TARGETDURATION:2\n#EXT-X-MEDIA-SEQUENCE:5\n#EXT-X-DISCONTINUITY-SEQUENCE:1\n" +
@@ -174,7 +181,8 @@
 	}
 }
 
-// The keys and the map in force stand wherever the window begins, at the session's box.
+// TestWindowKeysAndMap checks that every window repeats the keys and the map that apply to its first segment, with the
+// host of the session's box.
 func TestWindowKeysAndMap(t *testing.T) {
 	x, err := NewTrack(parseMedia(t, fullPlaylist), "http://box/t/m.m3u8")
 	if err != nil {
@@ -187,7 +195,7 @@
 	for _, want := range []string{`#EXT-X-MAP:URI="http://b1/t/v1/init.mp4",BYTERANGE="600@0"`, `URI="http://b1/t/key?id=1",IV=0x01`,
 		`URI="skd://x"`, "#EXT-X-BYTERANGE:2000@1600", "http://b1/t/v1/all.mp4?s=1", "#EXT-X-MEDIA-SEQUENCE:1"} {
 		if !strings.Contains(got, want) {
-			t.Errorf("no %s in\n%s", want, got)
+			t.Errorf("%s is missing in\n%s", want, got)
 		}
 	}
 	w.Publish(2, 2)
@@ -197,17 +205,17 @@
 		t.Error(got)
 	}
 	if _, err := NewTrack(parseMedia(t, "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\nhttp://evil/x\n"), "http://box/m"); err == nil {
-		t.Error("a segment at another host was taken")
+		t.Error("a segment on another host was accepted")
 	}
 }
 
-// For any course of play, what RFC 8216, 6.2.1 asks of a playlist that changes: a segment keeps its
-// number and URI, numbers do not fall, the end stays, and nothing names a box that was left.
+// TestWindowProperty checks the rules of RFC 8216, 6.2.1 for updated playlists under random playback, rung changes and
+// moves: a segment keeps its sequence number and URI, sequence numbers never decrease, and no URI names a former box.
 func TestWindowProperty(t *testing.T) {
 	tracks := []*Track{newTestTrack(t, 30, "r0"), newTestTrack(t, 30, "r1"), newTestTrack(t, 30, "r2")}
 	rapid.Check(t, func(rt *rapid.T) {
 		var w Window
-		box, rung, play := 0, 0, 0
+		box, rung, position := 0, 0, 0
 		w.SetSource("http://b0", "s=0", tracks[0], 0)
 		seen := map[uint64]string{}
 		var last uint64
@@ -218,38 +226,38 @@
 			case 1:
 				box++
 			default:
-				play += rapid.IntRange(0, 3).Draw(rt, "plays")
+				position += rapid.IntRange(0, 3).Draw(rt, "plays")
 			}
 			host := fmt.Sprint("http://b", box)
-			w.SetSource(host, fmt.Sprint("s=", box), tracks[rung], play)
-			w.Publish(play+3, 8)
+			w.SetSource(host, fmt.Sprint("s=", box), tracks[rung], position)
+			w.Publish(position+3, 8)
 			m, err := ParseMedia(w.Append(nil))
 			if err != nil {
 				rt.Fatal(err)
 			}
 			if m.MediaSequence < last {
-				rt.Fatalf("sequence fell from %d to %d", last, m.MediaSequence)
+				rt.Fatalf("media sequence decreased from %d to %d", last, m.MediaSequence)
 			}
 			last = m.MediaSequence
 			for i, s := range m.Segments {
 				n := m.MediaSequence + uint64(i)
 				if !strings.HasPrefix(s.URI, host+"/") {
-					rt.Fatalf("%s names a box that was left", s.URI)
+					rt.Fatalf("%s names a former box", s.URI)
 				}
 				if old, ok := seen[n]; ok && old != s.URI {
-					rt.Fatalf("segment %d was %s, is %s", n, old, s.URI)
+					rt.Fatalf("segment %d changed from %s to %s", n, old, s.URI)
 				}
 				seen[n] = s.URI
 			}
-			if play < 30 && play > 0 && len(m.Segments) == 0 {
-				rt.Fatal("nothing to play")
+			if position < 30 && position > 0 && len(m.Segments) == 0 {
+				rt.Fatal("the window has no segments")
 			}
 		}
 	})
 }
 
-// Parse, write, parse gives the same.
-func roundTrip(t testing.TB, in []byte) {
+// checkRoundTrip fails if a valid playlist changes when it is written and parsed again.
+func checkRoundTrip(t testing.TB, in []byte) {
 	m, err := ParseMedia(in)
 	if err == nil {
 		out := m.Append(nil)
@@ -267,21 +275,22 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	roundTrip(t, []byte(fullPlaylist))
+	checkRoundTrip(t, []byte(fullPlaylist))
 	lines := []string{"#EXT-X-VERSION:7", "#EXT-X-MEDIA-SEQUENCE:4", "#EXT-X-DISCONTINUITY", "#EXT-X-KEY:METHOD=NONE", "#EXTINF:3.25,t",
 		`#EXT-X-KEY:METHOD=AES-128,URI="k"`, `#EXT-X-KEY:METHOD=AES-128,URI="j",KEYFORMAT="z"`, `#EXT-X-MAP:URI="m"`, "#EXT-X-BYTERANGE:5@3",
 		"#EXT-X-BYTERANGE:5", "a.ts", "b.ts", "#EXT-X-NEW:1", "# comment", "#EXT-X-ENDLIST", "#EXT-X-START:TIME-OFFSET=0", "#EXT-X-GAP"}
 	rapid.Check(t, func(rt *rapid.T) {
 		body := rapid.SliceOfN(rapid.SampledFrom(lines), 0, 30).Draw(rt, "lines")
-		roundTrip(t, []byte("#EXTM3U\n#EXT-X-TARGETDURATION:4\n"+strings.Join(body, "\n")))
+		checkRoundTrip(t, []byte("#EXTM3U\n#EXT-X-TARGETDURATION:4\n"+strings.Join(body, "\n")))
 	})
 }
 
+// FuzzPlaylist checks that any accepted playlist survives a round trip and yields a window that can be parsed.
 func FuzzPlaylist(f *testing.F) {
 	f.Add([]byte(fullPlaylist))
 	f.Add([]byte("#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1,A=\"b\"\nx\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		roundTrip(t, in)
+		checkRoundTrip(t, in)
 		if m, err := ParseMedia(in); err == nil {
 			if x, err := NewTrack(m, "http://box/t/m.m3u8"); err == nil {
 				var w Window
--- a/internal/hls/parse.go
+++ b/internal/hls/parse.go
@@ -1,5 +1,5 @@
 // Package hls reads and writes HTTP Live Streaming playlists (RFC 8216, and EXT-X-DEFINE of
-// draft-pantos-hls-rfc8216bis, 4.4.2.3). A tag that it does not know passes through unchanged, in its place.
+// draft-pantos-hls-rfc8216bis, 4.4.2.3). Unknown tags are kept unchanged, in their position.
 package hls
 
 import (
@@ -14,20 +14,20 @@
 	"rainpulley/internal/timeconv"
 )
 
-// Limits of a playlist that is read.
+// Limits for parsed playlists.
 const (
 	MaxPlaylistBytes = 1 << 20
 	MaxSegments      = 20000
 	MaxVariants      = 200
 )
 
-// Attr is one attribute of a tag's list, with its value as it stood (RFC 8216, 4.2).
+// Attribute is one entry of a tag's attribute list; Value is the raw text, with its quotes (RFC 8216, 4.2).
 type Attribute struct{ Name, Value string }
 
-// Attrs is an attribute list in its order.
+// AttributeList is the attribute list of a tag, in source order.
 type AttributeList []Attribute
 
-// Get is the value of an attribute, unquoted; "" if it is not there.
+// Get returns the unquoted value of an attribute, or "" if the list does not contain it.
 func (a AttributeList) Get(name string) string {
 	for _, x := range a {
 		if x.Name == name {
@@ -37,7 +37,7 @@
 	return ""
 }
 
-// With replaces the value of an attribute that is there by a quoted string.
+// WithValue returns a copy of the list in which the named attribute, if present, has value as a quoted string.
 func (a AttributeList) WithValue(name, value string) AttributeList {
 	out := append(AttributeList(nil), a...)
 	for i := range out {
@@ -48,6 +48,7 @@
 	return out
 }
 
+// String returns the list in the syntax of RFC 8216, 4.2.
 func (a AttributeList) String() string {
 	var b strings.Builder
 	for i, x := range a {
@@ -66,49 +67,49 @@
 	return v
 }
 
-// Variant is one EXT-X-STREAM-INF with its URI.
+// Variant is one EXT-X-STREAM-INF tag with its URI.
 type Variant struct {
 	Attributes AttributeList
 	URI        string
-	Bandwidth  int // bits a second
+	Bandwidth  int // bits per second
 }
 
-// Rendition is one EXT-X-MEDIA.
+// Rendition is one EXT-X-MEDIA tag.
 type Rendition struct{ Attributes AttributeList }
 
-// Multivariant is a multivariant playlist.
+// MultivariantPlaylist lists the variants and renditions of a title.
 type MultivariantPlaylist struct {
 	Version    int
 	Variants   []Variant
 	Renditions []Rendition
-	OtherTags  []string // lines of tags that this package does not know, and of those it only passes on
+	OtherTags  []string // tag lines that are copied to the output without being interpreted
 }
 
-// Segment is one media segment with the tags that apply to it.
+// Segment is one media segment and the tags that apply to it.
 type Segment struct {
 	Duration      float64 // seconds
 	Title         string
 	URI           string
-	ByteRange     string // EXT-X-BYTERANGE with an explicit offset
+	ByteRange     string // value of EXT-X-BYTERANGE, always with an explicit offset
 	Discontinuity bool
-	Keys          []string // EXT-X-KEY lines in force
-	Map           string   // EXT-X-MAP line in force
-	OtherTags     []string // further lines that stood before the URI
+	Keys          []string // EXT-X-KEY lines that apply to the segment
+	Map           string   // EXT-X-MAP line that applies to the segment
+	OtherTags     []string // other tag lines before the URI, copied unchanged
 }
 
-// Media is a media playlist.
+// MediaPlaylist lists the segments of one variant or rendition.
 type MediaPlaylist struct {
 	Version               int
 	TargetDuration        int // seconds
 	MediaSequence         uint64
 	DiscontinuitySequence uint64 // EXT-X-DISCONTINUITY-SEQUENCE
-	Type                  string // EVENT, VOD or nothing
+	Type                  string // EVENT, VOD or empty
 	EndList               bool
 	Segments              []Segment
-	OtherTags             []string // lines of the playlist as a whole that are passed on
+	OtherTags             []string // uninterpreted tag lines that apply to the whole playlist
 }
 
-// Duration is the length of all segments together.
+// Duration returns the total duration of all segments.
 func (m *MediaPlaylist) Duration() time.Duration {
 	sum := 0.0
 	for i := range m.Segments {
@@ -117,7 +118,7 @@
 	return timeconv.Seconds(sum)
 }
 
-// lineError names the line at fault.
+// lineError adds the number of the invalid line to an error.
 type lineError struct {
 	line int
 	err  error
@@ -126,7 +127,7 @@
 func (e *lineError) Error() string { return fmt.Sprintf("hls: line %d: %v", e.line, e.err) }
 func (e *lineError) Unwrap() error { return e.err }
 
-// reader goes through the lines of a playlist and puts in the values of its variables.
+// lineReader iterates over the lines of a playlist and substitutes the variables that EXT-X-DEFINE sets.
 type lineReader struct {
 	variables map[string]string
 	seenTags  map[string]bool
@@ -134,13 +135,14 @@
 
 var errNotPlaylist = errors.New("playlist does not begin with #EXTM3U")
 
-// each calls f for every line that is not blank.
-func (r *lineReader) forEachLine(body []byte, f func(line string) error) error {
+// forEachLine checks the #EXTM3U line and calls handle for every following line that is not blank, after variable
+// substitution. An EXT-X-DEFINE line is passed as an empty string.
+func (r *lineReader) forEachLine(body []byte, handle func(line string) error) error {
 	if len(body) > MaxPlaylistBytes {
-		return fmt.Errorf("hls: playlist of %d bytes, %d at most", len(body), MaxPlaylistBytes)
+		return fmt.Errorf("hls: playlist has %d bytes; the limit is %d", len(body), MaxPlaylistBytes)
 	}
 	r.variables, r.seenTags = map[string]string{}, map[string]bool{}
-	for n := 1; len(body) > 0; n++ {
+	for lineNumber := 1; len(body) > 0; lineNumber++ {
 		line := body
 		if i := bytes.IndexByte(body, '\n'); i >= 0 {
 			line, body = body[:i], body[i+1:]
@@ -148,7 +150,7 @@
 			body = nil
 		}
 		line = bytes.TrimSuffix(line, []byte("\r"))
-		if n == 1 {
+		if lineNumber == 1 {
 			if string(line) != "#EXTM3U" {
 				return &lineError{1, errNotPlaylist}
 			}
@@ -159,35 +161,36 @@
 		}
 		for _, c := range line {
 			if c < ' ' && c != '\t' || c == 0x7f {
-				return &lineError{n, errors.New("control character")}
+				return &lineError{lineNumber, errors.New("control character in line")}
 			}
 		}
 		text, err := r.substitute(string(line))
 		if err == nil {
-			err = f(text)
+			err = handle(text)
 		}
 		if err != nil {
-			return &lineError{n, err}
+			return &lineError{lineNumber, err}
 		}
 	}
 	return nil
 }
 
-// fill puts in variables, and takes their definitions.
+// substitute replaces variable references in a line by their values. For an EXT-X-DEFINE line it stores the
+// variable and returns an empty string.
 func (r *lineReader) substitute(line string) (string, error) {
 	if rest, ok := strings.CutPrefix(line, "#EXT-X-DEFINE:"); ok {
-		a, err := parseAttributes(rest)
+		attributes, err := parseAttributes(rest)
 		if err != nil {
 			return "", err
 		}
-		name := a.Get("NAME")
+		name := attributes.Get("NAME")
 		if name == "" {
-			return "", errors.New("EXT-X-DEFINE without NAME: IMPORT and QUERYPARAM cannot be followed here")
+			return "", errors.New("EXT-X-DEFINE without NAME: IMPORT and QUERYPARAM are not supported")
 		}
-		if _, twice := r.variables[name]; twice {
-			return "", fmt.Errorf("variable %q defined twice", name)
+		if _, defined := r.variables[name]; defined {
+			return "", fmt.Errorf("variable %q is defined more than once", name)
 		}
-		r.variables[name] = a.Get("VALUE")
+		r.variables[name] = attributes.Get("VALUE")
 		return "", nil
 	}
 	if len(r.variables) == 0 || !strings.Contains(line, "{$") {
@@ -205,65 +208,66 @@
 			break
 		}
 		name := line[i+2 : i+j]
-		v, ok := r.variables[name]
+		value, ok := r.variables[name]
 		if !ok {
 			return "", fmt.Errorf("variable %q is not defined", name)
 		}
 		b.WriteString(line[:i])
-		b.WriteString(v)
+		b.WriteString(value)
 		line = line[i+j+1:]
 		if b.Len() > MaxPlaylistBytes {
-			return "", errors.New("line too long")
+			return "", errors.New("line is too long after variable substitution")
 		}
 	}
 	return b.String(), nil
 }
 
-// once refuses a tag that may stand only once.
+// requireUnique returns an error for the second occurrence of a tag that is allowed only once per playlist.
 func (r *lineReader) requireUnique(tag string) error {
 	if r.seenTags[tag] {
-		return fmt.Errorf("%s stands twice", tag)
+		return fmt.Errorf("%s appears more than once", tag)
 	}
 	r.seenTags[tag] = true
 	return nil
 }
 
-// attrs reads an attribute list.
+// parseAttributes parses an attribute list (RFC 8216, 4.2) and rejects duplicate names.
 func parseAttributes(s string) (AttributeList, error) {
 	var out AttributeList
 	for len(s) > 0 {
 		eq := strings.IndexByte(s, '=')
 		if eq <= 0 {
-			return nil, fmt.Errorf("attribute list malformed at %q", truncate(s))
+			return nil, fmt.Errorf("malformed attribute list at %q", truncate(s))
 		}
 		name := s[:eq]
 		for _, c := range name {
 			if !(c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-') {
-				return nil, fmt.Errorf("attribute name %q malformed", truncate(name))
+				return nil, fmt.Errorf("malformed attribute name %q", truncate(name))
 			}
 		}
 		s = s[eq+1:]
 		end := 0
 		if strings.HasPrefix(s, `"`) {
 			if end = strings.IndexByte(s[1:], '"') + 2; end == 1 {
-				return nil, fmt.Errorf("attribute %s: quote not closed", name)
+				return nil, fmt.Errorf("attribute %s: missing closing quote", name)
 			}
 		} else if end = strings.IndexByte(s, ','); end < 0 {
 			end = len(s)
 		}
 		value := s[:end]
-		if !strings.HasPrefix(value, `"`) && strings.Contains(value, `"`) { // would close the quotes that it is written in
-			return nil, fmt.Errorf("attribute %s: quote inside a value", name)
+		if !strings.HasPrefix(value, `"`) && strings.Contains(value, `"`) {
+			// A quote inside the value would end the quoted string when the value is written with quotes.
+			return nil, fmt.Errorf("attribute %s: quote inside an unquoted value", name)
 		}
 		if s = s[end:]; s != "" {
 			if s[0] != ',' || len(s) == 1 {
-				return nil, fmt.Errorf("attribute list malformed after %s", name)
+				return nil, fmt.Errorf("malformed attribute list after %s", name)
 			}
 			s = s[1:]
 		}
 		for _, a := range out {
 			if a.Name == name {
-				return nil, fmt.Errorf("attribute %s stands twice", name)
+				return nil, fmt.Errorf("duplicate attribute %s", name)
 			}
 		}
 		out = append(out, Attribute{name, value})
@@ -271,8 +275,10 @@
 	return out, nil
 }
 
+// truncate limits text of a playlist that is quoted in an error to 40 bytes.
 func truncate(s string) string { return s[:min(len(s), 40)] }
 
+// splitTag splits a tag line at its first colon.
 func splitTag(line string) (tag, value string) {
 	tag, value, _ = strings.Cut(line, ":")
 	return tag, value
@@ -281,29 +287,29 @@
 func parseInteger(tag, v string) (int, error) {
 	n, err := strconv.ParseUint(v, 10, 31)
 	if err != nil {
-		return 0, fmt.Errorf("%s: %q is no whole number", tag, truncate(v))
+		return 0, fmt.Errorf("%s: %q is not a decimal integer below 2^31", tag, truncate(v))
 	}
 	return int(n), nil
 }
 
-// IsMultivariant tells which of the two kinds a playlist is (RFC 8216, 4.1).
+// IsMultivariant reports whether body is a multivariant playlist rather than a media playlist (RFC 8216, 4.1).
 func IsMultivariant(body []byte) bool { return bytes.Contains(body, []byte("#EXT-X-STREAM-INF")) }
 
-// ParseMultivariant reads a multivariant playlist.
+// ParseMultivariant parses a multivariant playlist.
 func ParseMultivariant(body []byte) (*MultivariantPlaylist, error) {
-	m := &MultivariantPlaylist{Version: 1}
+	playlist := &MultivariantPlaylist{Version: 1}
 	var r lineReader
-	var open *Variant
+	var pending *Variant
 	err := r.forEachLine(body, func(line string) error {
 		if line == "" {
 			return nil
 		}
 		if line[0] != '#' {
-			if open == nil {
+			if pending == nil {
 				return errors.New("URI without EXT-X-STREAM-INF")
 			}
-			open.URI = line
-			m.Variants, open = append(m.Variants, *open), nil
+			pending.URI = line
+			playlist.Variants, pending = append(playlist.Variants, *pending), nil
 			return nil
 		}
 		tag, value := splitTag(line)
@@ -313,81 +319,82 @@
 				return err
 			}
 			var err error
-			m.Version, err = parseInteger(tag, value)
+			playlist.Version, err = parseInteger(tag, value)
 			return err
 		case "#EXT-X-STREAM-INF":
-			if open != nil || len(m.Variants) >= MaxVariants {
-				return errors.New("EXT-X-STREAM-INF without URI, or too many of them")
+			if pending != nil || len(playlist.Variants) >= MaxVariants {
+				return errors.New("EXT-X-STREAM-INF without URI, or too many EXT-X-STREAM-INF tags")
 			}
-			a, err := parseAttributes(value)
+			attributes, err := parseAttributes(value)
 			if err != nil {
 				return err
 			}
-			open = &Variant{Attributes: a}
-			open.Bandwidth, err = parseInteger("BANDWIDTH", a.Get("BANDWIDTH"))
+			pending = &Variant{Attributes: attributes}
+			pending.Bandwidth, err = parseInteger("BANDWIDTH", attributes.Get("BANDWIDTH"))
 			return err
 		case "#EXT-X-MEDIA":
-			a, err := parseAttributes(value)
+			attributes, err := parseAttributes(value)
 			if err != nil {
 				return err
 			}
-			if a.Get("TYPE") == "" || a.Get("GROUP-ID") == "" || len(m.Renditions) >= MaxVariants {
-				return errors.New("EXT-X-MEDIA without TYPE or GROUP-ID, or too many of them")
+			if attributes.Get("TYPE") == "" || attributes.Get("GROUP-ID") == "" || len(playlist.Renditions) >= MaxVariants {
+				return errors.New("EXT-X-MEDIA without TYPE or GROUP-ID, or too many EXT-X-MEDIA tags")
 			}
-			m.Renditions = append(m.Renditions, Rendition{a})
+			playlist.Renditions = append(playlist.Renditions, Rendition{attributes})
 		case "#EXTINF", "#EXT-X-TARGETDURATION", "#EXT-X-MEDIA-SEQUENCE":
 			return fmt.Errorf("%s in a multivariant playlist", tag)
 		default:
 			if strings.HasPrefix(line, "#EXT") {
-				m.OtherTags = append(m.OtherTags, line)
+				playlist.OtherTags = append(playlist.OtherTags, line)
 			}
 		}
 		return nil
 	})
-	if err == nil && open != nil {
+	if err == nil && pending != nil {
 		err = errors.New("hls: last EXT-X-STREAM-INF has no URI")
 	}
-	if err == nil && len(m.Variants) == 0 {
-		err = errors.New("hls: no variant")
+	if err == nil && len(playlist.Variants) == 0 {
+		err = errors.New("hls: multivariant playlist has no variant")
 	}
 	if err != nil {
 		return nil, err
 	}
-	return m, nil
+	return playlist, nil
 }
 
-// mediaReader holds what applies to the segment that comes next.
+// mediaParser holds the parse state of a media playlist, including the tags that apply to the next segment.
 type mediaParser struct {
 	lineReader
 	playlist     *MediaPlaylist
 	nextSegment  Segment
-	hasDuration  bool // EXTINF was read
+	hasDuration  bool // the EXTINF of nextSegment was read
 	keys         []string
-	lastRangeEnd int64
+	lastRangeEnd int64 // end of the previous byte range, for a range without offset
 	lastRangeURI string
 }
 
-// ParseMedia reads a media playlist.
+// ParseMedia parses a media playlist. It rejects segments that are longer than the target duration.
 func ParseMedia(body []byte) (*MediaPlaylist, error) {
-	r := &mediaParser{playlist: &MediaPlaylist{Version: 1}}
-	if err := r.forEachLine(body, r.parseLine); err != nil {
+	parser := &mediaParser{playlist: &MediaPlaylist{Version: 1}}
+	if err := parser.forEachLine(body, parser.parseLine); err != nil {
 		return nil, err
 	}
-	m := r.playlist
+	playlist := parser.playlist
 	switch {
-	case r.hasDuration:
+	case parser.hasDuration:
 		return nil, errors.New("hls: last EXTINF has no URI")
-	case !r.seenTags["#EXT-X-TARGETDURATION"]:
-		return nil, errors.New("hls: no EXT-X-TARGETDURATION")
+	case !parser.seenTags["#EXT-X-TARGETDURATION"]:
+		return nil, errors.New("hls: EXT-X-TARGETDURATION is missing")
 	}
-	for i := range m.Segments {
-		if math.Round(m.Segments[i].Duration) > float64(m.TargetDuration) {
+	for i := range playlist.Segments {
+		if math.Round(playlist.Segments[i].Duration) > float64(playlist.TargetDuration) {
 			return nil, fmt.Errorf("hls: segment %d is longer than the target duration", i)
 		}
 	}
-	return m, nil
+	return playlist, nil
 }
 
+// parseLine handles one line after variable substitution.
 func (r *mediaParser) parseLine(line string) error {
 	if line == "" {
 		return nil
@@ -403,12 +410,12 @@
 	case "#EXT-X-STREAM-INF", "#EXT-X-MEDIA", "#EXT-X-I-FRAME-STREAM-INF":
 		return fmt.Errorf("%s in a media playlist", tag)
 	case "#EXTINF":
-		d, title, _ := strings.Cut(value, ",")
-		n, err := strconv.ParseFloat(d, 64)
-		if err != nil || !(n >= 0) || n > 3600 || r.hasDuration {
-			return fmt.Errorf("EXTINF %q malformed or twice", truncate(value))
+		duration, title, _ := strings.Cut(value, ",")
+		seconds, err := strconv.ParseFloat(duration, 64)
+		if err != nil || !(seconds >= 0) || seconds > 3600 || r.hasDuration {
+			return fmt.Errorf("EXTINF %q is malformed or appears twice for one segment", truncate(value))
 		}
-		r.nextSegment.Duration, r.nextSegment.Title, r.hasDuration = n, title, true
+		r.nextSegment.Duration, r.nextSegment.Title, r.hasDuration = seconds, title, true
 	case "#EXT-X-BYTERANGE":
 		r.nextSegment.ByteRange = value
 	case "#EXT-X-DISCONTINUITY":
@@ -430,6 +437,7 @@
 	return nil
 }
 
+// parsePlaylistTag stores a tag that applies to the whole playlist and is allowed only once.
 func (r *mediaParser) parsePlaylistTag(tag, value string) (err error) {
 	if err = r.requireUnique(tag); err != nil {
 		return err
@@ -457,30 +465,32 @@
 	return err
 }
 
-// keys follows EXT-X-KEY: lines of different KEYFORMATs stand beside each other, NONE ends them all.
+// parseKey updates the current keys from an EXT-X-KEY line: it replaces the key of the same KEYFORMAT and keeps those
+// of other formats; METHOD=NONE removes all of them.
 func (r *mediaParser) parseKey(line, value string) error {
-	a, err := parseAttributes(value)
+	attributes, err := parseAttributes(value)
 	if err != nil {
 		return err
 	}
 	switch {
-	case a.Get("METHOD") == "":
+	case attributes.Get("METHOD") == "":
 		return errors.New("EXT-X-KEY without METHOD")
-	case a.Get("METHOD") == "NONE":
+	case attributes.Get("METHOD") == "NONE":
 		r.keys = nil
 		return nil
 	}
 	kept := []string{}
-	for _, k := range r.keys {
-		_, v := splitTag(k)
-		if old, err := parseAttributes(v); err == nil && old.Get("KEYFORMAT") != a.Get("KEYFORMAT") {
-			kept = append(kept, k)
+	for _, other := range r.keys {
+		_, list := splitTag(other)
+		if existing, err := parseAttributes(list); err == nil && existing.Get("KEYFORMAT") != attributes.Get("KEYFORMAT") {
+			kept = append(kept, other)
 		}
 	}
 	r.keys = append(kept, line)
 	return nil
 }
 
+// addSegment adds a segment with the tags read since the previous URI. The map and the keys continue to apply.
 func (r *mediaParser) addSegment(uri string) error {
 	if !r.hasDuration {
 		return errors.New("URI without EXTINF")
@@ -500,19 +510,19 @@
 	return nil
 }
 
-// byteRange gives every range its offset: one that is left out follows the segment before
-// (RFC 8216, 4.3.2.2), which may no longer stand in what is written.
+// resolveByteRange rewrites the byte range of a segment with an explicit offset. An omitted offset means the end of
+// the previous segment's range (RFC 8216, 4.3.2.2), and the written playlist may no longer contain that segment.
 func (r *mediaParser) resolveByteRange(s *Segment) error {
-	length, offset, told := strings.Cut(s.ByteRange, "@")
+	length, offset, hasOffset := strings.Cut(s.ByteRange, "@")
 	n, err := strconv.ParseInt(length, 10, 63)
-	from := r.lastRangeEnd
-	if err == nil && told {
-		from, err = strconv.ParseInt(offset, 10, 63)
+	start := r.lastRangeEnd
+	if err == nil && hasOffset {
+		start, err = strconv.ParseInt(offset, 10, 63)
 	}
-	if err != nil || n < 0 || from < 0 || n > math.MaxInt64-from || !told && r.lastRangeURI != s.URI {
-		return fmt.Errorf("EXT-X-BYTERANGE %q malformed or without offset", truncate(s.ByteRange))
+	if err != nil || n < 0 || start < 0 || n > math.MaxInt64-start || !hasOffset && r.lastRangeURI != s.URI {
+		return fmt.Errorf("EXT-X-BYTERANGE %q is malformed, or its omitted offset cannot be derived", truncate(s.ByteRange))
 	}
-	s.ByteRange = fmt.Sprintf("%d@%d", n, from)
-	r.lastRangeEnd, r.lastRangeURI = from+n, s.URI
+	s.ByteRange = fmt.Sprintf("%d@%d", n, start)
+	r.lastRangeEnd, r.lastRangeURI = start+n, s.URI
 	return nil
 }
--- a/internal/hls/write.go
+++ b/internal/hls/write.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// Append writes a multivariant playlist.
+// Append appends the text of the playlist to dst.
 func (m *MultivariantPlaylist) Append(dst []byte) []byte {
 	dst = fmt.Appendf(dst, "#EXTM3U\n#EXT-X-VERSION:%d\n", m.Version)
-	for _, o := range m.OtherTags {
-		dst = append(append(dst, o...), '\n')
+	for _, tag := range m.OtherTags {
+		dst = append(append(dst, tag...), '\n')
 	}
 	for _, r := range m.Renditions {
 		dst = fmt.Appendf(dst, "#EXT-X-MEDIA:%s\n", r.Attributes)
@@ -23,7 +23,7 @@
 	return dst
 }
 
-// Append writes a media playlist.
+// Append appends the text of the playlist to dst.
 func (m *MediaPlaylist) Append(dst []byte) []byte {
 	dst = fmt.Appendf(dst, "#EXTM3U\n#EXT-X-VERSION:%d\n#EXT-X-TARGETDURATION:%d\n", m.Version, m.TargetDuration)
 	dst = fmt.Appendf(dst, "#EXT-X-MEDIA-SEQUENCE:%d\n", m.MediaSequence)
@@ -33,15 +33,15 @@
 	if m.Type != "" {
 		dst = append(append(append(dst, "#EXT-X-PLAYLIST-TYPE:"...), m.Type...), '\n')
 	}
-	for _, o := range m.OtherTags {
-		dst = append(append(dst, o...), '\n')
+	for _, tag := range m.OtherTags {
+		dst = append(append(dst, tag...), '\n')
 	}
-	var before *Segment
+	var previous *Segment
 	for i := range m.Segments {
 		s := &m.Segments[i]
-		dst = s.appendTags(dst, before)
+		dst = s.appendTags(dst, previous)
 		dst = append(append(dst, s.URI...), '\n')
-		before = s
+		previous = s
 	}
 	if m.EndList {
 		dst = append(dst, "#EXT-X-ENDLIST\n"...)
@@ -49,28 +49,30 @@
 	return dst
 }
 
-// appendTags writes all of a segment but its URI. What is in force from the segment before is not repeated.
-func (s *Segment) appendTags(dst []byte, before *Segment) []byte {
+// appendTags appends the lines of a segment except its URI. Keys and map that already apply from the previous segment
+// are not repeated.
+func (s *Segment) appendTags(dst []byte, previous *Segment) []byte {
 	if s.Discontinuity {
 		dst = append(dst, "#EXT-X-DISCONTINUITY\n"...)
 	}
-	if before == nil && len(s.Keys) > 0 || before != nil && !slices.Equal(before.Keys, s.Keys) {
-		if before != nil && len(before.Keys) > 0 {
+	if previous == nil && len(s.Keys) > 0 || previous != nil && !slices.Equal(previous.Keys, s.Keys) {
+		if previous != nil && len(previous.Keys) > 0 {
 			dst = append(dst, "#EXT-X-KEY:METHOD=NONE\n"...)
 		}
 		for _, k := range s.Keys {
 			dst = append(append(dst, k...), '\n')
 		}
 	}
-	if s.Map != "" && (before == nil || before.Map != s.Map) {
+	if s.Map != "" && (previous == nil || previous.Map != s.Map) {
 		dst = append(append(dst, s.Map...), '\n')
 	}
 	return s.appendOwnTags(dst)
 }
 
+// appendOwnTags appends the tags that apply to this segment only.
 func (s *Segment) appendOwnTags(dst []byte) []byte {
-	for _, o := range s.OtherTags {
-		dst = append(append(dst, o...), '\n')
+	for _, tag := range s.OtherTags {
+		dst = append(append(dst, tag...), '\n')
 	}
 	if s.ByteRange != "" {
 		dst = append(append(append(dst, "#EXT-X-BYTERANGE:"...), s.ByteRange...), '\n')
@@ -80,8 +82,8 @@
 	return append(append(append(dst, ','), s.Title...), '\n')
 }
 
-// Resolve makes a reference absolute-path within its server: what stands before the path is dropped,
-// since the box that a session is at names the server. A reference to another host is refused.
+// ResolvePath resolves a reference against base and returns its absolute path and query. Scheme and host are dropped,
+// because the box that serves the session supplies them. It returns an error for a reference to another host.
 func ResolvePath(base, ref string) (string, error) {
 	b, err := url.Parse(base)
 	if err != nil {
@@ -92,14 +94,14 @@
 		return "", fmt.Errorf("hls: %w", err)
 	}
 	if u.Host != "" && u.Host != b.Host || u.Scheme != b.Scheme {
-		return "", fmt.Errorf("hls: %q leads to another host", truncate(ref))
+		return "", fmt.Errorf("hls: %q refers to another host", truncate(ref))
 	}
-	p := u.EscapedPath()
-	if !strings.HasPrefix(p, "/") {
-		p = "/" + p
+	path := u.EscapedPath()
+	if !strings.HasPrefix(path, "/") {
+		path = "/" + path
 	}
 	if u.RawQuery != "" {
-		p += "?" + u.RawQuery
+		path += "?" + u.RawQuery
 	}
-	return p, nil
+	return path, nil
 }
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -11,24 +11,25 @@
 	"time"
 )
 
-// ErrNeverSent marks a request of which no byte left: it provably never ran.
-var ErrNotSent = errors.New("http1: never sent")
+// ErrNotSent is returned for a request of which no byte was sent, so that the server cannot have processed it.
+var ErrNotSent = errors.New("http1: request not sent")
 
-// Response is an answer read by a Client.
+// Response is a response received by a Client.
 type Response struct {
 	message
 	Status int
 	Body   []byte
 }
 
+// parseStatusLine parses the start line of a response. An HTTP/1.0 peer closes the connection after the response.
 func (p *Response) parseStatusLine() error {
 	line := p.startLine()
 	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' {
-		return malformed("status line malformed")
+		return malformed("malformed status line")
 	}
 	n, ok := parseDecimal(line[9:12])
 	if !ok || n < 100 || len(line) > 12 && line[12] != ' ' {
-		return malformed("status is no number")
+		return malformed("status code is not a three-digit number")
 	}
 	p.Status = n
 	if line[7] == '0' {
@@ -37,14 +38,15 @@
 	return nil
 }
 
-// Client sends requests. Each goes out once, on a connection of its own: a request that is sent
-// again on a fresh connection because a kept one had died is a second attempt that nobody ordered.
+// Client sends each request exactly once, on a connection of its own. With persistent connections, a request on one
+// that the server had closed would have to be resent on another: a second attempt that the caller did not request.
 type Client struct {
 	Limits         Limits
-	ConnectTimeout time.Duration // a connection that is not up by then is ErrNeverSent
+	ConnectTimeout time.Duration // for opening a connection; on expiry the error wraps ErrNotSent
 }
 
-// Do sends one request and reads its answer. When ctx ends the connection is closed before Do returns.
+// Do sends one request and reads its response. header holds names and values alternately. When ctx ends, Do closes the
+// connection and returns an error that includes the cause.
 func (c *Client) Do(ctx context.Context, addr, method, target string, header []string, body []byte) (*Response, error) {
 	conn, err := c.sendRequest(ctx, addr, method, target, header, body)
 	if err != nil {
@@ -54,23 +56,24 @@
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	_ = conn.SetReadDeadline(time.Now().Add(c.Limits.IdleTimeout))
-	r := bufio.NewReaderSize(conn, c.Limits.MaxLineBytes)
-	p := &Response{}
-	if err := p.readResponse(r, c.Limits); err != nil {
+	reader := bufio.NewReaderSize(conn, c.Limits.MaxLineBytes)
+	response := &Response{}
+	if err := response.readResponse(reader, c.Limits); err != nil {
 		return nil, withContextCause(ctx, fmt.Errorf("%s %s%s: %w", method, addr, target, err))
 	}
-	if p.Status == 204 || p.Status == 304 || method == "HEAD" {
-		return p, nil
+	if response.Status == 204 || response.Status == 304 || method == "HEAD" {
+		return response, nil
 	}
-	if p.Body, err = p.readBody(nil, r, c.Limits); err != nil {
+	if response.Body, err = response.readBody(nil, reader, c.Limits); err != nil {
 		return nil, withContextCause(ctx, fmt.Errorf("%s %s%s: body: %w", method, addr, target, err))
 	}
-	return p, nil
+	return response, nil
 }
 
-func (p *Response) readResponse(r *bufio.Reader, l Limits) error {
-	for range 5 { // interim answers (1xx) are skipped
-		if err := p.readHead(r, l); err != nil {
+// readResponse reads the head of the final response.
+func (p *Response) readResponse(r *bufio.Reader, limits Limits) error {
+	for range 5 { // at most 4 interim responses (1xx) are skipped
+		if err := p.readHead(r, limits); err != nil {
 			return err
 		}
 		if err := p.parseStatusLine(); err != nil {
@@ -80,9 +83,10 @@
 			return nil
 		}
 	}
-	return malformed("too many interim answers")
+	return malformed("too many interim responses")
 }
 
+// withContextCause joins err with the cause of ctx if ctx has ended.
 func withContextCause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return errors.Join(context.Cause(ctx), err)
@@ -90,22 +94,25 @@
 	return err
 }
 
-func (c *Client) sendRequest(ctx context.Context, addr, method, target string, header []string, body []byte) (net.Conn, error) {
-	d := net.Dialer{Timeout: c.ConnectTimeout}
-	conn, err := d.DialContext(ctx, "tcp", addr)
+// sendRequest opens a connection and writes the request. The error wraps ErrNotSent if no byte was written.
+func (c *Client) sendRequest(
+	ctx context.Context, addr, method, target string, header []string, body []byte,
+) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: c.ConnectTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, withContextCause(ctx, fmt.Errorf("%w: %w", ErrNotSent, err))
 	}
-	b := make([]byte, 0, 512+len(body))
-	b = append(append(append(append(b, method...), ' '), target...), " HTTP/1.1\r\nHost: "...)
-	b = append(append(b, addr...), "\r\nConnection: close\r\nContent-Length: "...)
-	b = append(strconv.AppendInt(b, int64(len(body)), 10), "\r\n"...)
+	request := make([]byte, 0, 512+len(body))
+	request = append(append(append(append(request, method...), ' '), target...), " HTTP/1.1\r\nHost: "...)
+	request = append(append(request, addr...), "\r\nConnection: close\r\nContent-Length: "...)
+	request = append(strconv.AppendInt(request, int64(len(body)), 10), "\r\n"...)
 	for i := 0; i+1 < len(header); i += 2 {
-		b = append(append(append(append(b, header[i]...), ": "...), header[i+1]...), "\r\n"...)
+		request = append(append(append(append(request, header[i]...), ": "...), header[i+1]...), "\r\n"...)
 	}
-	b = append(append(b, "\r\n"...), body...)
+	request = append(append(request, "\r\n"...), body...)
 	_ = conn.SetWriteDeadline(time.Now().Add(c.Limits.WriteTimeout))
-	if n, err := conn.Write(b); err != nil {
+	if n, err := conn.Write(request); err != nil {
 		_ = conn.Close()
 		if n == 0 {
 			return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -115,9 +122,11 @@
 	return conn, nil
 }
 
-// Lines opens a long-lived answer and calls line for each of its lines until it ends, ctx ends or
-// nothing came for quiet. The first result tells whether the peer answered with 200 at all.
-func (c *Client) StreamLines(ctx context.Context, addr, target string, quiet time.Duration, line func([]byte) error) (bool, error) {
+// StreamLines sends a GET request and calls handleLine for each line of the long-lived response, until the response or
+// ctx ends, handleLine fails or no data arrives for idleTimeout. The first result reports whether the status was 200.
+func (c *Client) StreamLines(
+	ctx context.Context, addr, target string, idleTimeout time.Duration, handleLine func([]byte) error,
+) (bool, error) {
 	conn, err := c.sendRequest(ctx, addr, "GET", target, nil, nil)
 	if err != nil {
 		return false, err
@@ -125,38 +134,39 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	_ = conn.SetReadDeadline(time.Now().Add(quiet))
-	r := bufio.NewReaderSize(conn, c.Limits.MaxLineBytes)
-	p := &Response{}
-	if err := p.readResponse(r, c.Limits); err != nil {
+	_ = conn.SetReadDeadline(time.Now().Add(idleTimeout))
+	reader := bufio.NewReaderSize(conn, c.Limits.MaxLineBytes)
+	response := &Response{}
+	if err := response.readResponse(reader, c.Limits); err != nil {
 		return false, withContextCause(ctx, err)
 	}
-	if p.Status != 200 {
-		return false, fmt.Errorf("http1: %s%s answered %d", addr, target, p.Status)
+	if response.Status != 200 {
+		return false, fmt.Errorf("http1: %s%s returned status %d", addr, target, response.Status)
 	}
-	lines := &lineReader{r: r, chunked: p.chunked, maxLineBytes: c.Limits.MaxBodyBytes}
+	lines := &lineReader{r: reader, chunked: response.chunked, maxLineBytes: c.Limits.MaxBodyBytes}
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(quiet))
-		b, err := lines.next()
+		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout))
+		line, err := lines.next()
 		if err != nil {
 			return true, withContextCause(ctx, err)
 		}
-		if err := line(b); err != nil {
+		if err := handleLine(line); err != nil {
 			return true, err
 		}
 	}
 }
 
-// lineReader takes lines out of a body, chunked or not.
+// lineReader splits a body, chunked or not, into lines.
 type lineReader struct {
 	r              *bufio.Reader
 	chunked        bool
 	maxLineBytes   int
-	chunkRemaining int // of the present chunk
+	chunkRemaining int // bytes left in the current chunk
 	buf            []byte
-	unread         []byte
+	unread         []byte // part of buf that next has not returned yet
 }
 
+// next returns the next line without its line feed; it is valid until the following call.
 func (l *lineReader) next() ([]byte, error) {
 	for {
 		if i := bytes.IndexByte(l.unread, '\n'); i >= 0 {
@@ -175,15 +185,16 @@
 	}
 }
 
+// fill appends the next bytes of the body to buf.
 func (l *lineReader) fill() error {
-	want := 4096
+	size := 4096
 	if l.chunked {
 		if l.chunkRemaining == 0 {
-			head, err := readChunkLine(l.r)
+			sizeLine, err := readChunkLine(l.r)
 			if err != nil {
 				return err
 			}
-			n, ok := parseHex(head)
+			n, ok := parseHex(sizeLine)
 			if !ok {
 				return malformed("chunk size is no number")
 			}
@@ -192,15 +203,15 @@
 			}
 			l.chunkRemaining = n
 		}
-		want = min(want, l.chunkRemaining)
+		size = min(size, l.chunkRemaining)
 	}
-	at := len(l.buf)
-	l.buf = append(l.buf, make([]byte, want)...)
-	n, err := l.r.Read(l.buf[at:])
-	l.buf = l.buf[:at+n]
+	start := len(l.buf)
+	l.buf = append(l.buf, make([]byte, size)...)
+	n, err := l.r.Read(l.buf[start:])
+	l.buf = l.buf[:start+n]
 	if l.chunked {
 		if l.chunkRemaining -= n; l.chunkRemaining == 0 && err == nil {
-			if end, err := readChunkLine(l.r); err != nil || len(end) > 0 {
+			if rest, err := readChunkLine(l.r); err != nil || len(rest) > 0 {
 				return malformed("chunk longer than its size")
 			}
 		}
@@ -211,4 +222,5 @@
 	return err
 }
 
-var errStreamEnd = errors.New("http1: stream ended")
+// errStreamEnd is returned by lineReader at the last chunk. A body without chunks ends with io.EOF.
+var errStreamEnd = errors.New("http1: chunked stream ended")
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -20,6 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// testLimits returns small limits, so that tests exceed them with short messages and waits.
 func testLimits() Limits {
 	l := DefaultLimits()
 	l.MaxLineBytes, l.MaxHeadBytes, l.MaxHeaders, l.MaxBodyBytes = 256, 512, 8, 64
@@ -27,7 +28,7 @@
 	return l
 }
 
-// echo answers with what was understood.
+// echo responds with the method, path, query, "key" parameter and body of the request. It panics for /panic.
 func echo(_ context.Context, x *Exchange) {
 	if string(x.Path) == "/panic" {
 		panic("on purpose")
@@ -36,6 +37,7 @@
 	x.ResponseBody = fmt.Appendf(x.ResponseBody, "%s %s %s %s|%s", x.Method, x.Path, x.Query, x.QueryParam("key"), x.Body)
 }
 
+// startServer runs a Server until the test ends, and returns its address.
 func startServer(t *testing.T, h Handler) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,18 +45,18 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s := &Server{Handler: h, Limits: testLimits(), MaxConns: 4, Log: slog.New(slog.DiscardHandler)}
-	over := make(chan error, 1)
-	go func() { over <- s.Serve(ctx, ln, time.Second) }()
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(ctx, ln, time.Second) }()
 	t.Cleanup(func() {
 		stop()
-		if err := <-over; err != nil {
+		if err := <-served; err != nil {
 			t.Error(err)
 		}
 	})
 	return ln.Addr().String()
 }
 
-// raw sends bytes and returns all that comes back until the connection ends.
+// sendRaw sends text on a new connection and returns everything received until the server closes it.
 func sendRaw(t *testing.T, addr, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -70,40 +72,42 @@
 	return string(b)
 }
 
-func TestRefusedMessages(t *testing.T) {
+// TestRejectedMessages checks that each malformed or oversized request yields exactly one response with the right
+// status.
+func TestRejectedMessages(t *testing.T) {
 	addr := startServer(t, echo)
 	for _, c := range []struct{ name, text, want string }{
 		{"no version", "GET /\r\n\r\n", "400"},
 		{"no target", "GET  HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
-		{"method with a blank", "G@T / HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
-		{"another version", "GET / HTTP/2.0\r\nHost: a\r\n\r\n", "505"},
-		{"target of no known form", "GET ftp://a/ HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
+		{"invalid character in method", "G@T / HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
+		{"unsupported version", "GET / HTTP/2.0\r\nHost: a\r\n\r\n", "505"},
+		{"target with another scheme", "GET ftp://a/ HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
 		{"absolute target without a host", "GET http:///a HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
 		{"userinfo in target", "GET http://u@a/ HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
 		{"absolute target without host field", "GET http://a/ HTTP/1.1\r\n\r\n", "400"},
-		{"control in target", "GET /\x01 HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
+		{"control character in target", "GET /\x01 HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
 		{"bare LF", "GET / HTTP/1.1\nHost: a\n\n", "400"},
 		{"bare CR", "GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n", "400"},
 		{"obs-fold", "GET / HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", "400"},
-		{"blank before colon", "GET / HTTP/1.1\r\nHost : a\r\n\r\n", "400"},
+		{"space before colon", "GET / HTTP/1.1\r\nHost : a\r\n\r\n", "400"},
 		{"NUL in value", "GET / HTTP/1.1\r\nHost: a\x00\r\n\r\n", "400"},
 		{"no host", "GET / HTTP/1.1\r\n\r\n", "400"},
 		{"two hosts", "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", "400"},
-		{"both lengths", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
-		{"two lengths", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", "400"},
-		{"signed length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc", "400"},
-		{"another coding", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", "501"},
-		{"chunk size", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n\r\n", "400"},
+		{"two body lengths", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
+		{"repeated length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", "400"},
+		{"content-length with a sign", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc", "400"},
+		{"unsupported transfer coding", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", "501"},
+		{"negative chunk size", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n\r\n", "400"},
 		{"chunk too long", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n", "400"},
-		{"large chunk", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n", "413"},
+		{"chunk above the body limit", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n", "413"},
 		{"chunked in 1.0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
 		{"body too large", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 65\r\n\r\n", "413"},
-		{"body cut off slowly", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc", "408"},
+		{"body timeout", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc", "408"},
 		{"start line too long", "GET /" + strings.Repeat("a", 300) + " HTTP/1.1\r\nHost: a\r\n\r\n", "414"},
 		{"header line too long", "GET / HTTP/1.1\r\nHost: " + strings.Repeat("a", 300) + "\r\n\r\n", "431"},
 		{"head too large", "GET / HTTP/1.1\r\n" + strings.Repeat("A: "+strings.Repeat("b", 150)+"\r\n", 4) + "\r\n", "431"},
 		{"too many headers", "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 9) + "\r\n", "431"},
-		{"slow head", "GET / HTTP/1.1\r\nHo", "408"},
+		{"head timeout", "GET / HTTP/1.1\r\nHo", "408"},
 	} {
 		got := sendRaw(t, addr, c.text)
 		if !strings.HasPrefix(got, "HTTP/1.1 "+c.want+" ") || strings.Count(got, "HTTP/1.1 ") != 1 {
@@ -112,14 +116,15 @@
 	}
 }
 
+// TestAcceptedMessages checks how the server interprets valid requests.
 func TestAcceptedMessages(t *testing.T) {
 	addr := startServer(t, echo)
 	for _, c := range []struct{ name, text, want string }{
 		{"query", "GET /p?a=1&key=v&keyx=2 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", "GET /p a=1&key=v&keyx=2 v|"},
-		{"empty lines first", "\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\nConnection: x, Close\r\n\r\n", "GET /  |"},
+		{"empty lines before the request", "\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\nConnection: x, Close\r\n\r\n", "GET /  |"},
 		{"chunked", "POST / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nTransfer-Encoding: Chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\n\r\n", "POST /  |abcde"},
-		{"length", "POST / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 3\r\n\r\nabc", "POST /  |abc"},
-		{"1.0 ends the connection", "GET / HTTP/1.0\r\n\r\n", "GET /  |"},
+		{"content-length", "POST / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 3\r\n\r\nabc", "POST /  |abc"},
+		{"HTTP/1.0 closes the connection", "GET / HTTP/1.0\r\n\r\n", "GET /  |"},
 	} {
 		if got := sendRaw(t, addr, c.text); !strings.HasPrefix(got, "HTTP/1.1 200 OK") || !strings.HasSuffix(got, c.want) {
 			t.Errorf("%s: %q", c.name, got)
@@ -127,8 +132,9 @@
 	}
 }
 
-// Pipelined requests are answered in their order; one that breaks costs itself only.
-func TestPipeline(t *testing.T) {
+// TestPipelinedRequests checks that pipelined requests are handled in order, also if the handler of the last one
+// panics.
+func TestPipelinedRequests(t *testing.T) {
 	addr := startServer(t, echo)
 	got := sendRaw(t, addr, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\nGET /panic HTTP/1.1\r\nHost: a\r\n\r\n")
 	one, two, three := strings.Index(got, "GET /1"), strings.Index(got, "GET /2"), strings.Index(got, " 500 ")
@@ -137,17 +143,18 @@
 	}
 }
 
-// A peer that hangs up while it waits is noticed; one that sends its next request early is not taken for that.
-func TestWatch(t *testing.T) {
-	heard := make(chan string, 2)
+// TestWatchDisconnect checks that a peer that closes its connection while waiting is detected, and that a pipelined
+// request is not mistaken for that.
+func TestWatchDisconnect(t *testing.T) {
+	results := make(chan string, 2)
 	addr := startServer(t, func(_ context.Context, x *Exchange) {
 		gone, stop := x.WatchDisconnect()
 		defer stop()
 		select {
 		case <-gone:
-			heard <- "gone"
+			results <- "gone"
 		case <-time.After(100 * time.Millisecond):
-			heard <- "stayed"
+			results <- "stayed"
 		}
 		x.StartResponse(200)
 	})
@@ -156,16 +163,16 @@
 		t.Fatal(err)
 	}
 	fmt.Fprint(c, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n")
-	if got := <-heard; got != "stayed" {
-		t.Errorf("pipelined: %s", got)
+	if got := <-results; got != "stayed" {
+		t.Errorf("with a pipelined request: got %s, want stayed", got)
 	}
 	c.Close()
-	if got := <-heard; got != "gone" {
-		t.Errorf("hung up: %s", got)
+	if got := <-results; got != "gone" {
+		t.Errorf("after the peer closed: got %s, want gone", got)
 	}
 }
 
-// The client against the standard library's server, and against servers that lie.
+// TestClient runs the client against the server of the standard library.
 func TestClient(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -190,9 +197,10 @@
 	defer s.Close()
 	c := &Client{Limits: DefaultLimits(), ConnectTimeout: time.Second}
 	ctx := context.Background()
-	p, err := c.Do(ctx, ln.Addr().String(), "POST", "/a?b=c", []string{"X-Y", "z"}, []byte("body"))
-	if err != nil || p.Status != 201 || string(p.Body) != "POST /a?b=c body" || string(p.Get("CMSD-dynamic")) != "x" {
-		t.Errorf("%+v %v", p, err)
+	response, err := c.Do(ctx, ln.Addr().String(), "POST", "/a?b=c", []string{"X-Y", "z"}, []byte("body"))
+	if err != nil || response.Status != 201 || string(response.Body) != "POST /a?b=c body" ||
+		string(response.Get("CMSD-dynamic")) != "x" {
+		t.Errorf("%+v %v", response, err)
 	}
 	var lines []string
 	ok, err := c.StreamLines(ctx, ln.Addr().String(), "/lines", time.Second, func(b []byte) error {
@@ -205,14 +213,16 @@
 	limited, cancel := context.WithTimeout(ctx, 30*time.Millisecond)
 	defer cancel()
 	if _, err := c.Do(limited, ln.Addr().String(), "GET", "/wait", nil, nil); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("time-out: %v", err)
+		t.Errorf("request past its deadline: %v, want context.DeadlineExceeded", err)
 	}
 	if _, err := c.Do(ctx, "127.0.0.1:1", "GET", "/", nil, nil); !errors.Is(err, ErrNotSent) {
-		t.Errorf("nobody listens: %v", err)
+		t.Errorf("no listener: %v, want ErrNotSent", err)
 	}
 }
 
-func TestClientAgainstLies(t *testing.T) {
+// TestClientInvalidResponses checks that truncated or malformed responses are errors, but not ErrNotSent: the
+// request may have been processed.
+func TestClientInvalidResponses(t *testing.T) {
 	for _, answer := range []string{"", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nshort", "HTTP/1.1 2x0 OK\r\n\r\n", "nonsense\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9)} {
@@ -230,14 +240,15 @@
 			_ = conn.Close()
 		}()
 		c := &Client{Limits: DefaultLimits(), ConnectTimeout: time.Second}
-		if p, err := c.Do(context.Background(), ln.Addr().String(), "GET", "/", nil, nil); err == nil || errors.Is(err, ErrNotSent) {
-			t.Errorf("%q: %+v, %v", answer, p, err)
+		if response, err := c.Do(context.Background(), ln.Addr().String(), "GET", "/", nil, nil); err == nil ||
+			errors.Is(err, ErrNotSent) {
+			t.Errorf("%q: %+v, %v", answer, response, err)
 		}
 		_ = ln.Close()
 	}
 }
 
-// What the client writes the server reads the same.
+// TestWriteReadProperty checks that the server reads method, path, query and body as the client wrote them.
 func TestWriteReadProperty(t *testing.T) {
 	addr := startServer(t, echo)
 	c := &Client{Limits: DefaultLimits(), ConnectTimeout: time.Second}
@@ -245,14 +256,15 @@
 		path := "/" + rapid.StringMatching(`[a-z0-9/._~-]{0,40}`).Draw(rt, "path")
 		key := rapid.StringMatching(`[a-zA-Z0-9-]{1,20}`).Draw(rt, "key")
 		body := rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(rt, "body")
-		p, err := c.Do(context.Background(), addr, "POST", path+"?key="+key, nil, body)
-		if want := fmt.Sprintf("POST %s key=%s %s|%s", path, key, key, body); err != nil || string(p.Body) != want {
-			rt.Fatalf("got %+v %v, want %q", p, err, want)
+		response, err := c.Do(context.Background(), addr, "POST", path+"?key="+key, nil, body)
+		if want := fmt.Sprintf("POST %s key=%s %s|%s", path, key, key, body); err != nil || string(response.Body) != want {
+			rt.Fatalf("got %+v %v, want %q", response, err, want)
 		}
 	})
 }
 
-// Whatever comes, reading ends without a panic, and what is taken has one meaning: written anew, it reads the same.
+// FuzzRequest checks that reading never panics, and that an accepted request is unambiguous: written again, it
+// parses to the same path, query and body.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("GET /a?b=c HTTP/1.1\r\nHost: x\r\n\r\n"))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
@@ -284,6 +296,7 @@
 	})
 }
 
+// FuzzResponse checks that reading a response or its lines never panics, and that lineReader ends on any input.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"), true)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\na\n\r\n0\r\n\r\n"), false)
@@ -302,11 +315,11 @@
 				return
 			}
 		}
-		t.Fatal("more lines than bytes")
+		t.Fatal("lineReader returned more lines than the input has bytes")
 	})
 }
 
-// The absolute form is taken as RFC 9112, 3.2.2 asks of every server.
+// TestAbsoluteForm checks that the server accepts request targets in absolute form (RFC 9112, 3.2.2).
 func TestAbsoluteForm(t *testing.T) {
 	addr := startServer(t, echo)
 	for _, c := range []struct{ target, want string }{{"http://a/b?key=c", "GET /b key=c c|"}, {"HTTP://a:80/", "GET /  |"},
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,9 +1,9 @@
-// Package http1 reads and writes HTTP/1.1 messages (RFC 9112) on plain connections: a server with
-// one goroutine for each connection, and a client whose every request is sent once.
+// Package http1 implements HTTP/1.1 (RFC 9112) on plain connections: a server that runs one goroutine per connection,
+// and a client that sends every request exactly once.
 //
-// Where the RFC lets a recipient be lenient, this package is strict: bare LF, bare CR, obs-fold,
-// white space before a colon and doubtful lengths are refused, since two parsers that read one
-// message differently are how requests are smuggled.
+// Where the RFC lets a recipient be lenient, this package is strict: it rejects bare LF, bare CR, obs-fold, white
+// space before a colon and ambiguous body lengths, because request smuggling relies on two parsers that interpret
+// the same message differently.
 package http1
 
 import (
@@ -16,25 +16,27 @@
 	"time"
 )
 
-// Limits bound what one peer may send and how long it may take. Sizes in bytes.
+// Limits bounds the size of the messages that a peer may send and the time that it may take.
 type Limits struct {
-	MaxLineBytes int           // request or status line, and one header line
-	MaxHeadBytes int           // whole head
+	MaxLineBytes int           // bytes of the request or status line, and of each header line
+	MaxHeadBytes int           // bytes of the start line and all header lines
 	MaxHeaders   int           // number of header lines
-	MaxBodyBytes int           // decoded body
-	HeadTimeout  time.Duration // from a message's first byte to the end of its head
-	BodyTimeout  time.Duration // for its body
-	IdleTimeout  time.Duration // between messages of a connection
-	WriteTimeout time.Duration // for writing one answer
+	MaxBodyBytes int           // bytes of the decoded body
+	HeadTimeout  time.Duration // from the first byte of a message to the end of its head
+	BodyTimeout  time.Duration // for reading the body
+	IdleTimeout  time.Duration // between two messages on a connection; in Client.Do, for the whole response
+	WriteTimeout time.Duration // for writing one request or response
 }
 
-// DefaultLimits suit viewers and boxes.
+// DefaultLimits returns limits that suit connections of viewers and boxes.
 func DefaultLimits() Limits {
-	return Limits{MaxLineBytes: 8 << 10, MaxHeadBytes: 16 << 10, MaxHeaders: 64, MaxBodyBytes: 1 << 20, HeadTimeout: 5 * time.Second,
-		BodyTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second, WriteTimeout: 10 * time.Second}
+	return Limits{MaxLineBytes: 8 << 10, MaxHeadBytes: 16 << 10, MaxHeaders: 64, MaxBodyBytes: 1 << 20,
+		HeadTimeout: 5 * time.Second, BodyTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second,
+		WriteTimeout: 10 * time.Second}
 }
 
-// Error is a refusal to read a message on; Status is the answer that a server owes (RFC 9110, 15.5).
+// Error is returned for a message that cannot be accepted. Status is the status code with which a server responds
+// (RFC 9110, 15.5), and Reason the text of that response.
 type Error struct {
 	Status int
 	Reason string
@@ -42,22 +44,23 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("http1: %s (%d)", e.Reason, e.Status) }
 
+// malformed returns an Error with status 400.
 func malformed(format string, a ...any) error { return &Error{400, fmt.Sprintf(format, a...)} }
 
-// Header is one header line; its parts are valid until the next message is read.
+// Header is one header line. Its slices are valid until the next message is read.
 type Header struct{ Name, Value []byte }
 
-// message is what requests and responses share.
+// message holds the parts that requests and responses have in common.
 type message struct {
-	head       []byte
-	lineEnds   []int // where each line ends in head
+	head       []byte // start line and header lines, without line breaks
+	lineEnds   []int  // end offset of each line in head
 	Headers    []Header
-	Close      bool // the connection ends after this message
-	bodyLength int  // of the body; -1: until the connection ends
+	Close      bool // the connection is closed after this message
+	bodyLength int  // in bytes; -1: the message has neither a length nor a coding
 	chunked    bool
 }
 
-// Get is the first value of a header, or nil. Names compare without case (RFC 9110, 5.1).
+// Get returns the first value of a header, or nil. Names are case-insensitive (RFC 9110, 5.1).
 func (m *message) Get(name string) []byte {
 	for i := range m.Headers {
 		if equalFold(m.Headers[i].Name, name) {
@@ -86,7 +89,7 @@
 	return c
 }
 
-// token tells characters of methods and header names (RFC 9110, 5.6.2).
+// isTokenChar reports whether c is allowed in methods and header names (RFC 9110, 5.6.2).
 func isTokenChar(c byte) bool {
 	switch {
 	case 'a' <= c && c <= 'z', 'A' <= c && c <= 'Z', '0' <= c && c <= '9':
@@ -104,14 +107,14 @@
 	return len(b) > 0
 }
 
-// readHead reads a start line and header lines up to the empty one.
-func (m *message) readHead(r *bufio.Reader, l Limits) error {
+// readHead reads the start line and the header lines up to the empty line, and parses the headers.
+func (m *message) readHead(r *bufio.Reader, limits Limits) error {
 	m.head, m.lineEnds, m.Headers = m.head[:0], m.lineEnds[:0], m.Headers[:0]
 	m.Close, m.bodyLength, m.chunked = false, 0, false
 	for {
 		line, err := r.ReadSlice('\n')
 		switch {
-		case errors.Is(err, bufio.ErrBufferFull) || len(line) > l.MaxLineBytes:
+		case errors.Is(err, bufio.ErrBufferFull) || len(line) > limits.MaxLineBytes:
 			return m.lineTooLong()
 		case err != nil:
 			if len(m.head)+len(line) > 0 && errors.Is(err, io.EOF) {
@@ -124,11 +127,11 @@
 		line = line[:len(line)-2]
 		if len(line) == 0 {
 			if len(m.lineEnds) == 0 {
-				continue // RFC 9112, 2.2: empty lines before a request are skipped
+				continue // empty lines before a request are skipped (RFC 9112, 2.2)
 			}
 			return m.parseHeaders()
 		}
-		if len(m.head)+len(line) > l.MaxHeadBytes || len(m.lineEnds) > l.MaxHeaders {
+		if len(m.head)+len(line) > limits.MaxHeadBytes || len(m.lineEnds) > limits.MaxHeaders {
 			return &Error{431, "head too large"}
 		}
 		m.head = append(m.head, line...)
@@ -136,6 +139,7 @@
 	}
 }
 
+// lineTooLong returns the error for a start line or header line that exceeds the limit.
 func (m *message) lineTooLong() error {
 	if len(m.lineEnds) == 0 {
 		return &Error{414, "start line too long"}
@@ -166,6 +170,7 @@
 	return m.parseFraming()
 }
 
+// trimBlanks removes leading and trailing spaces and tabs.
 func trimBlanks(b []byte) []byte {
 	for len(b) > 0 && (b[0] == ' ' || b[0] == '\t') {
 		b = b[1:]
@@ -176,7 +181,8 @@
 	return b
 }
 
-// framing settles the body's length (RFC 9112, 6.3). Both ways at once, or one told twice, is refused.
+// parseFraming determines the body length (RFC 9112, 6.3). It rejects a message that has both Content-Length and
+// Transfer-Encoding, or either of them more than once.
 func (m *message) parseFraming() error {
 	lengths, codings := 0, 0
 	for _, h := range m.Headers {
@@ -202,11 +208,12 @@
 		return malformed("more than one body length")
 	}
 	if lengths+codings == 0 {
-		m.bodyLength = -1 // the caller knows what none means
+		m.bodyLength = -1 // no body in a request, a body up to the end of the connection in a response
 	}
 	return nil
 }
 
+// parseDecimal parses an unsigned decimal number of at most 15 digits.
 func parseDecimal(b []byte) (int, bool) {
 	if len(b) == 0 || len(b) > 15 {
 		return 0, false
@@ -221,6 +228,7 @@
 	return n, true
 }
 
+// hasToken reports whether a comma-separated list contains a token, without regard to case.
 func hasToken(list []byte, want string) bool {
 	for len(list) > 0 {
 		part := list
@@ -236,18 +244,18 @@
 	return false
 }
 
-// readBody appends the body to dst, decoded.
-func (m *message) readBody(dst []byte, r *bufio.Reader, l Limits) ([]byte, error) {
+// readBody appends the decoded body to dst.
+func (m *message) readBody(dst []byte, r *bufio.Reader, limits Limits) ([]byte, error) {
 	switch {
 	case m.chunked:
-		return readChunked(dst, r, l)
-	case m.bodyLength > l.MaxBodyBytes:
+		return readChunked(dst, r, limits)
+	case m.bodyLength > limits.MaxBodyBytes:
 		return dst, &Error{413, "body too large"}
 	case m.bodyLength >= 0:
 		return readFull(dst, r, m.bodyLength)
 	}
-	for { // until the connection ends
-		if len(dst) > l.MaxBodyBytes {
+	for { // read until the connection ends
+		if len(dst) > limits.MaxBodyBytes {
 			return dst, &Error{413, "body too large"}
 		}
 		dst = append(dst, 0)
@@ -262,18 +270,19 @@
 	}
 }
 
+// readFull appends exactly n bytes to dst.
 func readFull(dst []byte, r *bufio.Reader, n int) ([]byte, error) {
-	at := len(dst)
-	dst = slices.Grow(dst, n)[:at+n]
-	_, err := io.ReadFull(r, dst[at:])
+	start := len(dst)
+	dst = slices.Grow(dst, n)[:start+n]
+	_, err := io.ReadFull(r, dst[start:])
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	return dst, err
 }
 
-// readChunks decodes the chunked coding (RFC 9112, 7.1). Trailers are read and dropped.
-func readChunked(dst []byte, r *bufio.Reader, l Limits) ([]byte, error) {
+// readChunked appends a body in chunked coding (RFC 9112, 7.1) to dst. Trailers are discarded.
+func readChunked(dst []byte, r *bufio.Reader, limits Limits) ([]byte, error) {
 	for {
 		line, err := readChunkLine(r)
 		if err != nil {
@@ -289,17 +298,17 @@
 		if size == 0 {
 			break
 		}
-		if len(dst)+size > l.MaxBodyBytes {
+		if len(dst)+size > limits.MaxBodyBytes {
 			return dst, &Error{413, "body too large"}
 		}
 		if dst, err = readFull(dst, r, size); err != nil {
 			return dst, err
 		}
-		if end, err := readChunkLine(r); err != nil || len(end) > 0 {
+		if rest, err := readChunkLine(r); err != nil || len(rest) > 0 {
 			return dst, malformed("chunk longer than its size")
 		}
 	}
-	for range l.MaxHeaders {
+	for range limits.MaxHeaders {
 		if line, err := readChunkLine(r); err != nil || len(line) == 0 {
 			return dst, err
 		}
@@ -307,6 +316,7 @@
 	return dst, &Error{431, "too many trailers"}
 }
 
+// readChunkLine reads one line of the chunked coding and removes its CRLF.
 func readChunkLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if err != nil {
@@ -321,6 +331,7 @@
 	return line[:len(line)-2], nil
 }
 
+// parseHex parses an unsigned hexadecimal number of at most 7 digits.
 func parseHex(b []byte) (n int, ok bool) {
 	for _, c := range b {
 		switch c = toLower(c); {
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -14,14 +14,15 @@
 	"time"
 )
 
-// Request is one request; its parts are valid until the next one of the connection is read.
+// Request is one received request. Its slices are valid until the next request on the connection is read.
 type Request struct {
 	message
-	Method, Path, Query []byte
+	Method, Path, Query []byte // Path and Query are not decoded
 	Body                []byte
-	minorVersion        int
+	minorVersion        int // of HTTP/1
 }
 
+// parseRequestLine parses method, target and version from the start line.
 func (q *Request) parseRequestLine() error {
 	line := q.startLine()
 	first, last := bytes.IndexByte(line, ' '), bytes.LastIndexByte(line, ' ')
@@ -56,32 +57,34 @@
 	return nil
 }
 
-// originForm leaves path and query of a target. The absolute form is accepted as RFC 9112, 3.2.2 asks of
-// every server: its authority stands in for Host's, and neither is used here. "*" and others are no paths.
+// toOriginForm reduces a request target to its path and query. It accepts the absolute form, as RFC 9112, 3.2.2
+// requires of every server; the authority would replace the Host header, but neither is used here. It returns false
+// for "*" and all other forms.
 func toOriginForm(target []byte) ([]byte, bool) {
 	if target[0] == '/' {
 		return target, true
 	}
-	const scheme = "http://" // a scheme's case does not matter (RFC 3986, 3.1)
+	const scheme = "http://" // schemes are case-insensitive (RFC 3986, 3.1)
 	if len(target) <= len(scheme) || !bytes.EqualFold(target[:len(scheme)], []byte(scheme)) {
 		return nil, false
 	}
 	rest := target[len(scheme):]
 	i := bytes.IndexAny(rest, "/?")
 	switch {
-	case i == 0 || bytes.IndexByte(rest, '@') >= 0 && bytes.IndexByte(rest, '@') < max(i, 0): // no host, or userinfo (RFC 9110, 4.2.4)
+	case i == 0 || bytes.IndexByte(rest, '@') >= 0 && bytes.IndexByte(rest, '@') < max(i, 0):
+		// The host is missing, or the authority contains userinfo (RFC 9110, 4.2.4).
 		return nil, false
 	case i < 0:
 		return []byte("/"), true
-	case rest[i] == '?': // an empty path
+	case rest[i] == '?': // empty path
 		return append([]byte("/"), rest[i:]...), true
 	}
 	return rest[i:], true
 }
 
-// read takes the next request off the connection.
-func (q *Request) read(r *bufio.Reader, l Limits) error {
-	if err := q.readHead(r, l); err != nil {
+// read reads the head of the next request and checks it.
+func (q *Request) read(r *bufio.Reader, limits Limits) error {
+	if err := q.readHead(r, limits); err != nil {
 		return err
 	}
 	if err := q.parseRequestLine(); err != nil {
@@ -101,6 +104,7 @@
 	return nil
 }
 
+// countHeaders returns the number of header lines with a name.
 func (q *Request) countHeaders(name string) (n int) {
 	for _, h := range q.Headers {
 		if equalFold(h.Name, name) {
@@ -110,7 +114,7 @@
 	return n
 }
 
-// Param is the raw value of a query parameter, nil if it is not there.
+// QueryParam returns the value of a query parameter without decoding it, or nil if it is absent.
 func (q *Request) QueryParam(name string) []byte {
 	rest := q.Query
 	for len(rest) > 0 {
@@ -127,25 +131,26 @@
 	return nil
 }
 
-// Exchange is one request with the answer that is being made for it.
+// Exchange is one request and the response that the handler builds for it.
 type Exchange struct {
 	Request
 	conn           *serverConn
 	reader         *bufio.Reader
 	responseHead   []byte
 	responseStatus int
-	ResponseBody   []byte // the answer's body
+	ResponseBody   []byte // body of the response, filled by the handler
 }
 
-// Remote is the peer's address.
+// RemoteAddr returns the address of the peer.
 func (x *Exchange) RemoteAddr() string { return x.conn.RemoteAddr().String() }
 
-// Status begins the answer; header lines follow by Header. The body goes into Out.
+// StartResponse sets the status code and clears headers and body. Header lines follow with AddHeader; the body is
+// appended to ResponseBody.
 func (x *Exchange) StartResponse(code int) {
 	x.responseStatus, x.responseHead, x.ResponseBody = code, x.responseHead[:0], x.ResponseBody[:0]
 }
 
-// Header adds a header line. Neither part may hold a line break; the caller's own words only.
+// AddHeader adds a header line. Name and value are not escaped: they must not contain line breaks or text from a peer.
 func (x *Exchange) AddHeader(name, value string) {
 	x.responseHead = append(x.responseHead, name...)
 	x.responseHead = append(x.responseHead, ": "...)
@@ -153,29 +158,29 @@
 	x.responseHead = append(x.responseHead, "\r\n"...)
 }
 
-// Watch reports by closing gone when the peer hangs up while its request is being answered.
-// stop must be called before the handler returns.
-func (x *Exchange) WatchDisconnect() (gone <-chan struct{}, stop func()) {
-	left, over := make(chan struct{}), make(chan struct{})
+// WatchDisconnect returns a channel that is closed when the peer closes the connection while its request is being
+// handled. The handler must call stop before it returns.
+func (x *Exchange) WatchDisconnect() (disconnected <-chan struct{}, stop func()) {
+	closed, finished := make(chan struct{}), make(chan struct{})
 	x.conn.readDeadline = lazyDeadline{}
 	_ = x.conn.SetReadDeadline(time.Time{})
 	go func() {
-		defer close(over)
+		defer close(finished)
 		if _, err := x.reader.Peek(1); err != nil {
-			var late net.Error
-			if !errors.As(err, &late) || !late.Timeout() {
-				close(left)
+			var netErr net.Error
+			if !errors.As(err, &netErr) || !netErr.Timeout() {
+				close(closed)
 			}
 		}
 	}()
-	return left, func() {
+	return closed, func() {
 		_ = x.conn.SetReadDeadline(time.Unix(1, 0))
-		<-over
+		<-finished
 		_ = x.conn.SetReadDeadline(time.Time{})
 	}
 }
 
-// statusText names the codes in use.
+// statusText returns the reason phrase of the status codes that this program uses.
 func statusText(code int) string {
 	switch code {
 	case 200:
@@ -216,34 +221,35 @@
 	return "Status"
 }
 
-func appendResponse(dst []byte, code int, head, body []byte, end, bodyless bool) []byte {
+// appendResponse appends a whole response to dst. With omitBody, as for HEAD, only the length of the body is sent.
+func appendResponse(dst []byte, code int, head, body []byte, closeConn, omitBody bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(code), 10)
 	dst = append(dst, ' ')
 	dst = append(dst, statusText(code)...)
 	dst = append(dst, "\r\n"...)
 	dst = append(dst, head...)
-	if end {
+	if closeConn {
 		dst = append(dst, "Connection: close\r\n"...)
 	}
 	dst = append(dst, "Content-Length: "...)
 	dst = strconv.AppendInt(dst, int64(len(body)), 10)
 	dst = append(dst, "\r\n\r\n"...)
-	if bodyless {
+	if omitBody {
 		return dst
 	}
 	return append(dst, body...)
 }
 
-// Handler answers one request: Status first, then headers and body.
+// Handler handles one request: it calls StartResponse, then adds headers and body.
 type Handler func(ctx context.Context, x *Exchange)
 
-// Server serves connections, one goroutine for each. Requests of one connection are answered in
-// order, pipelined ones too.
+// Server serves each connection in its own goroutine. Requests on a connection, including pipelined ones, are
+// handled in the order in which they arrive.
 type Server struct {
 	Handler  Handler
 	Limits   Limits
-	MaxConns int // at most at once; more are closed at once
+	MaxConns int // maximum number of open connections, 0 for no limit; further ones are closed immediately
 	Log      *slog.Logger
 
 	mu       sync.Mutex
@@ -252,11 +258,11 @@
 	wg       sync.WaitGroup
 }
 
-// serverConn is one connection. Its state tells the end of the server which connections may be closed
-// at once: a connection is either idle, or a request on it is being answered, or it was closed while idle.
+// serverConn is one connection. Its state tells drain which connections can be closed immediately: a connection is
+// idle, is handling a request, or was closed while idle.
 type serverConn struct {
 	net.Conn
-	state         atomic.Int32
+	state         atomic.Int32 // connIdle, connBusy or connClosed
 	readDeadline  lazyDeadline
 	writeDeadline lazyDeadline
 }
@@ -267,19 +273,22 @@
 	connClosed
 )
 
-// deadline is one that is set anew only when much of it has gone: setting it costs more than a small
-// request is worth, and a wait that is a quarter shorter than its limit harms nobody.
+// lazyDeadline is a connection deadline that is renewed only once a quarter of its time has passed. Setting a
+// deadline costs more than a small request justifies; in return, a timeout may be up to a quarter shorter than its
+// limit, which is acceptable.
 type lazyDeadline struct{ at time.Time }
 
+// refresh returns the deadline, and whether it changed and has to be set on the connection.
 func (d *lazyDeadline) refresh(now time.Time, limit time.Duration) (time.Time, bool) {
-	if left := d.at.Sub(now); left > limit-limit/4 && left <= limit {
+	if remaining := d.at.Sub(now); remaining > limit-limit/4 && remaining <= limit {
 		return d.at, false
 	}
 	d.at = now.Add(limit)
 	return d.at, true
 }
 
-// Serve accepts until ctx ends, then lets requests under way finish, for grace at most.
+// Serve accepts connections until ctx ends, then waits up to grace for requests in progress and closes all
+// connections.
 func (s *Server) Serve(ctx context.Context, ln net.Listener, grace time.Duration) error {
 	s.conns = map[*serverConn]struct{}{}
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
@@ -302,6 +311,7 @@
 	return err
 }
 
+// startConn starts serving a connection. It returns false if the server is draining or has reached MaxConns.
 func (s *Server) startConn(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -315,6 +325,7 @@
 	return true
 }
 
+// drain closes idle connections, waits up to grace for the others and then closes those too.
 func (s *Server) drain(grace time.Duration) {
 	s.draining.Store(true)
 	s.mu.Lock()
@@ -324,23 +335,24 @@
 		}
 	}
 	s.mu.Unlock()
-	over := make(chan struct{})
-	go func() { s.wg.Wait(); close(over) }()
-	t := time.NewTimer(grace)
-	defer t.Stop()
+	finished := make(chan struct{})
+	go func() { s.wg.Wait(); close(finished) }()
+	timer := time.NewTimer(grace)
+	defer timer.Stop()
 	select {
-	case <-over:
+	case <-finished:
 		return
-	case <-t.C:
+	case <-timer.C:
 	}
 	s.mu.Lock()
 	for c := range s.conns {
 		_ = c.Close()
 	}
 	s.mu.Unlock()
-	<-over
+	<-finished
 }
 
+// serveConn handles the requests of one connection until it is closed.
 func (s *Server) serveConn(c *serverConn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer func() {
@@ -352,11 +364,11 @@
 		s.wg.Done()
 	}()
 	x := &Exchange{conn: c, reader: bufio.NewReaderSize(c, s.Limits.MaxLineBytes)}
-	var out []byte
+	var response []byte
 	for {
 		now := time.Now()
-		if at, anew := c.readDeadline.refresh(now, s.Limits.IdleTimeout); anew {
-			_ = c.SetReadDeadline(at)
+		if deadline, changed := c.readDeadline.refresh(now, s.Limits.IdleTimeout); changed {
+			_ = c.SetReadDeadline(deadline)
 		}
 		if _, err := x.reader.Peek(1); err != nil || !c.state.CompareAndSwap(connIdle, connBusy) {
 			return
@@ -366,25 +378,26 @@
 			return
 		}
 		s.handle(ctx, x)
-		end := x.Close || s.draining.Load()
-		out = appendResponse(out[:0], x.responseStatus, x.responseHead, x.ResponseBody, end, string(x.Method) == "HEAD")
-		if at, anew := c.writeDeadline.refresh(now, s.Limits.WriteTimeout); anew {
-			_ = c.SetWriteDeadline(at)
+		closeConn := x.Close || s.draining.Load()
+		response = appendResponse(response[:0], x.responseStatus, x.responseHead, x.ResponseBody, closeConn,
+			string(x.Method) == "HEAD")
+		if deadline, changed := c.writeDeadline.refresh(now, s.Limits.WriteTimeout); changed {
+			_ = c.SetWriteDeadline(deadline)
 		}
-		if _, err := c.Write(out); err != nil || end {
+		if _, err := c.Write(response); err != nil || closeConn {
 			return
 		}
 		c.state.Store(connIdle)
-		if s.draining.Load() { // the end may have passed this connection by while it was busy
+		if s.draining.Load() { // drain may have skipped this connection while it was busy
 			return
 		}
 	}
 }
 
-// read takes a request off the connection. One whose head is here already needs no time limit of its own.
+// readRequest reads the next request. It sets no separate deadline if the whole head has been received already.
 func (s *Server) readRequest(c *serverConn, x *Exchange) error {
-	here, _ := x.reader.Peek(x.reader.Buffered())
-	if !bytes.Contains(here, []byte("\r\n\r\n")) {
+	buffered, _ := x.reader.Peek(x.reader.Buffered())
+	if !bytes.Contains(buffered, []byte("\r\n\r\n")) {
 		c.readDeadline = lazyDeadline{}
 		_ = c.SetReadDeadline(time.Now().Add(s.Limits.HeadTimeout))
 	}
@@ -394,12 +407,13 @@
 	return s.readBody(c, x)
 }
 
-// answer calls the handler; one that panics costs its own request only.
+// handle calls the handler. A panic of the handler, or a handler that sets no status, yields status 500 and closes the
+// connection.
 func (s *Server) handle(ctx context.Context, x *Exchange) {
 	x.responseStatus = 0
 	defer func() {
 		if p := recover(); p != nil {
-			s.Log.Error("handler broke", "panic", p, "path", string(x.Path))
+			s.Log.Error("HTTP handler panicked", "panic", p, "path", string(x.Path))
 			x.responseStatus = 0
 		}
 		if x.responseStatus == 0 {
@@ -410,12 +424,13 @@
 	s.Handler(ctx, x)
 }
 
+// readBody reads the request body, after the interim response that an Expect header requests.
 func (s *Server) readBody(c *serverConn, x *Exchange) (err error) {
 	x.Body = x.Body[:0]
 	if !x.chunked && x.bodyLength == 0 {
 		return nil
 	}
-	if e := x.Get("expect"); e != nil {
+	if expect := x.Get("expect"); expect != nil {
 		if _, err := x.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 			return err
 		}
@@ -426,28 +441,32 @@
 	return err
 }
 
-// refuse answers a message that cannot be read, and the connection ends: what follows on it can
-// no longer be told apart.
+// reject responds to a request that cannot be read. The caller then closes the connection, because the start of the
+// next request can no longer be determined.
 func (s *Server) reject(c *serverConn, x *Exchange, err error) {
-	var e *Error
-	var late net.Error
+	var refusal *Error
+	var netErr net.Error
 	switch {
-	case errors.As(err, &e):
-	case errors.As(err, &late) && late.Timeout():
-		e = &Error{408, "message came too slowly"}
+	case errors.As(err, &refusal):
+	case errors.As(err, &netErr) && netErr.Timeout():
+		refusal = &Error{408, "message came too slowly"}
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		e = &Error{400, "message was cut off"}
+		refusal = &Error{400, "message was cut off"}
 	default:
 		return
 	}
-	s.Log.Warn("request refused", "remote", c.RemoteAddr().String(), "status", e.Status, "reason", e.Reason)
+	s.Log.Warn("HTTP request rejected", "remote", c.RemoteAddr().String(),
+		"status", refusal.Status, "reason", refusal.Reason)
 	_ = c.SetWriteDeadline(time.Now().Add(time.Second))
-	body := append([]byte(e.Reason), '\n')
-	if _, err := c.Write(appendResponse(nil, e.Status, []byte("Content-Type: text/plain\r\n"), body, true, false)); err != nil {
+	body := append([]byte(refusal.Reason), '\n')
+	if _, err := c.Write(
+		appendResponse(nil, refusal.Status, []byte("Content-Type: text/plain\r\n"), body, true, false),
+	); err != nil {
 		return
 	}
-	if t, ok := c.Conn.(*net.TCPConn); ok { // let the answer out before unread input resets the connection
-		_ = t.CloseWrite()
+	if tcpConn, ok := c.Conn.(*net.TCPConn); ok {
+		// Closing with unread input resets the connection, which can discard the response: read the input first.
+		_ = tcpConn.CloseWrite()
 		_ = c.SetReadDeadline(time.Now().Add(250 * time.Millisecond))
 		_, _ = io.CopyN(io.Discard, c, 64<<10)
 	}
--- a/internal/timeconv/bound.go
+++ b/internal/timeconv/bound.go
@@ -1,21 +1,22 @@
-// Package bound takes numbers from outside into the program's units without overflow.
+// Package timeconv converts durations and times received from other processes, files or users to time.Duration without
+// overflow.
 package timeconv
 
 import "time"
 
-// Longest is the longest time that any word from outside may name: 366 days.
+// MaxDuration is the longest duration accepted from outside the process: 366 days.
 const MaxDuration = 366 * 24 * time.Hour
 
-// Latest is the last moment, in Unix milliseconds, that any word from outside may name: the year 2200.
+// MaxUnixMilli is the latest time accepted from outside the process, in Unix milliseconds: the start of the year 2200.
 const MaxUnixMilli = int64(7258118400000)
 
-// Ms is a count of milliseconds from outside. It stays within Longest in both directions: past some 292
-// years the product would wrap, and a long time become one in the past.
+// Milliseconds converts a number of milliseconds and clamps it to MaxDuration in both directions. Beyond about 292
+// years the multiplication would overflow, and a long duration would become negative.
 func Milliseconds(n int64) time.Duration {
 	return time.Duration(min(max(n, -MaxDuration.Milliseconds()), MaxDuration.Milliseconds())) * time.Millisecond
 }
 
-// Seconds is a number of seconds from outside, within the same limits. Not a number is 0.
+// Seconds converts a number of seconds with the same limits. NaN yields 0.
 func Seconds(s float64) time.Duration {
 	if s != s {
 		return 0
@@ -23,7 +24,8 @@
 	return time.Duration(min(max(s, -MaxDuration.Seconds()), MaxDuration.Seconds()) * float64(time.Second))
 }
 
-// Moment is a time in Unix milliseconds from outside; one that cannot be is 0, which says "not known".
+// UnixMilli converts a time in Unix milliseconds to the duration since the epoch. A negative time, or one after
+// MaxUnixMilli, yields 0, which means "not known".
 func UnixMilli(ms int64) time.Duration {
 	if ms < 0 || ms > MaxUnixMilli {
 		return 0
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,6 +1,6 @@
-// Package view is the fleet as the planner publishes it and edges follow it: boxes and titles under a
-// version that only rises. A stream of lines carries whole views and changes; a gap or a line that does
-// not fit is an error, after which the follower asks for the whole view again.
+// Package view defines the versioned snapshot of the fleet, boxes and titles, that the planner publishes and edges
+// follow. The version only increases. A stream of JSON lines carries full views and changes. A gap in the versions or
+// an invalid line is an error, after which the follower requests the full view again.
 package view
 
 import (
@@ -13,17 +13,17 @@
 	"rainpulley/internal/timeconv"
 )
 
-// State of a box.
+// State is the state of a box in the fleet.
 type State string
 
-// States of a box.
+// States of a box. In an update, StateGone removes the box.
 const (
 	StateReady    State = "ready"
 	StateDraining State = "draining"
 	StateGone     State = "gone"
 )
 
-// Box is one streaming server. Zone and kind are names; its rack follows from its cell.
+// Box is one streaming server. Zone and Kind are names; Rack is determined by Cell.
 type Box struct {
 	ID        string  `json:"id"` // host:port
 	Zone      string  `json:"zone"`
@@ -32,55 +32,57 @@
 	Rack      int     `json:"rack"`
 	State     State   `json:"state"`
 	Weight    float64 `json:"weight"`
-	StartedMs int64   `json:"started_ms,omitempty"` // Unix milliseconds; 0: long ago or not known
+	StartedMs int64   `json:"started_ms,omitempty"` // Unix milliseconds; 0: long ago or unknown
 }
 
-// Title is what can be played and where it lies.
+// Title is one title of the catalogue and the place of its copies.
 type Title struct {
 	Name     string `json:"name"`
 	HomeCell int    `json:"home"`
 	CellSpan int    `json:"span"`
-	LengthMs int64  `json:"length_ms,omitempty"` // 0: not known
+	LengthMs int64  `json:"length_ms,omitempty"` // 0: unknown
 
-	Listed  bool     `json:"listed,omitempty"`  // Holders counts, not Home and Span
-	Holders []string `json:"holders,omitempty"` // boxes that have it whole, in order of their ids
+	Listed  bool     `json:"listed,omitempty"`  // Holders applies instead of HomeCell and CellSpan
+	Holders []string `json:"holders,omitempty"` // ids of the boxes that have the whole title, sorted
 }
 
-// Equal compares two titles.
+// Equal reports whether two titles are the same in all fields.
 func (t Title) Equal(o Title) bool {
-	return t.Name == o.Name && t.HomeCell == o.HomeCell && t.CellSpan == o.CellSpan && t.LengthMs == o.LengthMs && t.Listed == o.Listed &&
+	return t.Name == o.Name && t.HomeCell == o.HomeCell && t.CellSpan == o.CellSpan &&
+		t.LengthMs == o.LengthMs && t.Listed == o.Listed &&
 		slices.Equal(t.Holders, o.Holders)
 }
 
-// View is the fleet at one version.
+// View is the snapshot of the fleet at one version.
 type View struct {
 	Version uint64  `json:"version"`
 	Boxes   []Box   `json:"boxes"`
 	Titles  []Title `json:"titles"`
 }
 
-// Line is one line of the stream: a whole view, changes to the version before, or a heartbeat
-// (neither, with the version in force).
+// Update is one line of the stream: a full view, changes to BaseVersion, or a heartbeat. A heartbeat has neither and
+// carries the current version.
 type Update struct {
 	Version       uint64   `json:"v"`
-	NowMs         int64    `json:"now_ms,omitempty"` // of the planner's clock when it was sent: boxes' starts count from it
-	BaseVersion   uint64   `json:"base,omitempty"`   // the version that changes apply to
+	NowMs         int64    `json:"now_ms,omitempty"` // planner's clock when sent; gives the age of a box with StartedMs
+	BaseVersion   uint64   `json:"base,omitempty"`   // version that the changes apply to
 	Full          bool     `json:"whole,omitempty"`
 	Boxes         []Box    `json:"boxes,omitempty"`
 	Titles        []Title  `json:"titles,omitempty"`
 	RemovedTitles []string `json:"removed_titles,omitempty"`
-	Holds         *Holds   `json:"holds,omitempty"` // replaces the holds told before
+	Holds         *Holds   `json:"holds,omitempty"` // replaces the holds published before
 }
 
-// Holds is the room that is kept for announced peaks, and what edges should count for the planner.
-// It lapses where it is not told again within its lease: lengths, not times, so that clocks may differ.
+// Holds is the capacity reserved for announced peaks, and the titles whose requests edges count for the planner. It
+// expires unless the planner renews it within the lease. The lease is a duration, not a time, because clocks may
+// differ.
 type Holds struct {
 	LeaseMs       int64          `json:"lease_ms"`
 	Entries       []Hold         `json:"parts,omitempty"`
 	CountedTitles []CountedTitle `json:"count,omitempty"`
 }
 
-// Hold is room on a box for one title and class, as yet unused by any edge.
+// Hold is capacity reserved on a box for one title and class, and not yet used by any edge.
 type Hold struct {
 	Title   string  `json:"title"`
 	Class   string  `json:"class"`
@@ -89,16 +91,16 @@
 	Streams float64 `json:"streams"`
 }
 
-// Count names a peak's title whose arrivals and use edges report.
+// CountedTitle is a title of a peak for which edges report arrivals and usage.
 type CountedTitle struct {
 	Peak  string `json:"peak"`
 	Title string `json:"title"`
 	Class string `json:"class"`
 }
 
-// Used is what an edge reports. Arrived counts up from the edge's start.
+// UsageReport is the report of an edge to the planner. Arrivals are cumulative since the start of the edge.
 type UsageReport struct {
-	Edge     string          `json:"edge"` // position.instance
+	Edge     string          `json:"edge"` // position.instance of the edge
 	Seq      uint64          `json:"seq"`
 	Usage    []TitleUsage    `json:"uses"`
 	Arrivals []TitleArrivals `json:"arrived"`
@@ -106,15 +108,15 @@
 	Outcomes []Outcome `json:"outcomes,omitempty"`
 }
 
-// Outcome is what set-ups of an edge came to at a box, counted up from the edge's start. Refusals for want of room
-// and set-ups that a viewer called off are neither.
+// Outcome counts the results of an edge's set-ups on a box since the start of the edge. Set-ups that were refused for
+// lack of capacity or cancelled by the viewer count as neither served nor failed.
 type Outcome struct {
 	Box    string `json:"box"`
 	Served int64  `json:"served"`
 	Failed int64  `json:"failed"`
 }
 
-// Use is what sessions of a peak's title take on a box.
+// TitleUsage is the capacity that sessions of a peak's title use on a box.
 type TitleUsage struct {
 	Peak    string  `json:"peak"`
 	Title   string  `json:"title"`
@@ -123,138 +125,143 @@
 	Streams float64 `json:"streams"`
 }
 
-// Arrived is how many first requests came for a peak's title.
+// TitleArrivals is the number of first requests for a title of a peak.
 type TitleArrivals struct {
 	Peak  string  `json:"peak"`
 	Title string  `json:"title"`
 	Count float64 `json:"n"`
 }
 
-// ErrGap says that changes do not follow on what is held; the whole view must be read.
+// ErrVersionGap is returned for an update that does not apply to the current version; the full view must be read.
 var ErrVersionGap = errors.New("view: gap in versions")
 
-// Decode reads a line and checks it; a line that makes no sense changes nothing.
-func Decode(b []byte) (Update, error) {
-	var l Update
-	d := json.NewDecoder(strings.NewReader(string(b)))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&l); err != nil {
-		return l, fmt.Errorf("view: line: %w", err)
+// Decode parses and validates one line of the stream. An update returned with an error must not be applied.
+func Decode(data []byte) (Update, error) {
+	var update Update
+	decoder := json.NewDecoder(strings.NewReader(string(data)))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&update); err != nil {
+		return update, fmt.Errorf("view: invalid line: %w", err)
 	}
-	if !l.Full && l.BaseVersion == 0 && len(l.Boxes)+len(l.Titles)+len(l.RemovedTitles) > 0 {
-		return l, errors.New("view: changes without base")
+	if !update.Full && update.BaseVersion == 0 && len(update.Boxes)+len(update.Titles)+len(update.RemovedTitles) > 0 {
+		return update, errors.New("view: changes without a base version")
 	}
-	for _, x := range l.Boxes {
-		if x.StartedMs < 0 || x.StartedMs > timeconv.MaxUnixMilli {
-			return l, fmt.Errorf("view: box %q: started_ms %d makes no sense", x.ID, x.StartedMs)
+	for _, box := range update.Boxes {
+		if box.StartedMs < 0 || box.StartedMs > timeconv.MaxUnixMilli {
+			return update, fmt.Errorf("view: box %q: started_ms %d is out of range", box.ID, box.StartedMs)
 		}
-		if x.ID == "" || x.State != StateReady && x.State != StateDraining && x.State != StateGone || x.Cell < 0 {
-			return l, fmt.Errorf("view: box %q: state %q or cell %d makes no sense", x.ID, x.State, x.Cell)
+		if box.ID == "" || box.State != StateReady && box.State != StateDraining && box.State != StateGone || box.Cell < 0 {
+			return update, fmt.Errorf("view: box %q: missing id, unknown state %q or negative cell %d", box.ID, box.State, box.Cell)
 		}
 	}
-	if l.Holds != nil {
-		if l.Holds.LeaseMs <= 0 || l.Holds.LeaseMs > timeconv.MaxDuration.Milliseconds() {
-			return l, errors.New("view: holds without a lease")
+	if update.Holds != nil {
+		if update.Holds.LeaseMs <= 0 || update.Holds.LeaseMs > timeconv.MaxDuration.Milliseconds() {
+			return update, errors.New("view: lease_ms of holds is out of range")
 		}
-		for _, h := range l.Holds.Entries {
-			if !(h.Rate >= 0) || !(h.Streams >= 0) || h.Box == "" || h.Title == "" {
-				return l, fmt.Errorf("view: hold for %q on %q: rate %v or streams %v makes no sense", h.Title, h.Box, h.Rate, h.Streams)
+		for _, hold := range update.Holds.Entries {
+			if !(hold.Rate >= 0) || !(hold.Streams >= 0) || hold.Box == "" || hold.Title == "" {
+				return update, fmt.Errorf("view: hold for %q on %q: missing title or box, or invalid rate %v or streams %v",
+					hold.Title, hold.Box, hold.Rate, hold.Streams)
 			}
 		}
 	}
-	for _, t := range l.Titles {
+	for _, t := range update.Titles {
 		if t.Name == "" || t.HomeCell < 0 || t.CellSpan < 1 {
-			return l, fmt.Errorf("view: title %q: home %d or span %d makes no sense", t.Name, t.HomeCell, t.CellSpan)
+			return update, fmt.Errorf("view: title %q: missing name, or home %d or span %d out of range",
+				t.Name, t.HomeCell, t.CellSpan)
 		}
 		if t.Listed && !slices.IsSorted(t.Holders) || !t.Listed && t.Holders != nil {
-			return l, fmt.Errorf("view: title %q: holders out of order, or not listed", t.Name)
+			return update, fmt.Errorf("view: title %q: holders are not sorted, or given without listed", t.Name)
 		}
 		if t.LengthMs < 0 || t.LengthMs > timeconv.MaxDuration.Milliseconds() {
-			return l, fmt.Errorf("view: title %q: length_ms %d makes no sense", t.Name, t.LengthMs)
+			return update, fmt.Errorf("view: title %q: length_ms %d is out of range", t.Name, t.LengthMs)
 		}
 	}
-	return l, nil
+	return update, nil
 }
 
-// Apply returns the view after a line, and whether anything changed. v is not changed.
-func Apply(v View, l Update) (View, bool, error) {
-	if l.Full {
-		return View{l.Version, l.Boxes, l.Titles}, true, nil
+// Apply returns the view that results from an update, and whether the update changes it. It does not modify v.
+func Apply(v View, update Update) (View, bool, error) {
+	if update.Full {
+		return View{update.Version, update.Boxes, update.Titles}, true, nil
 	}
-	if l.BaseVersion == 0 { // heartbeat
-		if l.Version != v.Version {
+	if update.BaseVersion == 0 { // heartbeat
+		if update.Version != v.Version {
 			return v, false, ErrVersionGap
 		}
 		return v, false, nil
 	}
-	if l.BaseVersion != v.Version || l.Version <= l.BaseVersion {
+	if update.BaseVersion != v.Version || update.Version <= update.BaseVersion {
 		return v, false, ErrVersionGap
 	}
-	out := View{Version: l.Version, Boxes: slices.Clone(v.Boxes), Titles: slices.Clone(v.Titles)}
-	for _, b := range l.Boxes {
-		i := slices.IndexFunc(out.Boxes, func(o Box) bool { return o.ID == b.ID })
+	next := View{Version: update.Version, Boxes: slices.Clone(v.Boxes), Titles: slices.Clone(v.Titles)}
+	for _, b := range update.Boxes {
+		i := slices.IndexFunc(next.Boxes, func(o Box) bool { return o.ID == b.ID })
 		switch {
 		case b.State == StateGone && i >= 0:
-			out.Boxes = slices.Delete(out.Boxes, i, i+1)
+			next.Boxes = slices.Delete(next.Boxes, i, i+1)
 		case b.State == StateGone:
 		case i >= 0:
-			out.Boxes[i] = b
+			next.Boxes[i] = b
 		default:
-			out.Boxes = append(out.Boxes, b)
+			next.Boxes = append(next.Boxes, b)
 		}
 	}
-	out.Titles = slices.DeleteFunc(out.Titles, func(t Title) bool { return slices.Contains(l.RemovedTitles, t.Name) })
-	for _, t := range l.Titles {
-		if i := slices.IndexFunc(out.Titles, func(o Title) bool { return o.Name == t.Name }); i >= 0 {
-			out.Titles[i] = t
+	next.Titles = slices.DeleteFunc(next.Titles, func(t Title) bool {
+		return slices.Contains(update.RemovedTitles, t.Name)
+	})
+	for _, t := range update.Titles {
+		if i := slices.IndexFunc(next.Titles, func(o Title) bool { return o.Name == t.Name }); i >= 0 {
+			next.Titles[i] = t
 		} else {
-			out.Titles = append(out.Titles, t)
+			next.Titles = append(next.Titles, t)
 		}
 	}
-	out.sort()
-	return out, true, nil
+	next.sort()
+	return next, true, nil
 }
 
+// sort orders boxes by id and titles by name.
 func (v *View) sort() {
 	slices.SortFunc(v.Boxes, func(a, b Box) int { return strings.Compare(a.ID, b.ID) })
 	slices.SortFunc(v.Titles, func(a, b Title) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Diff is the line that leads from one view to a later one.
+// Diff returns the update that turns one view into a later one.
 func Diff(from, to View) Update {
-	l := Update{Version: to.Version, BaseVersion: from.Version}
+	update := Update{Version: to.Version, BaseVersion: from.Version}
 	id := func(b Box) string { return b.ID }
-	var gone []Box
-	l.Boxes, gone = diffByKey(from.Boxes, to.Boxes, id, func(a, b Box) bool { return a == b })
-	for _, b := range gone {
+	var removedBoxes []Box
+	update.Boxes, removedBoxes = diffByKey(from.Boxes, to.Boxes, id, func(a, b Box) bool { return a == b })
+	for _, b := range removedBoxes {
 		b.State = StateGone
-		l.Boxes = append(l.Boxes, b)
+		update.Boxes = append(update.Boxes, b)
 	}
 	name := func(t Title) string { return t.Name }
-	var removed []Title
-	l.Titles, removed = diffByKey(from.Titles, to.Titles, name, Title.Equal)
-	for _, t := range removed {
-		l.RemovedTitles = append(l.RemovedTitles, t.Name)
+	var removedTitles []Title
+	update.Titles, removedTitles = diffByKey(from.Titles, to.Titles, name, Title.Equal)
+	for _, t := range removedTitles {
+		update.RemovedTitles = append(update.RemovedTitles, t.Name)
 	}
-	return l
+	return update
 }
 
-// changes are the entries that are new or other than before, and those that are no more.
-func diffByKey[T any](from, to []T, key func(T) string, equal func(a, b T) bool) (changed, gone []T) {
-	old := map[string]T{}
+// diffByKey returns the entries of to that are new or differ from those in from, and the entries that only from has.
+func diffByKey[T any](from, to []T, key func(T) string, equal func(a, b T) bool) (changed, removed []T) {
+	remaining := map[string]T{}
 	for _, x := range from {
-		old[key(x)] = x
+		remaining[key(x)] = x
 	}
 	for _, x := range to {
-		if o, ok := old[key(x)]; !ok || !equal(o, x) {
+		if previous, ok := remaining[key(x)]; !ok || !equal(previous, x) {
 			changed = append(changed, x)
 		}
-		delete(old, key(x))
+		delete(remaining, key(x))
 	}
 	for _, x := range from {
-		if _, left := old[key(x)]; left {
-			gone = append(gone, x)
+		if _, unmatched := remaining[key(x)]; unmatched {
+			removed = append(removed, x)
 		}
 	}
-	return changed, gone
+	return changed, removed
 }
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// drawView draws a random view of at most 4 boxes and 2 titles.
 func drawView(t *rapid.T, name string) View {
 	var v View
 	for _, id := range []string{"a:1", "b:1", "c:1", "d:1"} {
@@ -25,7 +26,8 @@
 	return v
 }
 
-// Changes, sent as lines, lead from any view to any other; the old one is not touched.
+// TestDiffApply checks that the encoded difference of two random views turns the first into the second, and that Apply
+// does not modify the first.
 func TestDiffApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawView(t, "from"), drawView(t, "to")
@@ -52,12 +54,14 @@
 			t.Fatalf("%s -> %s, want %s", b, x, y)
 		}
 		if after, _ := json.Marshal(from); string(before) != string(after) {
-			t.Fatal("the view before was changed")
+			t.Fatal("Apply modified its input view")
 		}
 	})
 }
 
-func TestLinesOutOfOrder(t *testing.T) {
+// TestInvalidUpdates checks that updates for another version return ErrVersionGap, and that Decode rejects invalid
+// lines.
+func TestInvalidUpdates(t *testing.T) {
 	v := View{Version: 5}
 	for _, c := range []struct {
 		line string
@@ -74,11 +78,12 @@
 	for _, bad := range []string{"", "{", `{"w":1}`, `{"v":1,"boxes":[{"id":"a","state":"ready","cell":0}]}`, `{"v":1,"whole":true,"boxes":[{"id":"a","state":"?"}]}`,
 		`{"v":1,"whole":true,"boxes":[{"id":"a","state":"ready","cell":-1}]}`, `{"v":1,"whole":true,"titles":[{"name":"t","span":0}]}`} {
 		if _, err := Decode([]byte(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
+// FuzzDecode checks that decoding and applying any line never panics.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"v":1,"whole":true,"boxes":[{"id":"a","state":"ready","cell":1}],"titles":[{"name":"t","span":1}]}`))
 	f.Fuzz(func(_ *testing.T, b []byte) {
