--- a/internal/node/localtrouble_test.go
+++ b/internal/node/localtrouble_test.go
@@ -180,15 +180,15 @@
 // TestTroubleWithinMessages: reads and writes that fail for a moment, and short ones, change no byte of a message, and
 // cost no connection. What is broken for good is told.
 func TestTransientErrorsWithinMessages(t *testing.T) {
-	errnos := []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN}
+	transient := []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN}
 	message := rtsp.AppendResponse(nil, 200, []string{"CSeq", "1", "Session", idA}, []byte("a description"))
-	reader := &failingConn{errnos: errnos}
+	reader := &failingConn{errnos: transient}
 	reader.in.Write(message)
 	got, err := io.ReadAll(&deadlineReader{conn: reader})
 	if err != nil || !bytes.Equal(got, message) {
 		t.Errorf("read %q, %v", got, err)
 	}
-	writer := &failingConn{errnos: errnos}
+	writer := &failingConn{errnos: transient}
 	failed := make(chan struct{})
 	out := &writeQueue{conn: writer, onError: func() { close(failed) }}
 	out.enqueue(func(b []byte) []byte { return append(b, message...) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -79,15 +79,15 @@
 	n.startUnixTime = time.Duration(n.startedAt.UnixNano())
 	set := c.Set
 	set.AllowPeerMessages = false // nothing tells where they are
-	controller, err := control.New(set, c.Seed)
+	decider, err := control.New(set, c.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	n.controller = controller
+	n.controller = decider
 	n.pool = newPool(n, c.Sockets*3/8)
 	n.viewerConns = newViewerConns(n, c.Sockets/2)
 	n.orchestrator = core.New(core.Options{QueueSize: maxQueuedRequests, MaxAttempts: c.Set.MaxAttempts, AnswerSlack: c.Platform.AnswerSlack + socketSlack,
-		Budget: core.Budget{Span: c.Set.BudgetSpan, Share: c.Set.BudgetShare}, Log: log, Decider: controller, Executor: n.pool, Now: n.now})
+		Budget: core.Budget{Span: c.Set.BudgetSpan, Share: c.Set.BudgetShare}, Log: log, Decider: decider, Executor: n.pool, Now: n.now})
 	n.follower = coordinator.New(c.Coordinator, c.Known.Index, c.Platform.ConnectTimeout, log, n.handleUpdates)
 	n.follower.OnResponse = n.recordCoordinatorContact
 	return n, nil
@@ -161,8 +161,8 @@
 		list[i].Started = local
 	}
 	n.startTranslator.Prune(func(id string) bool {
-		current, listed := state[id]
-		return listed && current != control.Gone || !listed && !whole
+		now, listed := state[id]
+		return listed && now != control.Gone || !listed && !whole
 	})
 }
 
@@ -180,14 +180,14 @@
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	serveCtx, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	n.serveCtx = serveCtx
+	n.serveCtx = runCtx
 	if err := n.applyUpdates(n.Config.Known.Updates, true); err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
 	orchestratorDone := make(chan struct{})
-	go func() { n.orchestrator.Run(serveCtx); close(orchestratorDone) }()
+	go func() { n.orchestrator.Run(runCtx); close(orchestratorDone) }()
 	listener := n.Listener
 	if listener == nil {
 		var err error
@@ -196,13 +196,13 @@
 			return fmt.Errorf("listen: %w", err)
 		}
 	}
-	n.startGoroutine(func() { n.follower.Run(serveCtx) })
-	n.startGoroutine(func() { runEvery(serveCtx, watchInterval, func() { n.pool.checkServers(serveCtx) }) })
-	n.startGoroutine(func() { n.monitorClocks(serveCtx) })
-	n.startGoroutine(func() { runEvery(serveCtx, noticeExpiryInterval, n.expireNoticesAndAnswers) })
-	n.startGoroutine(func() { n.reloadOnHangup(serveCtx, hangup) })
-	if log := n.Log; log.Enabled(serveCtx, slog.LevelDebug) {
-		n.startGoroutine(func() { runEvery(serveCtx, compareCountsInterval, n.compareSessionCounts) })
+	n.startGoroutine(func() { n.follower.Run(runCtx) })
+	n.startGoroutine(func() { runEvery(runCtx, watchInterval, func() { n.pool.checkServers(runCtx) }) })
+	n.startGoroutine(func() { n.monitorClocks(runCtx) })
+	n.startGoroutine(func() { runEvery(runCtx, noticeExpiryInterval, n.expireNoticesAndAnswers) })
+	n.startGoroutine(func() { n.reloadOnHangup(runCtx, hangup) })
+	if log := n.Log; log.Enabled(runCtx, slog.LevelDebug) {
+		n.startGoroutine(func() { runEvery(runCtx, compareCountsInterval, n.compareSessionCounts) })
 	}
 	serveDone := make(chan struct{})
 	n.startGoroutine(func() { defer close(serveDone); n.viewerConns.serve(listener) })
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -67,12 +67,12 @@
 	earlyEndTimeout = 5 * time.Second
 )
 
-func newPool(n *Node, maxConns int) *pool {
-	return &pool{node: n, maxConns: maxConns, servers: map[string]*server{}, retired: map[*serverConn]struct{}{}}
+func newPool(n *Node, connLimit int) *pool {
+	return &pool{node: n, maxConns: connLimit, servers: map[string]*server{}, retired: map[*serverConn]struct{}{}}
 }
 
 // update takes a change of the list. Under a new address an id is another server; so is one that has started anew.
-func (p *pool) applyList(entries []control.Server, addresses map[string]string, whole bool) {
+func (p *pool) applyList(entries []control.Server, addr map[string]string, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if whole {
@@ -90,7 +90,7 @@
 			s = p.addServer(e.ID, now)
 		}
 		s.state = e.State
-		if a := addresses[e.ID]; a != "" && a != s.addr {
+		if a := addr[e.ID]; a != "" && a != s.addr {
 			if s.addr != "" {
 				p.loseSessions(s, "new address")
 			}
