--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -84,15 +84,15 @@
 
 // admit puts a set-up on a link if it may still go. What waited for its connection may be wanted no more: the
 // viewer's own mark is looked at, since its leave may still be queued for the owner behind hundreds of requests.
-func (p *pool) admit(ctx context.Context, l *serverConn, id string, v *session) admissionResult {
+func (p *pool) admit(ctx context.Context, l *serverConn, id string, viewerSession *session) admissionResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case ctx.Err() != nil || p.node.timeLeft(ctx) <= 0 || l.server.state != control.Ready || !v.mayBeginAttempt():
+	case ctx.Err() != nil || p.node.timeLeft(ctx) <= 0 || l.server.state != control.Ready || !viewerSession.mayBeginAttempt():
 		return notWanted
 	case l.detached:
 		return connectionClosed
-	case !v.beginAttempt():
+	case !viewerSession.beginAttempt():
 		return notWanted
 	}
 	l.activeID, l.lastActivity = id, p.node.now()
--- a/internal/node/clocks_test.go
+++ b/internal/node/clocks_test.go
@@ -69,12 +69,12 @@
 			t.Parallel()
 			a, b := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
 			n := startListed(t, 256, func(n *Node) { n.startUnixTime += offset }, []coordinator.Entry{a.entryStartedAgo(time.Minute), b.entryStartedAgo(100 * time.Millisecond)})
-			before, _ := n.serverAge("s-1")
-			last, _ := n.serverAge("s-2")
-			if last < 0 || last > time.Second {
-				t.Errorf("the last one is told of as %v old", last)
+			firstAge, _ := n.serverAge("s-1")
+			lastAge, _ := n.serverAge("s-2")
+			if lastAge < 0 || lastAge > time.Second {
+				t.Errorf("the last one is told of as %v old", lastAge)
 			}
-			if gap := before - last; gap < 59*time.Second || gap > 61*time.Second {
+			if gap := firstAge - lastAge; gap < 59*time.Second || gap > 61*time.Second {
 				t.Errorf("the first one is told of as %v older than the last", gap)
 			}
 		})
--- a/internal/node/clockwatch_test.go
+++ b/internal/node/clockwatch_test.go
@@ -8,15 +8,15 @@
 // TestClockWatch: a pause is told from the monotonic clock, a step from the difference of the two, and neither passes
 // for the other.
 func TestCompareClocks(t *testing.T) {
-	const usual = clockSampleInterval
+	const interval = clockSampleInterval
 	for _, c := range []struct{ monotonic, wall, pause, step time.Duration }{
-		{usual, usual, 0, 0},
-		{usual + pauseThreshold - 1, usual + pauseThreshold - 1, 0, 0},
-		{usual + pauseThreshold, usual + pauseThreshold, pauseThreshold, 0},
-		{usual + 3*time.Second, usual + 3*time.Second, 3 * time.Second, 0},
-		{usual, usual + 3*time.Second, 0, 3 * time.Second},
-		{usual, usual - time.Hour, 0, -time.Hour},
-		{usual + time.Second, usual, time.Second, -time.Second},
+		{interval, interval, 0, 0},
+		{interval + pauseThreshold - 1, interval + pauseThreshold - 1, 0, 0},
+		{interval + pauseThreshold, interval + pauseThreshold, pauseThreshold, 0},
+		{interval + 3*time.Second, interval + 3*time.Second, 3 * time.Second, 0},
+		{interval, interval + 3*time.Second, 0, 3 * time.Second},
+		{interval, interval - time.Hour, 0, -time.Hour},
+		{interval + time.Second, interval, time.Second, -time.Second},
 	} {
 		if pause, step := compareClocks(c.monotonic, c.wall); pause != c.pause || step != c.step {
 			t.Errorf("monotonic %v, wall %v: pause %v, step %v", c.monotonic, c.wall, pause, step)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -47,7 +47,7 @@
 }
 
 func parseConfig(raw []byte) (*Config, error) {
-	var f struct {
+	var file struct {
 		Name, Listen, Seed, Coordinator string
 		Limits                          struct {
 			Cores    float64 `json:"cores"`
@@ -57,12 +57,12 @@
 		Known    coordinator.Updates
 		Settings json.RawMessage
 	}
-	if err := json.Unmarshal(raw, &f); err != nil {
+	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, withPosition(raw, err)
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Coordinator: f.Coordinator, Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: f.Known}
-	for _, a := range []struct{ field, addr string }{{"listen", f.Listen}, {"coordinator", f.Coordinator}} {
+	c := &Config{Name: file.Name, Listen: file.Listen, Coordinator: file.Coordinator, Cores: file.Limits.Cores,
+		MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets, Known: file.Known}
+	for _, a := range []struct{ field, addr string }{{"listen", file.Listen}, {"coordinator", file.Coordinator}} {
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
 			return nil, fmt.Errorf("%s: %w", a.field, err)
 		}
@@ -71,18 +71,18 @@
 		return nil, fmt.Errorf("limits: cores and memory_mb must be positive, sockets at least %d", minSockets)
 	}
 	var err error
-	if f.Seed != "" {
-		if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+	if file.Seed != "" {
+		if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 			return nil, fmt.Errorf("seed: %w", err)
 		}
 	}
-	if len(f.Settings) == 0 {
+	if len(file.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Set, err = wire.ParseSettings(f.Settings); err != nil {
+	if c.Set, err = wire.ParseSettings(file.Settings); err != nil {
 		return nil, err
 	}
-	if c.Platform, err = wire.ReadPlatform(f.Settings); err != nil {
+	if c.Platform, err = wire.ReadPlatform(file.Settings); err != nil {
 		return nil, err
 	}
 	if len(c.Set.Classes) == 0 || len(c.Set.Ladder) == 0 {
@@ -100,13 +100,13 @@
 // place names the line and field of a mistake.
 func withPosition(raw []byte, err error) error {
 	offset := int64(-1)
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &syntax):
-		offset = syntax.Offset
-	case errors.As(err, &kind):
-		offset = kind.Offset
+	case errors.As(err, &syntaxErr):
+		offset = syntaxErr.Offset
+	case errors.As(err, &typeErr):
+		offset = typeErr.Offset
 	}
 	if offset < 0 || offset > int64(len(raw)) {
 		return err
--- a/internal/node/link_test.go
+++ b/internal/node/link_test.go
@@ -195,14 +195,14 @@
 // TestLateConnections: connections that come up later than settings say, two in a row, end no session; a machine that
 // lets none come up loses its sessions.
 func TestSlowConnectKeepsSessions(t *testing.T) {
-	for name, up := range map[string]bool{"late": true, "never": false} {
+	for name, reachable := range map[string]bool{"late": true, "never": false} {
 		t.Run(name, func(t *testing.T) {
 			b := newBox(t, "s-1", nil)
 			n := startGated(t, func(n *Node) {
 				n.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
-					const comesUp = 500 * time.Millisecond // between what a set-up waits for it and what a check does
-					inTime := up && within > comesUp
-					wait := time.NewTimer(min(within, comesUp))
+					const connectTime = 500 * time.Millisecond // between what a set-up waits for it and what a check does
+					inTime := reachable && within > connectTime
+					wait := time.NewTimer(min(within, connectTime))
 					defer wait.Stop()
 					select {
 					case <-ctx.Done():
@@ -217,7 +217,7 @@
 			}, b)
 			v := n.dial().say(setUp(idA, "free", ";at:s-1"))
 			n.agree(1)
-			if !up {
+			if !reachable {
 				v.wantRelease(idA, "cause=41")
 				n.agree(0)
 				return
--- a/internal/node/localtrouble_test.go
+++ b/internal/node/localtrouble_test.go
@@ -109,8 +109,8 @@
 	p.pause(func() { v.say(setUp(idA, "paid", "")) }, pause)
 	v.want(idA, 200)
 	left, err := strconv.Atoi(b.next(t, "open").Attr("left"))
-	if most := timer - pause + slack; err != nil || time.Duration(left)*time.Millisecond > most {
-		t.Errorf("the server was told %d ms, the client has %v at most", left, most)
+	if limit := timer - pause + slack; err != nil || time.Duration(left)*time.Millisecond > limit {
+		t.Errorf("the server was told %d ms, the client has %v at most", left, limit)
 	}
 }
 
