--- a/internal/edge/adopt.go
+++ b/internal/edge/adopt.go
@@ -46,23 +46,23 @@
 func (e *Edge) adoptSession(server string, h heldSession) {
 	class := e.Site.Class(h.Class)
 	title, ok := e.fleet.Load().titles[h.Title]
-	own := strings.HasPrefix(h.ID, e.requestIDPrefix()) && !strings.HasPrefix(h.ID, e.requestIDPrefix()+e.instanceID)
-	if !own || class < 0 || !ok || !isURLSafe(h.Viewer) || h.Rung < 0 || h.Rung >= len(e.settings.Ladder) || h.Since < 0 {
+	fromEarlierInstance := strings.HasPrefix(h.ID, e.requestIDPrefix()) && !strings.HasPrefix(h.ID, e.requestIDPrefix()+e.instanceID)
+	if !fromEarlierInstance || class < 0 || !ok || !isURLSafe(h.Viewer) || h.Rung < 0 || h.Rung >= len(e.settings.Ladder) || h.Since < 0 {
 		e.Log.Warn("held session not taken over", "session", h.ID, "server", server, "title", h.Title, "class", h.Class)
 		return
 	}
 	ctx, cancel := context.WithTimeout(e.ctx, 2*time.Second)
 	defer cancel()
-	src, track, err := e.readManifest(ctx, server, h)
+	m, track, err := e.readManifest(ctx, server, h)
 	if err != nil {
 		e.Log.Warn("held session let go: its manifest could not be read", "session", h.ID, "server", server, "error", err)
 		e.boxes.Release(h.ID, server, 0)
 		return
 	}
-	k := &e.settings.Classes[class]
-	best := min(max(h.Best, k.MinRung), k.MaxRung)
+	limits := &e.settings.Classes[class]
+	maxRung := min(max(h.Best, limits.MinRung), limits.MaxRung)
 	s := e.sessions.getOrAdd([]byte(h.Class+"/"+h.Title+"/"+h.Viewer), func(name string) *session {
-		return &session{name: name, viewerKey: h.Viewer, class: class, title: title, maxRung: best}
+		return &session{name: name, viewerKey: h.Viewer, class: class, title: title, maxRung: maxRung}
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,35 +71,35 @@
 		e.boxes.Release(h.ID, server, 0)
 		return
 	}
-	y := &placementRequest{id: h.ID, session: s, edge: e, answered: make(chan struct{}), closed: make(chan struct{})}
-	close(y.answered)
+	p := &placementRequest{id: h.ID, session: s, edge: e, answered: make(chan struct{}), closed: make(chan struct{})}
+	close(p.answered)
 	now := e.now()
-	s.request, s.requestCount, s.state, s.stateSince, s.hasPlayed = y, 1, admission.Playing, now, true
+	s.request, s.requestCount, s.state, s.stateSince, s.hasPlayed = p, 1, admission.Playing, now, true
 	s.contentStart = now - timeconv.Milliseconds(h.Since)
-	s.server, s.manifest, s.publishedRung, s.wantedRung = server, src, h.Rung, h.Rung
-	s.window.SetSource("http://"+server, sessionQuery(y.id), track, 0)
+	s.server, s.manifest, s.publishedRung, s.wantedRung = server, m, h.Rung, h.Rung
+	s.window.SetSource("http://"+server, sessionQuery(p.id), track, 0)
 	s.window.StartAt(track.SegmentAt((now - s.contentStart).Seconds()))
 	s.lastSeenAt.Store(int64(now))
-	e.boxes.addSession(server, y.id)
-	left := max(timeconv.Milliseconds(title.LengthMs)-timeconv.Milliseconds(h.Since), 0)
-	r := control.Request{ID: y.id, Class: class, Viewer: hash(s.viewerKey), Title: hash(title.Name), HomeCell: title.HomeCell, CellSpan: title.CellSpan,
-		BestRung: best, GiveUpAt: now, ExpectedLength: left, Server: server}
+	e.boxes.addSession(server, p.id)
+	remaining := max(timeconv.Milliseconds(title.LengthMs)-timeconv.Milliseconds(h.Since), 0)
+	r := control.Request{ID: p.id, Class: class, Viewer: hash(s.viewerKey), Title: hash(title.Name), HomeCell: title.HomeCell, CellSpan: title.CellSpan,
+		BestRung: maxRung, GiveUpAt: now, ExpectedLength: remaining, Server: server}
 	if title.Listed {
 		r.Holders = title.Holders
 	}
-	go e.orchestrator.Adopt(r, h.Rung, y) // the owner may wait for this session's lock
+	go e.orchestrator.Adopt(r, h.Rung, p) // the owner may wait for this session's lock
 }
 
 func (e *Edge) readManifest(ctx context.Context, server string, h heldSession) (*manifest, *hls.Track, error) {
-	base := "/t/" + h.Title + "/index.m3u8"
-	p, err := e.boxes.http.Do(ctx, server, "GET", base, nil, nil)
+	path := "/t/" + h.Title + "/index.m3u8"
+	resp, err := e.boxes.http.Do(ctx, server, "GET", path, nil, nil)
 	if err != nil {
 		return nil, nil, err
 	}
-	src, err := parseManifest(base, p.Body, len(e.settings.Ladder))
+	m, err := parseManifest(path, resp.Body, len(e.settings.Ladder))
 	if err != nil {
 		return nil, nil, err
 	}
-	t, err := e.playlists.rungTrack(ctx, server, src, h.Rung)
-	return src, t, err
+	t, err := e.playlists.rungTrack(ctx, server, m, h.Rung)
+	return m, t, err
 }
--- a/internal/edge/boxes.go
+++ b/internal/edge/boxes.go
@@ -64,9 +64,9 @@
 }
 
 // count keeps what set-ups came to, for the planner: sessions that fail speak against a check that passes.
-func (b *boxClient) countOutcome(ctx context.Context, server string, o control.Outcome) {
-	served := o == control.Served
-	if o == control.Full || !served && errors.Is(ctx.Err(), context.Canceled) {
+func (b *boxClient) countOutcome(ctx context.Context, server string, outcome control.Outcome) {
+	served := outcome == control.Served
+	if outcome == control.Full || !served && errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
 	b.mu.Lock()
@@ -98,32 +98,32 @@
 
 func (b *boxClient) sendSetUp(ctx context.Context, a core.Attempt) core.Result {
 	b.ensureFollowing(a.Server)
-	title, viewer, best := "", "", 0
-	if y, ok := a.Listener.(*placementRequest); ok {
-		title, viewer, best = y.title, y.session.viewerKey, y.maxRung
+	title, viewer, maxRung := "", "", 0
+	if p, ok := a.Listener.(*placementRequest); ok {
+		title, viewer, maxRung = p.title, p.session.viewerKey, p.maxRung
 	}
-	q := url.Values{"title": {title}, "class": {b.edge.Site.Classes[a.Class].Name}, "rung": {strconv.Itoa(a.Rung)},
-		"attempt": {strconv.Itoa(a.Number)}, "edge": {b.edge.instanceName()}, "viewer": {viewer}, "best": {strconv.Itoa(best)}}
-	p, err := b.http.Do(ctx, a.Server, "POST", "/sessions/"+a.ID+"?"+q.Encode(), nil, nil)
+	query := url.Values{"title": {title}, "class": {b.edge.Site.Classes[a.Class].Name}, "rung": {strconv.Itoa(a.Rung)},
+		"attempt": {strconv.Itoa(a.Number)}, "edge": {b.edge.instanceName()}, "viewer": {viewer}, "best": {strconv.Itoa(maxRung)}}
+	resp, err := b.http.Do(ctx, a.Server, "POST", "/sessions/"+a.ID+"?"+query.Encode(), nil, nil)
 	if err != nil {
 		b.edge.Log.Debug("set-up", "session", a.ID, "server", a.Server, "error", err)
 		return core.Result{Outcome: classifySetUpError(ctx, err)}
 	}
-	load := parseLoadReport(p)
+	load := parseLoadReport(resp)
 	switch {
-	case p.Status == 503 && p.Get("rainpulley-reason") != nil:
+	case resp.Status == 503 && resp.Get("rainpulley-reason") != nil:
 		return core.Result{Outcome: control.Full, Load: load}
-	case p.Status != 200 && p.Status != 201:
+	case resp.Status != 200 && resp.Status != 201:
 		return core.Result{Outcome: control.Failed, Load: load}
 	}
-	base := string(p.Get("content-location"))
-	if !strings.HasPrefix(base, "/") {
-		base = "/"
+	path := string(resp.Get("content-location"))
+	if !strings.HasPrefix(path, "/") {
+		path = "/"
 	}
-	s, err := parseManifest(base, p.Body, len(b.edge.settings.Ladder))
-	out := &setUpResult{manifest: s, rung: a.Rung}
+	m, err := parseManifest(path, resp.Body, len(b.edge.settings.Ladder))
+	out := &setUpResult{manifest: m, rung: a.Rung}
 	if err == nil {
-		out.track, err = b.edge.playlists.rungTrack(ctx, a.Server, s, a.Rung)
+		out.track, err = b.edge.playlists.rungTrack(ctx, a.Server, m, a.Rung)
 	}
 	if err != nil {
 		b.edge.Log.Warn("set-up without a playlist that can be used", "session", a.ID, "server", a.Server, "error", err)
@@ -147,15 +147,15 @@
 
 // setUpRan is for what fails after the box has said that it runs.
 func classifyErrorAfterStart(ctx context.Context, err error) control.Outcome {
-	if o := classifySetUpError(ctx, err); o != control.ConnectFailed {
-		return o
+	if outcome := classifySetUpError(ctx, err); outcome != control.ConnectFailed {
+		return outcome
 	}
 	return control.Reset
 }
 
 // readLoad takes a box's load from its answer.
-func parseLoadReport(p *http1.Response) *control.LoadReport {
-	l := cmsd.Parse(p.Get("cmsd-dynamic"))
+func parseLoadReport(resp *http1.Response) *control.LoadReport {
+	l := cmsd.Parse(resp.Get("cmsd-dynamic"))
 	if l == nil {
 		return nil
 	}
@@ -181,8 +181,8 @@
 		case <-ctx.Done():
 			return
 		case r := <-b.releaseQueue:
-			limited, cancel := context.WithTimeout(ctx, releaseTimeout)
-			_, err := b.http.Do(limited, r.server, "DELETE", "/sessions/"+r.id+"?attempt="+strconv.Itoa(r.attempt), nil, nil)
+			requestCtx, cancel := context.WithTimeout(ctx, releaseTimeout)
+			_, err := b.http.Do(requestCtx, r.server, "DELETE", "/sessions/"+r.id+"?attempt="+strconv.Itoa(r.attempt), nil, nil)
 			cancel()
 			if err != nil {
 				b.edge.Log.Debug("release", "session", r.id, "server", r.server, "error", err)
@@ -195,12 +195,12 @@
 func (b *boxClient) SetRung(core.Attempt, int) {}
 
 func (b *boxClient) putRung(ctx context.Context, server, id string, rung int) error {
-	p, err := b.http.Do(ctx, server, "PUT", "/sessions/"+id+"?rung="+strconv.Itoa(rung), nil, nil)
+	resp, err := b.http.Do(ctx, server, "PUT", "/sessions/"+id+"?rung="+strconv.Itoa(rung), nil, nil)
 	if err != nil {
 		return err
 	}
-	if p.Status/100 != 2 {
-		return fmt.Errorf("box answered %d", p.Status)
+	if resp.Status/100 != 2 {
+		return fmt.Errorf("box answered %d", resp.Status)
 	}
 	return nil
 }
@@ -210,10 +210,10 @@
 	b.edge.spawn(func() {
 		ctx, cancel := context.WithTimeout(b.edge.ctx, b.edge.Site.Planner.CheckFor.D())
 		defer cancel()
-		p, err := b.http.Do(ctx, server, "GET", "/health", nil, nil)
+		resp, err := b.http.Do(ctx, server, "GET", "/health", nil, nil)
 		out := control.ProbeResult{Server: server}
 		if err == nil {
-			out.OK, out.Load = p.Status == 200, parseLoadReport(p)
+			out.OK, out.Load = resp.Status == 200, parseLoadReport(resp)
 		}
 		b.edge.orchestrator.AddEvent(out)
 	})
@@ -283,9 +283,9 @@
 			failures = 0
 			return b.handleEvent(server, f, opened, line)
 		})
-		idleOver := ctx.Err() != nil && b.edge.ctx.Err() == nil
+		idle := ctx.Err() != nil && b.edge.ctx.Err() == nil
 		cancel()
-		if idleOver && b.removeIfUnused(server, f) {
+		if idle && b.removeIfUnused(server, f) {
 			return
 		}
 		if !ok {
@@ -307,7 +307,7 @@
 }
 
 // endWhenIdle ends a stream after so long without sessions in a row.
-func (b *boxClient) cancelWhenIdle(ctx context.Context, end context.CancelFunc, f *follower) {
+func (b *boxClient) cancelWhenIdle(ctx context.Context, cancel context.CancelFunc, f *follower) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	for idle := time.Duration(0); idle < streamIdleTimeout; {
@@ -323,7 +323,7 @@
 		}
 		b.mu.Unlock()
 	}
-	end()
+	cancel()
 }
 
 // forget ends the following of a box without sessions.
@@ -337,11 +337,11 @@
 	return true
 }
 
-func (b *boxClient) reportLost(server string, f *follower, gone func(id string, since time.Duration) bool) {
+func (b *boxClient) reportLost(server string, f *follower, isLost func(id string, since time.Duration) bool) {
 	b.mu.Lock()
 	var ids []string
 	for id, since := range f.sessions {
-		if gone(id, since) {
+		if isLost(id, since) {
 			ids = append(ids, id)
 			delete(f.sessions, id)
 		}
@@ -356,27 +356,27 @@
 	if len(raw) == 0 {
 		return nil
 	}
-	var l boxEvent
-	if err := json.Unmarshal(raw, &l); err != nil {
+	var event boxEvent
+	if err := json.Unmarshal(raw, &event); err != nil {
 		b.edge.Log.Warn("event line of a box makes no sense", "server", server, "error", err)
 		return nil
 	}
 	switch {
-	case l.Boot != "":
-		there := map[string]bool{}
-		for _, id := range l.Sessions {
-			there[id] = true
+	case event.Boot != "":
+		running := map[string]bool{}
+		for _, id := range event.Sessions {
+			running[id] = true
 		}
 		b.reportLost(server, f, func(id string, since time.Duration) bool {
-			return since < opened && !there[id]
+			return since < opened && !running[id]
 		})
-		for _, h := range l.Held {
+		for _, h := range event.Held {
 			b.edge.spawn(func() { b.edge.adoptSession(server, h) })
 		}
-	case l.End:
-		b.reportLost(server, f, func(id string, _ time.Duration) bool { return id == l.Session })
-	case l.Kind >= control.NoteShare && l.Kind <= control.NoteUplink && l.Value >= 0:
-		b.edge.orchestrator.AddNote(control.Note{ID: l.Session, Server: server, Kind: l.Kind, Value: l.Value})
+	case event.End:
+		b.reportLost(server, f, func(id string, _ time.Duration) bool { return id == event.Session })
+	case event.Kind >= control.NoteShare && event.Kind <= control.NoteUplink && event.Value >= 0:
+		b.edge.orchestrator.AddNote(control.Note{ID: event.Session, Server: server, Kind: event.Kind, Value: event.Value})
 	}
 	return nil
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -93,16 +93,16 @@
 	if !o.StartTime.IsZero() {
 		e.wallClockAtStart = time.Duration(o.StartTime.UnixNano())
 	}
-	var b [4]byte
-	if _, err := rand.Read(b[:]); err != nil {
+	var instance [4]byte
+	if _, err := rand.Read(instance[:]); err != nil {
 		return nil, fmt.Errorf("edge: %w", err)
 	}
-	e.instanceID = hex.EncodeToString(b[:])
-	make := o.NewDecider
-	if make == nil {
-		make = func(s control.Settings, seed uint64) (core.Decider, error) { return control.New(s, seed) }
+	e.instanceID = hex.EncodeToString(instance[:])
+	newDecider := o.NewDecider
+	if newDecider == nil {
+		newDecider = func(s control.Settings, seed uint64) (core.Decider, error) { return control.New(s, seed) }
 	}
-	d, err := make(e.settings, o.Seed)
+	decider, err := newDecider(e.settings, o.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("edge: %w", err)
 	}
@@ -110,7 +110,7 @@
 	e.playlists = &playlistCache{edge: e, byPath: map[string]cachedPlaylist{}}
 	e.orchestrator = core.New(core.Options{QueueSize: o.Site.Limits.Queue, MaxAttempts: o.Site.Attempts.Most, AnswerSlack: o.Site.Rules.AnswerSlack.D(),
 		Budget: core.Budget{Span: e.settings.BudgetSpan, Share: e.settings.BudgetShare},
-		Log:    o.Log, Decider: d, Executor: e.boxes, Now: e.now})
+		Log:    o.Log, Decider: decider, Executor: e.boxes, Now: e.now})
 	e.fleet.Store(&fleet{titles: map[string]view.Title{}})
 	e.metricsRegistry = e.newMetrics()
 	e.playback.Store(&o.Site.Playback)
@@ -121,8 +121,8 @@
 // from the planner; a change of that is named.
 func (e *Edge) Reload(s *config.Site) {
 	e.playback.Store(&s.Playback)
-	fixed := config.Changed(e.Site, s, "playback", "boxes", "titles", "planner")
-	e.Log.Info("site reloaded", "playback", s.Playback, "needs_restart", fixed)
+	needsRestart := config.Changed(e.Site, s, "playback", "boxes", "titles", "planner")
+	e.Log.Info("site reloaded", "playback", s.Playback, "needs_restart", needsRestart)
 }
 
 // now is Unix time that never steps back while the edge runs.
@@ -143,26 +143,26 @@
 		_ = e.Listener.Close()
 		return err
 	}
-	inner, stop := context.WithCancel(context.Background()) // outlives ctx by the grace
+	runCtx, stop := context.WithCancel(context.Background()) // outlives ctx by the grace
 	defer stop()
-	e.ctx = inner
+	e.ctx = runCtx
 	e.loadSavedView()
-	ownerOver := make(chan struct{})
-	go func() { e.orchestrator.Run(inner); close(ownerOver) }()
-	e.spawn(func() { e.sweepSessions(inner) })
-	e.spawn(func() { e.followPlanner(inner) })
+	orchestratorDone := make(chan struct{})
+	go func() { e.orchestrator.Run(runCtx); close(orchestratorDone) }()
+	e.spawn(func() { e.sweepSessions(runCtx) })
+	e.spawn(func() { e.followPlanner(runCtx) })
 	if e.Planner != "" {
-		e.spawn(func() { e.reportUsage(inner) })
+		e.spawn(func() { e.reportUsage(runCtx) })
 	}
 	if e.PeerConn != nil {
-		e.spawn(func() { e.receivePeerMessages(inner) })
+		e.spawn(func() { e.receivePeerMessages(runCtx) })
 	}
 	e.Log.Info("edge serves", "address", e.Listener.Addr().String(), "position", e.Position, "instance", e.instanceID)
 	s := &http1.Server{Handler: e.handle, Limits: http1.DefaultLimits(), MaxConns: e.Site.Limits.Connections, Log: e.Log}
 	err := s.Serve(ctx, e.Listener, e.ShutdownGrace)
 	e.Log.Info("edge stops", "open", e.orchestrator.Stats.Open.Load())
 	stop()
-	<-ownerOver
+	<-orchestratorDone
 	if e.PeerConn != nil {
 		_ = e.PeerConn.Close()
 	}
@@ -183,31 +183,31 @@
 func (e *Edge) requestIDPrefix() string { return "e" + strconv.Itoa(e.Position) + "-" }
 
 // ask hands a session's next try to the module. s.mu is held.
-func (e *Edge) submit(s *session, d admission.Decision, patience time.Duration) (*placementRequest, bool) {
-	y := &placementRequest{id: e.nextRequestID(), title: s.title.Name, maxRung: s.maxRung, session: s, edge: e, answered: make(chan struct{}), closed: make(chan struct{})}
+func (e *Edge) submit(s *session, d admission.Decision, timeLeft time.Duration) (*placementRequest, bool) {
+	p := &placementRequest{id: e.nextRequestID(), title: s.title.Name, maxRung: s.maxRung, session: s, edge: e, answered: make(chan struct{}), closed: make(chan struct{})}
 	now := e.now()
 	length := timeconv.Milliseconds(s.title.LengthMs)
 	if length > 0 && s.resumePosition > 0 {
 		length = max(length-s.resumePosition, 0)
 	}
-	r := control.Request{ID: y.id, Class: s.class, Viewer: hash(s.viewerKey), Title: hash(s.title.Name), HomeCell: s.title.HomeCell,
-		CellSpan: s.title.CellSpan, BestRung: s.maxRung, GiveUpAt: now + patience, ExpectedLength: length,
+	r := control.Request{ID: p.id, Class: s.class, Viewer: hash(s.viewerKey), Title: hash(s.title.Name), HomeCell: s.title.HomeCell,
+		CellSpan: s.title.CellSpan, BestRung: s.maxRung, GiveUpAt: now + timeLeft, ExpectedLength: length,
 		Repeat: d.Repeat, Returned: d.Returned, Moved: d.Moved}
 	if s.title.Listed {
 		r.Holders = s.title.Holders
 	}
-	s.request, s.state, s.stateSince = y, admission.Pending, now
+	s.request, s.state, s.stateSince = p, admission.Pending, now
 	s.requestCount++
-	e.Log.Info("request", "session", y.id, "viewer", s.viewerKey, "title", s.title.Name, "class", e.Site.Classes[s.class].Name,
+	e.Log.Info("request", "session", p.id, "viewer", s.viewerKey, "title", s.title.Name, "class", e.Site.Classes[s.class].Name,
 		"best", s.maxRung, "try", s.requestCount, "returned", d.Returned)
 	if !d.Returned {
 		e.holds.countArrival(e.Site.Classes[s.class].Name, s.title.Name)
 	}
-	if !e.orchestrator.Submit(r, y) {
+	if !e.orchestrator.Submit(r, p) {
 		s.state = admission.Unsuccessful
 		return nil, false
 	}
-	return y, true
+	return p, true
 }
 
 // hash keeps below 2^53, as the module's keys are.
@@ -235,8 +235,8 @@
 		case <-t.C:
 		}
 		e.expireHolds()
-		var left []*placementRequest
-		var out []string
+		var abandoned []*placementRequest
+		var finished []string
 		now := e.now()
 		e.sessions.forEach(func(s *session) bool {
 			s.mu.Lock()
@@ -244,33 +244,33 @@
 			switch {
 			case s.state == admission.Playing && s.window.Ended():
 				if now-s.contentStart >= s.manifest.duration(s.publishedRung) {
-					out = append(out, s.request.id)
+					finished = append(finished, s.request.id)
 				}
 			case s.state == admission.Playing:
 				if now-time.Duration(s.lastSeenAt.Load()) > e.playback.Load().Silence.D() {
-					left = append(left, s.request)
+					abandoned = append(abandoned, s.request)
 				}
 			case s.state == admission.Lost || s.state == admission.Ended || s.state == admission.Unsuccessful:
 				return now-s.stateSince < endedSessionTTL
 			}
 			return true
 		})
-		for _, y := range left {
-			e.orchestrator.ViewerLeft(y.id, y)
+		for _, p := range abandoned {
+			e.orchestrator.ViewerLeft(p.id, p)
 		}
-		for _, id := range out {
+		for _, id := range finished {
 			e.orchestrator.SessionFinished(id)
 		}
 	}
 }
 
 // changeRung carries changes of rung to the box, the latest last, and then publishes from the new rung.
-func (e *Edge) applyRung(y *placementRequest) {
-	s := y.session
+func (e *Edge) applyRung(p *placementRequest) {
+	s := p.session
 	for {
 		s.mu.Lock()
-		want, src := s.wantedRung, s.manifest
-		if s.request != y || s.state != admission.Playing || want == s.publishedRung {
+		wanted, src := s.wantedRung, s.manifest
+		if s.request != p || s.state != admission.Playing || wanted == s.publishedRung {
 			s.rungChangeRunning = false
 			s.mu.Unlock()
 			return
@@ -278,21 +278,21 @@
 		server := s.server
 		s.mu.Unlock()
 		ctx, cancel := context.WithTimeout(e.ctx, 2*time.Second)
-		track, err := e.playlists.rungTrack(ctx, server, src, want)
+		track, err := e.playlists.rungTrack(ctx, server, src, wanted)
 		if err == nil {
-			err = e.boxes.putRung(ctx, server, y.id, want)
+			err = e.boxes.putRung(ctx, server, p.id, wanted)
 		}
 		cancel()
 		s.mu.Lock()
 		if err != nil {
-			e.Log.Warn("rung not changed", "session", y.id, "server", server, "rung", want, "error", err)
-			if s.wantedRung == want { // the module is told what is in force
+			e.Log.Warn("rung not changed", "session", p.id, "server", server, "rung", wanted, "error", err)
+			if s.wantedRung == wanted { // the module is told what is in force
 				s.wantedRung = s.publishedRung
-				go e.orchestrator.AddEvent(control.Note{ID: y.id, Server: server, Kind: control.NoteRung, Value: float64(s.publishedRung)})
+				go e.orchestrator.AddEvent(control.Note{ID: p.id, Server: server, Kind: control.NoteRung, Value: float64(s.publishedRung)})
 			}
-		} else if s.request == y && s.state == admission.Playing && s.server == server {
-			s.publishedRung = want
-			s.window.SetSource("http://"+server, sessionQuery(y.id), track, 0)
+		} else if s.request == p && s.state == admission.Playing && s.server == server {
+			s.publishedRung = wanted
+			s.window.SetSource("http://"+server, sessionQuery(p.id), track, 0)
 		}
 		s.mu.Unlock()
 	}
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -35,24 +35,24 @@
 	}
 	wait := minRetryDelay
 	for ctx.Err() == nil {
-		v := e.fleet.Load().view
+		current := e.fleet.Load().view
 		whole := true // the first line of a stream is the whole view
-		_, err := e.boxes.http.StreamLines(ctx, e.Planner, "/v1/stream?edge="+strconv.Itoa(e.Position), plannerReadTimeout, func(raw []byte) error {
-			l, err := view.Decode(raw)
+		_, err := e.boxes.http.StreamLines(ctx, e.Planner, "/v1/stream?edge="+strconv.Itoa(e.Position), plannerReadTimeout, func(data []byte) error {
+			line, err := view.Decode(data)
 			if err != nil {
 				return err
 			}
-			next, changed, err := view.Apply(v, l)
+			next, changed, err := view.Apply(current, line)
 			if err != nil {
 				return err
 			}
 			wait = minRetryDelay
-			if l.Holds != nil {
-				defer e.applyHolds(l.Holds) // after the boxes that it names
+			if line.Holds != nil {
+				defer e.applyHolds(line.Holds) // after the boxes that it names
 			}
 			if changed {
-				v = next
-				e.applyView(v, l, whole, false)
+				current = next
+				e.applyView(current, line, whole, false)
 				whole = false
 			}
 			return nil
@@ -60,7 +60,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		e.Log.Warn("planner not heard, the last view stands", "planner", e.Planner, "version", v.Version, "error", err)
+		e.Log.Warn("planner not heard, the last view stands", "planner", e.Planner, "version", current.Version, "error", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait/2 + rand.N(wait)):
@@ -70,7 +70,7 @@
 }
 
 // take makes a view the one in force and tells the module.
-func (e *Edge) applyView(v view.View, l view.Update, whole, cached bool) {
+func (e *Edge) applyView(v view.View, line view.Update, whole, cached bool) {
 	f := &fleet{view: v, titles: make(map[string]view.Title, len(v.Titles))}
 	for _, t := range v.Titles {
 		if t.HomeCell < e.Site.Cells && t.CellSpan <= e.Site.Cells {
@@ -81,14 +81,14 @@
 		}
 	}
 	e.fleet.Store(f)
-	u := control.ListUpdate{Whole: whole || l.Full, Cached: cached}
-	for _, b := range l.Boxes {
-		if s, ok := e.toServer(b, l.NowMs); ok {
-			u.Servers = append(u.Servers, s)
+	update := control.ListUpdate{Whole: whole || line.Full, Cached: cached}
+	for _, b := range line.Boxes {
+		if s, ok := e.toServer(b, line.NowMs); ok {
+			update.Servers = append(update.Servers, s)
 		}
 	}
-	e.orchestrator.AddEvent(u)
-	e.Log.Info("view", "version", v.Version, "boxes", len(v.Boxes), "titles", len(v.Titles), "changed", len(l.Boxes), "cached", cached)
+	e.orchestrator.AddEvent(update)
+	e.Log.Info("view", "version", v.Version, "boxes", len(v.Boxes), "titles", len(v.Titles), "changed", len(line.Boxes), "cached", cached)
 	if !cached {
 		e.saveView(v)
 	}
@@ -109,9 +109,9 @@
 	if e.boxStarts.byBox == nil {
 		e.boxStarts.byBox = map[string]boxStart{}
 	}
-	own := max(e.now()-timeconv.Milliseconds(now-b.StartedMs), 1)
-	e.boxStarts.byBox[b.ID] = boxStart{b.StartedMs, own}
-	return own
+	local := max(e.now()-timeconv.Milliseconds(now-b.StartedMs), 1)
+	e.boxStarts.byBox[b.ID] = boxStart{b.StartedMs, local}
+	return local
 }
 
 func (e *Edge) toServer(b view.Box, now int64) (control.Server, bool) {
@@ -140,19 +140,19 @@
 	b.edge.spawn(func() {
 		ctx, cancel := context.WithTimeout(b.edge.ctx, 2*time.Second)
 		defer cancel()
-		l, err := b.readView(ctx)
+		line, err := b.readView(ctx)
 		if err != nil {
 			b.edge.Log.Warn("list not read", "error", err)
 			b.edge.orchestrator.AddEvent(control.ListUpdate{Failed: true})
 			return
 		}
-		u := control.ListUpdate{Whole: true}
-		for _, x := range l.Boxes {
-			if s, ok := b.edge.toServer(x, l.NowMs); ok {
-				u.Servers = append(u.Servers, s)
+		update := control.ListUpdate{Whole: true}
+		for _, x := range line.Boxes {
+			if s, ok := b.edge.toServer(x, line.NowMs); ok {
+				update.Servers = append(update.Servers, s)
 			}
 		}
-		b.edge.orchestrator.AddEvent(u)
+		b.edge.orchestrator.AddEvent(update)
 	})
 }
 
@@ -160,14 +160,14 @@
 	if b.edge.Planner == "" {
 		return view.Update{}, errors.New("no planner")
 	}
-	p, err := b.http.Do(ctx, b.edge.Planner, "GET", "/v1/view", nil, nil)
+	resp, err := b.http.Do(ctx, b.edge.Planner, "GET", "/v1/view", nil, nil)
 	if err != nil {
 		return view.Update{}, err
 	}
-	if p.Status != 200 {
-		return view.Update{}, fmt.Errorf("planner answered %d", p.Status)
+	if resp.Status != 200 {
+		return view.Update{}, fmt.Errorf("planner answered %d", resp.Status)
 	}
-	return view.Decode(p.Body)
+	return view.Decode(resp.Body)
 }
 
 func (e *Edge) viewPath() string {
@@ -194,27 +194,27 @@
 	if e.StateDir == "" {
 		return
 	}
-	last, err := viewstore.Open(e.viewPath()).Read()
+	saved, err := viewstore.Open(e.viewPath()).Read()
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
 	if err != nil {
 		e.Log.Error("last view not used", "file", e.viewPath(), "error", err)
 	}
-	if last == nil {
+	if saved == nil {
 		return
 	}
-	l, err := view.Decode(last.Body)
-	if err == nil && !l.Full {
+	line, err := view.Decode(saved.Body)
+	if err == nil && !line.Full {
 		err = errors.New("not a whole view")
 	}
 	if err != nil {
-		e.Log.Error("last view not used", "file", last.Path, "error", err)
+		e.Log.Error("last view not used", "file", saved.Path, "error", err)
 		return
 	}
-	e.Log.Info("started from the last view", "file", last.Path, "version", l.Version, "age", time.Since(last.WrittenAt).Round(time.Millisecond))
-	v := view.View{Version: l.Version, Boxes: l.Boxes, Titles: l.Titles}
-	e.applyView(v, l, true, true)
+	e.Log.Info("started from the last view", "file", saved.Path, "version", line.Version, "age", time.Since(saved.WrittenAt).Round(time.Millisecond))
+	v := view.View{Version: line.Version, Boxes: line.Boxes, Titles: line.Titles}
+	e.applyView(v, line, true, true)
 	e.reclaimSessions(v)
 }
 
@@ -271,16 +271,16 @@
 			continue
 		}
 		text := string(buf[:n])
-		who := -1
+		sender := -1
 		for i, a := range e.peerAddrs {
 			if i != e.Position && a.String() == from.String() {
-				who = i
+				sender = i
 			}
 		}
-		if who < 0 || n == len(buf) || len(text) < len(peerPrefix) || text[:len(peerPrefix)] != peerPrefix {
+		if sender < 0 || n == len(buf) || len(text) < len(peerPrefix) || text[:len(peerPrefix)] != peerPrefix {
 			e.Log.Debug("datagram dropped", "from", from.String(), "bytes", n)
 			continue
 		}
-		e.orchestrator.AddEvent(control.PeerMessage{From: who, Data: text[len(peerPrefix):]})
+		e.orchestrator.AddEvent(control.PeerMessage{From: sender, Data: text[len(peerPrefix):]})
 	}
 }
--- a/internal/edge/handle.go
+++ b/internal/edge/handle.go
@@ -20,12 +20,12 @@
 const playlistType = "application/vnd.apple.mpegurl" // RFC 8216, 4
 
 func (e *Edge) handle(ctx context.Context, x *http1.Exchange) {
-	get := string(x.Method) == "GET" || string(x.Method) == "HEAD"
+	isRead := string(x.Method) == "GET" || string(x.Method) == "HEAD"
 	switch {
-	case !get && string(x.Method) == "OPTIONS": // what a browser asks before another origin's GET
+	case !isRead && string(x.Method) == "OPTIONS": // what a browser asks before another origin's GET
 		x.StartResponse(204)
 		addCORSHeaders(x)
-	case !get:
+	case !isRead:
 		x.StartResponse(405)
 		x.AddHeader("Allow", "GET, HEAD, OPTIONS")
 	case bytes.HasPrefix(x.Path, []byte("/s/")):
@@ -49,26 +49,26 @@
 	x.AddHeader("Access-Control-Allow-Headers", "Rainpulley-Key, Range, CMCD-Session, CMCD-Request, CMCD-Object, CMCD-Status")
 }
 
-func (e *Edge) writeText(x *http1.Exchange, code int, why string) {
+func (e *Edge) writeText(x *http1.Exchange, code int, text string) {
 	x.StartResponse(code)
 	addCORSHeaders(x)
 	x.AddHeader("Content-Type", "text/plain")
-	x.ResponseBody = append(append(x.ResponseBody, why...), '\n')
+	x.ResponseBody = append(append(x.ResponseBody, text...), '\n')
 }
 
 // play is the first request of a session: /play/<title>/index.m3u8?class=&best=&key=&patience=.
 func (e *Edge) handlePlay(ctx context.Context, x *http1.Exchange) {
-	rest, ok := strings.CutSuffix(string(x.Path[len("/play/"):]), "/index.m3u8")
-	if !ok || !isURLSafe(rest) {
+	title, ok := strings.CutSuffix(string(x.Path[len("/play/"):]), "/index.m3u8")
+	if !ok || !isURLSafe(title) {
 		e.writeText(x, 404, "want /play/<title>/index.m3u8")
 		return
 	}
-	ask, err := e.parsePlay(x, rest)
+	req, err := e.parsePlay(x, title)
 	if err != nil {
 		e.writeRequestError(x, err)
 		return
 	}
-	e.serve(ctx, x, ask, admission.Play)
+	e.serve(ctx, x, req, admission.Play)
 }
 
 // badAsk answers a request that asks for what there is not.
@@ -93,45 +93,45 @@
 }
 
 func (e *Edge) parsePlay(x *http1.Exchange, title string) (viewerRequest, error) {
-	a := viewerRequest{title: title}
+	req := viewerRequest{title: title}
 	if v := x.QueryParam("class"); v != nil {
-		a.class = e.Site.Class(string(v))
+		req.class = e.Site.Class(string(v))
 	}
-	if a.class < 0 {
-		return a, fmt.Errorf("no such class")
+	if req.class < 0 {
+		return req, fmt.Errorf("no such class")
 	}
-	class := &e.settings.Classes[a.class]
-	a.maxRung = e.maxUsableRung(a.class, cmcdValue(x, "cmcd-object", "tb"))
+	class := &e.settings.Classes[req.class]
+	req.maxRung = e.maxUsableRung(req.class, cmcdValue(x, "cmcd-object", "tb"))
 	if v := x.QueryParam("best"); v != nil {
 		n, err := strconv.Atoi(string(v))
 		if err != nil || n < 0 {
-			return a, fmt.Errorf("best: no rung")
+			return req, fmt.Errorf("best: no rung")
 		}
-		a.maxRung = min(n, class.MaxRung)
+		req.maxRung = min(n, class.MaxRung)
 	}
-	if a.maxRung < class.MinRung {
-		return a, fmt.Errorf("best: below the floor of the class")
+	if req.maxRung < class.MinRung {
+		return req, fmt.Errorf("best: below the floor of the class")
 	}
 	if _, ok := e.fleet.Load().titles[title]; !ok {
-		return a, errUnknownTitle
+		return req, errUnknownTitle
 	}
-	a.viewerKey = viewerKey(x)
-	if a.viewerKey == "" {
-		a.viewerKey = e.nextRequestID()
+	req.viewerKey = viewerKey(x)
+	if req.viewerKey == "" {
+		req.viewerKey = e.nextRequestID()
 	}
-	if !isURLSafe(a.viewerKey) {
-		return a, fmt.Errorf("key: 1 to 64 letters, digits, - . _ ~")
+	if !isURLSafe(req.viewerKey) {
+		return req, fmt.Errorf("key: 1 to 64 letters, digits, - . _ ~")
 	}
-	a.patience = class.Deadline
+	req.patience = class.Deadline
 	if v := x.QueryParam("patience"); v != nil {
 		n, err := strconv.ParseInt(string(v), 10, 64)
 		if err != nil || n <= 0 {
-			return a, fmt.Errorf("patience: milliseconds above 0")
+			return req, fmt.Errorf("patience: milliseconds above 0")
 		}
-		a.patience = min(a.patience, timeconv.Milliseconds(n))
+		req.patience = min(req.patience, timeconv.Milliseconds(n))
 	}
-	a.sessionName = []byte(e.Site.Classes[a.class].Name + "/" + title + "/" + a.viewerKey)
-	return a, nil
+	req.sessionName = []byte(e.Site.Classes[req.class].Name + "/" + title + "/" + req.viewerKey)
+	return req, nil
 }
 
 // viewerKey is the query's key, the header's, or the session id of CMCD (CTA-5004, sid).
@@ -160,17 +160,17 @@
 }
 
 // canUse is the highest rung that a player which says its top bit rate (CMCD tb, in kbit/s) can use.
-func (e *Edge) maxUsableRung(class int, tb string) int {
-	k := &e.settings.Classes[class]
-	best := k.MaxRung
-	kbit, err := strconv.ParseFloat(tb, 64)
+func (e *Edge) maxUsableRung(class int, topBitRate string) int {
+	limits := &e.settings.Classes[class]
+	rung := limits.MaxRung
+	kbit, err := strconv.ParseFloat(topBitRate, 64)
 	if err != nil {
-		return best
+		return rung
 	}
-	for best > k.MinRung && e.settings.Ladder[best]*k.RateFactor*8 > kbit {
-		best--
+	for rung > limits.MinRung && e.settings.Ladder[rung]*limits.RateFactor*8 > kbit {
+		rung--
 	}
-	return best
+	return rung
 }
 
 func unescapeCMCD(s string) string {
@@ -203,12 +203,12 @@
 	if s := e.sessions.find(name); s != nil && e.serveReload(x, s, rest) {
 		return
 	}
-	a, err := e.parseReload(name, rest)
+	req, err := e.parseReload(name, rest)
 	if err != nil {
 		e.writeRequestError(x, err)
 		return
 	}
-	e.serve(ctx, x, a, admission.Reload)
+	e.serve(ctx, x, req, admission.Reload)
 }
 
 // cutName splits class/title/key from what follows.
@@ -255,11 +255,11 @@
 	if track == nil {
 		return
 	}
-	play := e.playback.Load()
-	ahead := play.Ahead.D()
-	each := max(track.SegmentStart(1)-track.SegmentStart(0), 0.1)
-	keep := int(math.Ceil((ahead+play.Behind.D()).Seconds()/each)) + 2
-	s.window.Publish(track.SegmentAt((now - s.contentStart + ahead).Seconds()), keep)
+	playback := e.playback.Load()
+	lead := playback.Ahead.D()
+	segmentDuration := max(track.SegmentStart(1)-track.SegmentStart(0), 0.1)
+	keep := int(math.Ceil((lead+playback.Behind.D()).Seconds()/segmentDuration)) + 2
+	s.window.Publish(track.SegmentAt((now - s.contentStart + lead).Seconds()), keep)
 }
 
 // startFits tells a <best>/<start> of which the start is a time that was, without allocating.
@@ -288,55 +288,55 @@
 func (e *Edge) parseReload(name, rest []byte) (viewerRequest, error) {
 	parts := strings.Split(string(name), "/")
 	tail := strings.Split(string(rest), "/")
-	a := viewerRequest{sessionName: bytes.Clone(name), class: e.Site.Class(parts[0]), title: parts[1], viewerKey: parts[2]}
-	if a.class < 0 || len(tail) != 3 || !isURLSafe(a.viewerKey) {
-		return a, fmt.Errorf("no such class, or malformed path")
+	req := viewerRequest{sessionName: bytes.Clone(name), class: e.Site.Class(parts[0]), title: parts[1], viewerKey: parts[2]}
+	if req.class < 0 || len(tail) != 3 || !isURLSafe(req.viewerKey) {
+		return req, fmt.Errorf("no such class, or malformed path")
 	}
-	class := &e.settings.Classes[a.class]
+	class := &e.settings.Classes[req.class]
 	best, err := strconv.Atoi(tail[0])
 	if err != nil || best < class.MinRung || best > class.MaxRung {
-		return a, fmt.Errorf("best: no rung of the class")
+		return req, fmt.Errorf("best: no rung of the class")
 	}
 	start, err := strconv.ParseInt(tail[1], 36, 64)
 	if err != nil || !isPastStart([]byte(tail[1]), e.now()) {
-		return a, fmt.Errorf("start: no time, or one to come")
+		return req, fmt.Errorf("start: no time, or one to come")
 	}
-	if _, ok := e.fleet.Load().titles[a.title]; !ok {
-		return a, errUnknownTitle
+	if _, ok := e.fleet.Load().titles[req.title]; !ok {
+		return req, errUnknownTitle
 	}
 	if n, ok := strings.CutPrefix(strings.TrimSuffix(tail[2], ".m3u8"), "r"); ok {
-		if a.playlist, err = strconv.Atoi(n); err != nil || a.playlist < 1 {
-			return a, fmt.Errorf("no such playlist")
+		if req.playlist, err = strconv.Atoi(n); err != nil || req.playlist < 1 {
+			return req, fmt.Errorf("no such playlist")
 		}
 	} else if tail[2] != "media.m3u8" {
-		return a, fmt.Errorf("no such playlist")
+		return req, fmt.Errorf("no such playlist")
 	}
-	a.maxRung, a.patience = best, class.Deadline
-	a.position = max(e.now()-timeconv.UnixMilli(start), 0)
-	return a, nil
+	req.maxRung, req.patience = best, class.Deadline
+	req.position = max(e.now()-timeconv.UnixMilli(start), 0)
+	return req, nil
 }
 
 // serve settles a request that is not simply a reload of what plays.
-func (e *Edge) serve(ctx context.Context, x *http1.Exchange, a viewerRequest, k admission.RequestKind) {
-	due := e.now() + a.patience
-	if k == admission.Reload && e.reclaimDone != nil && e.sessions.find(a.sessionName) == nil {
-		e.awaitAdoption(a.sessionName)
+func (e *Edge) serve(ctx context.Context, x *http1.Exchange, req viewerRequest, kind admission.RequestKind) {
+	deadline := e.now() + req.patience
+	if kind == admission.Reload && e.reclaimDone != nil && e.sessions.find(req.sessionName) == nil {
+		e.awaitAdoption(req.sessionName)
 	}
-	if turn, after := e.checkCapacity(); turn && e.sessions.find(a.sessionName) == nil {
-		e.writeRefusal(x, after)
+	if full, retryAfter := e.checkCapacity(); full && e.sessions.find(req.sessionName) == nil {
+		e.writeRefusal(x, retryAfter)
 		return
 	}
-	s := e.sessions.getOrAdd(a.sessionName, func(name string) *session {
-		return &session{name: name, viewerKey: a.viewerKey, class: a.class, maxRung: a.maxRung, stateSince: e.now()}
+	s := e.sessions.getOrAdd(req.sessionName, func(name string) *session {
+		return &session{name: name, viewerKey: req.viewerKey, class: req.class, maxRung: req.maxRung, stateSince: e.now()}
 	})
 	for {
 		s.mu.Lock()
 		s.lastSeenAt.Store(int64(e.now()))
-		d := admission.Decide(admission.Session{State: s.state, Moved: s.moved, Since: s.stateSince}, k, e.now(), a.position > 0)
-		y := s.request
-		switch d.Action {
+		decision := admission.Decide(admission.Session{State: s.state, Moved: s.moved, Since: s.stateSince}, kind, e.now(), req.position > 0)
+		p := s.request
+		switch decision.Action {
 		case admission.Serve:
-			e.writePlaylist(ctx, x, s, a, k) // unlocks
+			e.writePlaylist(ctx, x, s, req, kind) // unlocks
 			return
 		case admission.NotFound:
 			s.mu.Unlock()
@@ -345,40 +345,40 @@
 		case admission.Defer:
 			s.mu.Unlock()
 			select {
-			case <-y.closed:
+			case <-p.closed:
 				continue
-			case <-time.After(due - e.now()):
+			case <-time.After(deadline - e.now()):
 				e.writeRefusal(x, time.Second)
 				return
 			}
 		case admission.SetUp:
-			s.title, s.maxRung = e.fleet.Load().titles[a.title], a.maxRung
+			s.title, s.maxRung = e.fleet.Load().titles[req.title], req.maxRung
 			switch {
-			case d.Returned && s.resumePosition > 0: // where it stood when the server was lost
-			case k == admission.Reload:
-				s.resumePosition = a.position
+			case decision.Returned && s.resumePosition > 0: // where it stood when the server was lost
+			case kind == admission.Reload:
+				s.resumePosition = req.position
 			default: // from the beginning
 				s.resumePosition, s.hasPlayed, s.window = 0, false, hls.Window{}
 			}
-			var taken bool
-			if y, taken = e.submit(s, d, due-e.now()); !taken {
+			var accepted bool
+			if p, accepted = e.submit(s, decision, deadline-e.now()); !accepted {
 				s.mu.Unlock()
 				e.writeRefusal(x, time.Second)
 				return
 			}
 		}
-		y.waiters++
+		p.waiters++
 		s.mu.Unlock()
-		if !e.awaitAnswer(x, s, y, due) {
+		if !e.awaitAnswer(x, s, p, deadline) {
 			return
 		}
-		if y.answer.Kind != core.Playing {
-			e.writeFailure(x, y)
+		if p.answer.Kind != core.Playing {
+			e.writeFailure(x, p)
 			return
 		}
 		s.mu.Lock()
-		if s.request == y && s.state == admission.Playing {
-			e.writePlaylist(ctx, x, s, a, k)
+		if s.request == p && s.state == admission.Playing {
+			e.writePlaylist(ctx, x, s, req, kind)
 			return
 		}
 		s.mu.Unlock() // lost again in this moment
@@ -401,60 +401,60 @@
 }
 
 // await waits for a try's answer. False if the exchange is settled: the viewer went away, or time ran out.
-func (e *Edge) awaitAnswer(x *http1.Exchange, s *session, y *placementRequest, due time.Duration) bool {
-	gone, stop := x.WatchDisconnect()
-	late := time.NewTimer(due + e.Site.Rules.AnswerSlack.D() - e.now())
-	defer late.Stop()
-	ok, left := false, false
+func (e *Edge) awaitAnswer(x *http1.Exchange, s *session, p *placementRequest, deadline time.Duration) bool {
+	disconnected, stop := x.WatchDisconnect()
+	timeout := time.NewTimer(deadline + e.Site.Rules.AnswerSlack.D() - e.now())
+	defer timeout.Stop()
+	answered, gone := false, false
 	select {
-	case <-y.answered:
-		ok = true
-	case <-gone:
-		left = true
-	case <-late.C:
+	case <-p.answered:
+		answered = true
+	case <-disconnected:
+		gone = true
+	case <-timeout.C:
 	}
 	stop()
 	s.mu.Lock()
-	y.waiters--
-	leave := !ok && y.waiters == 0 && s.request == y && s.state == admission.Pending
-	if leave {
+	p.waiters--
+	abandon := !answered && p.waiters == 0 && s.request == p && s.state == admission.Pending
+	if abandon {
 		s.state, s.stateSince = admission.Leaving, e.now()
 	}
 	s.mu.Unlock()
-	if leave {
-		e.Log.Info("viewer left", "session", y.id)
-		e.orchestrator.ViewerLeft(y.id, y)
+	if abandon {
+		e.Log.Info("viewer left", "session", p.id)
+		e.orchestrator.ViewerLeft(p.id, p)
 	}
-	if ok {
+	if answered {
 		return true
 	}
 	e.writeText(x, 504, "no answer in time")
-	x.Close = x.Close || left
+	x.Close = x.Close || gone
 	return false
 }
 
-func (e *Edge) writeFailure(x *http1.Exchange, y *placementRequest) {
-	if y.answer.Kind == core.Refused {
-		e.writeRefusal(x, y.answer.RetryAfter)
+func (e *Edge) writeFailure(x *http1.Exchange, p *placementRequest) {
+	if p.answer.Kind == core.Refused {
+		e.writeRefusal(x, p.answer.RetryAfter)
 		return
 	}
 	e.writeText(x, 502, "the session could not be set up")
 }
 
 // refuse is 503; the wait advised is in whole seconds (RFC 9110, 10.2.3), and exactly in a field beside it.
-func (e *Edge) writeRefusal(x *http1.Exchange, after time.Duration) {
+func (e *Edge) writeRefusal(x *http1.Exchange, retryAfter time.Duration) {
 	e.writeText(x, 503, "no room now")
-	if after > 0 {
-		x.AddHeader("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
-		x.AddHeader("Rainpulley-Retry-After-Ms", strconv.FormatInt(after.Milliseconds(), 10))
+	if retryAfter > 0 {
+		x.AddHeader("Retry-After", strconv.Itoa(int(math.Ceil(retryAfter.Seconds()))))
+		x.AddHeader("Rainpulley-Retry-After-Ms", strconv.FormatInt(retryAfter.Milliseconds(), 10))
 	}
 }
 
 // write answers with a playlist of a session that plays. It unlocks the session.
-func (e *Edge) writePlaylist(ctx context.Context, x *http1.Exchange, s *session, a viewerRequest, k admission.RequestKind) {
+func (e *Edge) writePlaylist(ctx context.Context, x *http1.Exchange, s *session, req viewerRequest, kind admission.RequestKind) {
 	now := e.now()
-	if a.playlist > 0 {
-		e.writeRendition(ctx, x, s, a) // unlocks
+	if req.playlist > 0 {
+		e.writeRendition(ctx, x, s, req) // unlocks
 		return
 	}
 	defer s.mu.Unlock()
@@ -462,7 +462,7 @@
 	addCORSHeaders(x)
 	x.AddHeader("Content-Type", playlistType)
 	x.AddHeader("Cache-Control", "no-store")
-	if k == admission.Reload {
+	if kind == admission.Reload {
 		s.extendWindow(e, now)
 		x.ResponseBody = s.window.Append(x.ResponseBody)
 		return
@@ -474,10 +474,10 @@
 func (e *Edge) writeStatus(x *http1.Exchange) {
 	x.StartResponse(200)
 	x.AddHeader("Content-Type", "application/json")
-	t, v := &e.orchestrator.Stats, e.fleet.Load().view
+	stats, v := &e.orchestrator.Stats, e.fleet.Load().view
 	x.ResponseBody = fmt.Appendf(x.ResponseBody, `{"position":%d,"instance":%q,"view":%d,"boxes":%d,"titles":%d,"sessions":%d,"open":%d,`+
 		`"requests":%d,"turned_away":%d,"plays":%d,"refused":%d,"failed":%d,"attempts":%d,"further":%d,"overdue":%d,"notes_lost":%d,"holds":%d}`+"\n",
-		e.Position, e.instanceID, v.Version, len(v.Boxes), len(v.Titles), e.sessions.size.Load(), t.Open.Load(), t.Requests.Load(),
-		t.QueueFull.Load(), t.Started.Load(), t.Refused.Load(), t.Failed.Load(), t.Attempts.Load(), t.FurtherAttempts.Load(),
-		t.Overdue.Load(), t.NotesDropped.Load(), e.holds.activeCount())
+		e.Position, e.instanceID, v.Version, len(v.Boxes), len(v.Titles), e.sessions.size.Load(), stats.Open.Load(), stats.Requests.Load(),
+		stats.QueueFull.Load(), stats.Started.Load(), stats.Refused.Load(), stats.Failed.Load(), stats.Attempts.Load(), stats.FurtherAttempts.Load(),
+		stats.Overdue.Load(), stats.NotesDropped.Load(), e.holds.activeCount())
 }
--- a/internal/edge/hold.go
+++ b/internal/edge/hold.go
@@ -39,22 +39,22 @@
 }
 
 // hold takes what the planner told.
-func (e *Edge) applyHolds(t *view.Holds) {
-	out := control.HoldsUpdate{}
-	for _, p := range t.Entries {
+func (e *Edge) applyHolds(update *view.Holds) {
+	next := control.HoldsUpdate{}
+	for _, p := range update.Entries {
 		if class := e.Site.Class(p.Class); class >= 0 {
-			out.Holds = append(out.Holds, control.Hold{Server: p.Box, Class: class, Title: hash(p.Title), Rate: p.Rate, Streams: p.Streams})
+			next.Holds = append(next.Holds, control.Hold{Server: p.Box, Class: class, Title: hash(p.Title), Rate: p.Rate, Streams: p.Streams})
 		} else {
 			e.Log.Warn("hold of a class that the site does not have", "class", p.Class, "title", p.Title)
 		}
 	}
 	h := &e.holds
 	h.mu.Lock()
-	tell := h.active+len(out.Holds) > 0
-	h.active, h.expiresAt, h.counted = len(out.Holds), e.now()+timeconv.Milliseconds(t.LeaseMs), t.CountedTitles
+	changed := h.active+len(next.Holds) > 0
+	h.active, h.expiresAt, h.counted = len(next.Holds), e.now()+timeconv.Milliseconds(update.LeaseMs), update.CountedTitles
 	h.mu.Unlock()
-	if tell {
-		e.orchestrator.AddEvent(out)
+	if changed {
+		e.orchestrator.AddEvent(next)
 	}
 }
 
@@ -62,12 +62,12 @@
 func (e *Edge) expireHolds() {
 	h := &e.holds
 	h.mu.Lock()
-	over := h.active > 0 && e.now() > h.expiresAt
-	if over {
+	expired := h.active > 0 && e.now() > h.expiresAt
+	if expired {
 		h.active = 0
 	}
 	h.mu.Unlock()
-	if over {
+	if expired {
 		e.Log.Warn("holds lapsed: the planner did not renew them")
 		e.orchestrator.AddEvent(control.HoldsUpdate{})
 	}
@@ -92,19 +92,19 @@
 			return
 		case <-t.C:
 		}
-		u := e.usage()
-		if u == nil {
+		report := e.usage()
+		if report == nil {
 			continue
 		}
-		body, err := json.Marshal(u)
+		body, err := json.Marshal(report)
 		if err != nil {
 			e.Log.Error("use not reported", "error", err)
 			continue
 		}
-		limited, cancel := context.WithTimeout(ctx, reportInterval)
-		p, err := e.boxes.http.Do(limited, e.Planner, "POST", "/v1/used", []string{"Content-Type", "application/json"}, body)
+		requestCtx, cancel := context.WithTimeout(ctx, reportInterval)
+		resp, err := e.boxes.http.Do(requestCtx, e.Planner, "POST", "/v1/used", []string{"Content-Type", "application/json"}, body)
 		cancel()
-		if err != nil || p.Status != 204 {
+		if err != nil || resp.Status != 204 {
 			e.Log.Debug("use not reported", "error", err)
 		}
 	}
@@ -114,26 +114,26 @@
 func (e *Edge) usage() *view.UsageReport {
 	h := &e.holds
 	h.mu.Lock()
-	count := h.counted
+	counted := h.counted
 	h.reportSeq++
-	u := &view.UsageReport{Edge: strconv.Itoa(e.Position) + "." + e.instanceID, Seq: h.reportSeq}
-	for _, c := range count {
-		u.Arrivals = append(u.Arrivals, view.TitleArrivals{Peak: c.Peak, Title: c.Title, Count: h.arrivals[c.Class+"/"+c.Title]})
+	report := &view.UsageReport{Edge: strconv.Itoa(e.Position) + "." + e.instanceID, Seq: h.reportSeq}
+	for _, c := range counted {
+		report.Arrivals = append(report.Arrivals, view.TitleArrivals{Peak: c.Peak, Title: c.Title, Count: h.arrivals[c.Class+"/"+c.Title]})
 	}
 	h.mu.Unlock()
-	u.Outcomes = e.boxes.takeOutcomes()
-	if len(count) == 0 && len(u.Outcomes) == 0 {
+	report.Outcomes = e.boxes.takeOutcomes()
+	if len(counted) == 0 && len(report.Outcomes) == 0 {
 		return nil
 	}
-	peak := map[string]string{} // by class and title
-	for _, c := range count {
-		peak[c.Class+"/"+c.Title] = c.Peak
+	peakByKey := map[string]string{} // by class and title
+	for _, c := range counted {
+		peakByKey[c.Class+"/"+c.Title] = c.Peak
 	}
 	sums := map[[3]string]*view.TitleUsage{}
 	e.sessions.forEach(func(s *session) bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		p, ok := peak[e.Site.Classes[s.class].Name+"/"+s.title.Name]
+		p, ok := peakByKey[e.Site.Classes[s.class].Name+"/"+s.title.Name]
 		if !ok || s.state != admission.Playing {
 			return true
 		}
@@ -146,7 +146,7 @@
 		return true
 	})
 	for _, x := range sums {
-		u.Usage = append(u.Usage, *x)
+		report.Usage = append(report.Usage, *x)
 	}
-	return u
+	return report
 }
--- a/internal/edge/rendition.go
+++ b/internal/edge/rendition.go
@@ -11,14 +11,14 @@
 
 // rendition answers the playlist of an alternative rendition (EXT-X-MEDIA): at the session's box, for as
 // much of the content as its main playlist has published. It is entered with s.mu held, and unlocks it.
-func (e *Edge) writeRendition(ctx context.Context, x *http1.Exchange, s *session, a viewerRequest) {
-	server, src, id, until := s.server, s.manifest, s.request.id, e.now()-s.contentStart+e.playback.Load().Ahead.D()
+func (e *Edge) writeRendition(ctx context.Context, x *http1.Exchange, s *session, req viewerRequest) {
+	server, m, id, published := s.server, s.manifest, s.request.id, e.now()-s.contentStart+e.playback.Load().Ahead.D()
 	s.mu.Unlock()
-	if a.playlist > len(src.parsed.Renditions) || src.parsed.Renditions[a.playlist-1].Attributes.Get("URI") == "" {
+	if req.playlist > len(m.parsed.Renditions) || m.parsed.Renditions[req.playlist-1].Attributes.Get("URI") == "" {
 		e.writeText(x, 404, "no such rendition")
 		return
 	}
-	path, err := hls.ResolvePath("http://"+server+src.path, src.parsed.Renditions[a.playlist-1].Attributes.Get("URI"))
+	path, err := hls.ResolvePath("http://"+server+m.path, m.parsed.Renditions[req.playlist-1].Attributes.Get("URI"))
 	var t *hls.Track
 	if err == nil {
 		var cancel context.CancelFunc
@@ -32,15 +32,15 @@
 		return
 	}
 	s.mu.Lock()
-	still := s.state == admission.Playing && s.server == server
+	unchanged := s.state == admission.Playing && s.server == server
 	s.mu.Unlock()
-	if !still {
+	if !unchanged {
 		e.writeText(x, 503, "the session changes its server")
 		return
 	}
 	var w hls.Window
 	w.SetSource("http://"+server, sessionQuery(id), t, 0)
-	w.Publish(t.SegmentAt(until.Seconds()), t.Len())
+	w.Publish(t.SegmentAt(published.Seconds()), t.Len())
 	x.StartResponse(200)
 	addCORSHeaders(x)
 	x.AddHeader("Content-Type", playlistType)
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -72,11 +72,11 @@
 
 // place is FNV-1a, which needs no state.
 func shardIndex(name []byte) int {
-	h := uint32(2166136261)
+	hash := uint32(2166136261)
 	for _, c := range name {
-		h = (h ^ uint32(c)) * 16777619
+		hash = (hash ^ uint32(c)) * 16777619
 	}
-	return int(h % shardCount)
+	return int(hash % shardCount)
 }
 
 func (t *sessionTable) find(name []byte) *session {
@@ -87,14 +87,14 @@
 }
 
 // add returns the session of a name, made by fresh where there is none.
-func (t *sessionTable) getOrAdd(name []byte, fresh func(name string) *session) *session {
+func (t *sessionTable) getOrAdd(name []byte, create func(name string) *session) *session {
 	sh := &t.shards[shardIndex(name)]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	if s := sh.byID[string(name)]; s != nil {
 		return s
 	}
-	s := fresh(string(name))
+	s := create(string(name))
 	sh.byID[s.name] = s
 	t.size.Add(1)
 	return s
@@ -115,48 +115,48 @@
 }
 
 // Answered opens the session to its viewer, or ends it.
-func (y *placementRequest) Answered(a core.Answer) {
-	s := y.session
+func (p *placementRequest) Answered(a core.Answer) {
+	s := p.session
 	s.mu.Lock()
-	y.answer = a
-	s.stateSince = y.edge.now()
-	leave := false
+	p.answer = a
+	s.stateSince = p.edge.now()
+	abandoned := false
 	if a.Kind == core.Playing {
-		leave = !s.startPlaying(y, a)
-	} else if s.request == y {
+		abandoned = !s.startPlaying(p, a)
+	} else if s.request == p {
 		s.state = admission.Unsuccessful
 	}
-	close(y.answered)
+	close(p.answered)
 	s.mu.Unlock()
-	if leave {
-		go y.edge.orchestrator.ViewerLeft(y.id, y) // not from the owner's goroutine, which would wait for itself
+	if abandoned {
+		go p.edge.orchestrator.ViewerLeft(p.id, p) // not from the owner's goroutine, which would wait for itself
 	}
 }
 
 // opens takes a set-up into the session. False if the viewer left meanwhile.
-func (s *session) startPlaying(y *placementRequest, a core.Answer) bool {
-	if s.request != y || s.state == admission.Leaving {
+func (s *session) startPlaying(p *placementRequest, a core.Answer) bool {
+	if s.request != p || s.state == admission.Leaving {
 		return false
 	}
-	setup, ok := a.Setup.(*setUpResult)
+	result, ok := a.Setup.(*setUpResult)
 	if !ok {
 		return false
 	}
-	now := y.edge.now()
-	s.state, s.server, s.manifest = admission.Playing, a.Server, setup.manifest
-	s.publishedRung, s.wantedRung = setup.rung, a.Rung
+	now := p.edge.now()
+	s.state, s.server, s.manifest = admission.Playing, a.Server, result.manifest
+	s.publishedRung, s.wantedRung = result.rung, a.Rung
 	if !s.hasPlayed {
 		s.contentStart, s.hasPlayed = now-s.resumePosition, true
 	} else {
 		s.contentStart = now - s.resumePosition
 	}
-	resume := setup.track.SegmentAt(s.resumePosition.Seconds())
-	s.window.SetSource("http://"+a.Server, sessionQuery(y.id), setup.track, resume)
+	resume := result.track.SegmentAt(s.resumePosition.Seconds())
+	s.window.SetSource("http://"+a.Server, sessionQuery(p.id), result.track, resume)
 	s.window.StartAt(resume)
 	s.lastSeenAt.Store(int64(now))
-	y.edge.boxes.addSession(a.Server, y.id)
+	p.edge.boxes.addSession(a.Server, p.id)
 	if s.wantedRung != s.publishedRung {
-		s.startRungChange(y)
+		s.startRungChange(p)
 	}
 	return true
 }
@@ -164,50 +164,50 @@
 func sessionQuery(id string) string { return "s=" + id }
 
 // Rung follows the module's choice while the session plays.
-func (y *placementRequest) Rung(rung int) {
-	s := y.session
+func (p *placementRequest) Rung(rung int) {
+	s := p.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.request != y || s.state != admission.Playing {
+	if s.request != p || s.state != admission.Playing {
 		return
 	}
 	s.wantedRung = rung
-	s.startRungChange(y)
+	s.startRungChange(p)
 }
 
 // follow starts the goroutine that brings box and playlist to the wanted rung, one for each session,
 // so that changes reach the box in their order.
-func (s *session) startRungChange(y *placementRequest) {
+func (s *session) startRungChange(p *placementRequest) {
 	if !s.rungChangeRunning {
 		s.rungChangeRunning = true
-		go y.edge.applyRung(y)
+		go p.edge.applyRung(p)
 	}
 }
 
 // Ended is told of a session that played.
-func (y *placementRequest) Ended(o control.Outcome, moved bool) {
-	s := y.session
+func (p *placementRequest) Ended(outcome control.Outcome, moved bool) {
+	s := p.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.request != y {
+	if s.request != p {
 		return
 	}
-	y.edge.boxes.removeSession(s.server, y.id)
-	now := y.edge.now()
+	p.edge.boxes.removeSession(s.server, p.id)
+	now := p.edge.now()
 	s.stateSince, s.moved = now, moved
 	s.resumePosition = now - s.contentStart
-	if s.state = admission.Ended; moved || o == control.Reset {
+	if s.state = admission.Ended; moved || outcome == control.Reset {
 		s.state = admission.Lost
 	}
 }
 
 // Closed lets a viewer that left and came back begin anew.
-func (y *placementRequest) Closed() {
-	s := y.session
+func (p *placementRequest) Closed() {
+	s := p.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.request == y && (s.state == admission.Leaving || s.state == admission.Pending) {
-		s.state, s.stateSince = admission.Unsuccessful, y.edge.now()
+	if s.request == p && (s.state == admission.Leaving || s.state == admission.Pending) {
+		s.state, s.stateSince = admission.Unsuccessful, p.edge.now()
 	}
-	close(y.closed)
+	close(p.closed)
 }
--- a/internal/edge/source.go
+++ b/internal/edge/source.go
@@ -84,8 +84,8 @@
 )
 
 // track is the track of a rung, read from a box where it is not known.
-func (s *playlistCache) rungTrack(ctx context.Context, server string, src *manifest, rung int) (*hls.Track, error) {
-	path, err := hls.ResolvePath("http://"+server+src.path, src.variant(rung).URI)
+func (s *playlistCache) rungTrack(ctx context.Context, server string, m *manifest, rung int) (*hls.Track, error) {
+	path, err := hls.ResolvePath("http://"+server+m.path, m.variant(rung).URI)
 	if err != nil {
 		return nil, err
 	}
@@ -93,30 +93,30 @@
 	if err != nil {
 		return nil, err
 	}
-	src.tracks[rung].Store(t)
+	m.tracks[rung].Store(t)
 	return t, nil
 }
 
 func (s *playlistCache) loadTrack(ctx context.Context, server, path string) (*hls.Track, error) {
 	now := s.edge.now()
 	s.mu.Lock()
-	have, ok := s.byPath[path]
+	cached, ok := s.byPath[path]
 	s.mu.Unlock()
-	if ok && now-have.at < playlistTTL {
-		return have.track, nil
+	if ok && now-cached.at < playlistTTL {
+		return cached.track, nil
 	}
-	p, err := s.edge.boxes.http.Do(ctx, server, "GET", path, nil, nil)
+	resp, err := s.edge.boxes.http.Do(ctx, server, "GET", path, nil, nil)
 	if err != nil {
 		return nil, err
 	}
-	if p.Status != 200 {
-		return nil, fmt.Errorf("playlist %s at %s: status %d", path, server, p.Status)
+	if resp.Status != 200 {
+		return nil, fmt.Errorf("playlist %s at %s: status %d", path, server, resp.Status)
 	}
-	m, err := hls.ParseMedia(p.Body)
+	playlist, err := hls.ParseMedia(resp.Body)
 	if err != nil {
 		return nil, fmt.Errorf("playlist %s at %s: %w", path, server, err)
 	}
-	t, err := hls.NewTrack(m, "http://"+server+path)
+	t, err := hls.NewTrack(playlist, "http://"+server+path)
 	if err != nil {
 		return nil, fmt.Errorf("playlist %s at %s: %w", path, server, err)
 	}
