--- a/internal/edge/consul_test.go
+++ b/internal/edge/consul_test.go
@@ -17,12 +17,12 @@
 )
 
 // consulWorld is a fleet that a catalogue describes.
-func consulWorld(t *testing.T, boxes, edges int) *world {
-	w := newWorld(t, boxes, edges, func(s *config.Site) {
-		s.Rules.DrainGrace = sec(1)
-		s.Consul = config.Consul{Scheme: "http", Service: "clip-box", Consistency: "default", Wait: sec(2), TTL: sec(3)}
+func newConsulEnv(t *testing.T, boxes, edges int) *testEnv {
+	w := newTestEnv(t, boxes, edges, func(s *config.Site) {
+		s.Rules.DrainGrace = seconds(1)
+		s.Consul = config.Consul{Scheme: "http", Service: "clip-box", Consistency: "default", Wait: seconds(2), TTL: seconds(3)}
 	})
-	w.plan.end()
+	w.plannerTask.stopAndWait()
 	w.catalogue = standin.NewCatalogue()
 	addr, err := w.catalogue.Start("127.0.0.1:0")
 	if err != nil {
@@ -45,12 +45,12 @@
 	return w
 }
 
-func (w *world) service(i int, do func(s *standin.Service)) {
+func (w *testEnv) changeService(i int, do func(s *standin.Service)) {
 	w.catalogue.Change(func(s map[string]*standin.Service, _ map[string]string) { do(s[w.site.Boxes[i].Addr]) })
 }
 
 // line is what the planner says of a box.
-func (w *world) line(i int) (out planner.BoxLine) {
+func (w *testEnv) plannerBox(i int) (out planner.BoxLine) {
 	_, body := w.get("http://" + w.site.Planner.Listen + "/v1/boxes")
 	var list struct{ Boxes []planner.BoxLine }
 	_ = json.Unmarshal([]byte(body), &list)
@@ -62,10 +62,10 @@
 	return out
 }
 
-func (w *world) believed(i int, state, reason string) {
+func (w *testEnv) waitForBoxState(i int, state, reason string) {
 	w.t.Helper()
-	w.until(fmt.Sprintf("box %d is %s: %s", i, state, reason), func() bool {
-		l := w.line(i)
+	w.waitFor(fmt.Sprintf("box %d is %s: %s", i, state, reason), func() bool {
+		l := w.plannerBox(i)
 		return l.State == state && strings.Contains(l.Reason, reason)
 	})
 }
@@ -73,66 +73,66 @@
 // The fleet comes from the catalogue; maintenance there is a drain, kept within its grace by what passed on the
 // sockets, and what is gone from the catalogue gets no more work.
 func TestFleetFromConsul(t *testing.T) {
-	w := consulWorld(t, 4, 2)
+	w := newConsulEnv(t, 4, 2)
 	if code, _ := w.play(0, "key=a"); code != 200 {
 		t.Fatal(code)
 	}
-	w.believed(1, "ready", "named and passing")
+	w.waitForBoxState(1, "ready", "named and passing")
 	begin := time.Now()
-	w.service(1, func(s *standin.Service) { s.Checks["_service_maintenance:x"] = "critical" })
-	w.believed(1, "draining", "drain told by consul")
+	w.changeService(1, func(s *standin.Service) { s.Checks["_service_maintenance:x"] = "critical" })
+	w.waitForBoxState(1, "draining", "drain told by consul")
 	if took := time.Since(begin); took > time.Second {
 		t.Errorf("told after %v", took)
 	}
-	w.service(2, func(s *standin.Service) { s.Checks["alive"] = "critical" })
-	w.believed(2, "gone", "check fails")
+	w.changeService(2, func(s *standin.Service) { s.Checks["alive"] = "critical" })
+	w.waitForBoxState(2, "gone", "check fails")
 	for i := range 12 {
 		if code, _ := w.play(i%2, fmt.Sprint("key=b", i)); code != 200 {
 			t.Errorf("%d", code)
 		}
 	}
-	w.service(2, func(s *standin.Service) { s.Checks["alive"] = "passing" })
-	w.believed(2, "ready", "named and passing")
-	w.judge()
+	w.changeService(2, func(s *standin.Service) { s.Checks["alive"] = "passing" })
+	w.waitForBoxState(2, "ready", "named and passing")
+	w.checkAudit()
 }
 
 // The catalogue fails in each way: what plays plays on, new sessions are placed, and a planner that is restarted
 // meanwhile starts from its last word. A drain told after the return is kept.
 func TestCatalogueOutage(t *testing.T) {
-	w := consulWorld(t, 6, 1)
+	w := newConsulEnv(t, 6, 1)
 	w.catalogue.Stop()
-	w.plan.end()
+	w.plannerTask.stopAndWait()
 	w.startPlanner()
-	w.until("a view from the last word", func() bool {
+	w.waitFor("a view from the last word", func() bool {
 		_, body := w.get("http://" + w.site.Planner.Listen + "/v1/view")
 		return strings.Count(body, `"state":"ready"`) == 6
 	})
-	if l := w.line(0); l.Source != "disk" || l.AgeMs <= 0 {
+	if l := w.plannerBox(0); l.Source != "disk" || l.AgeMs <= 0 {
 		t.Errorf("%+v", l)
 	}
 	if code, _ := w.play(0, "key=a"); code != 200 {
 		t.Error(code)
 	}
-	w.service(0, func(s *standin.Service) { s.Meta[registry.MetaDrain] = "true" })
+	w.changeService(0, func(s *standin.Service) { s.Meta[registry.MetaDrain] = "true" })
 	if _, err := w.catalogue.Start(w.site.Consul.Address); err != nil {
 		t.Fatal(err)
 	}
-	w.believed(0, "draining", "drain told by consul")
+	w.waitForBoxState(0, "draining", "drain told by consul")
 	w.catalogue.Set(standin.CatalogueFault{Empty: true})
 	time.Sleep(6 * time.Second) // beyond the time for which a missing entry counts on
-	w.believed(1, "ready", "kept: checks took away")
-	w.believed(0, "draining", "drain told by consul")
+	w.waitForBoxState(1, "ready", "kept: checks took away")
+	w.waitForBoxState(0, "draining", "drain told by consul")
 	for i := range 6 {
 		if code, _ := w.play(0, fmt.Sprint("key=c", i)); code != 200 {
 			t.Errorf("%d", code)
 		}
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // A box that passes its checks and drops set-ups is told to all edges as one that gets no new work, with the reason.
 func TestPassingCheckFailingSessions(t *testing.T) {
-	w := consulWorld(t, 3, 2)
+	w := newConsulEnv(t, 3, 2)
 	w.fleet.Boxes[1].Set(func(f *standin.Faults) { f.Hang, f.Lies = true, true })
 	stop := make(chan struct{})
 	over := make(chan struct{})
@@ -147,13 +147,13 @@
 			go w.play(i%2, fmt.Sprint("key=h", i))
 		}
 	}()
-	w.until("it rests", func() bool { return strings.Contains(w.line(1).Reason, "set-ups failed in a row") })
+	w.waitFor("it rests", func() bool { return strings.Contains(w.plannerBox(1).Reason, "set-ups failed in a row") })
 	close(stop)
 	<-over
 	time.Sleep(2500 * time.Millisecond) // the last requests end
 	w.fleet.Boxes[1].Set(func(f *standin.Faults) { f.Hang, f.Lies = false, false })
-	if n := w.count(audit.SetupArrived, ""); n == 0 {
+	if n := w.countEntries(audit.SetupArrived, ""); n == 0 {
 		t.Error("no set-up at all")
 	}
-	w.judge()
+	w.checkAudit()
 }
--- a/internal/edge/copies_test.go
+++ b/internal/edge/copies_test.go
@@ -16,10 +16,10 @@
 )
 
 // copyWorld is six boxes of which two hold the clip at rest, with copies looked after.
-func copyWorld(t *testing.T, edges int, change func(*config.Site)) *world {
-	w := newWorld(t, 6, edges, func(s *config.Site) {
-		s.Titles = []config.Title{{Name: "clip", Home: 0, Span: 2, Length: sec(4)}, {Name: "other", Home: 3, Span: 2, Length: sec(4)}}
-		s.Copies = config.Copies{Managed: true, Least: 2, AtOnce: 2, Share: 0.9, Most: 4, Grace: sec(1), Patience: sec(1), Backoff: sec(0.3), Ahead: sec(60)}
+func newCopiesEnv(t *testing.T, edges int, change func(*config.Site)) *testEnv {
+	w := newTestEnv(t, 6, edges, func(s *config.Site) {
+		s.Titles = []config.Title{{Name: "clip", Home: 0, Span: 2, Length: seconds(4)}, {Name: "other", Home: 3, Span: 2, Length: seconds(4)}}
+		s.Copies = config.Copies{Managed: true, Least: 2, AtOnce: 2, Share: 0.9, Most: 4, Grace: seconds(1), Patience: seconds(1), Backoff: seconds(0.3), Ahead: seconds(60)}
 		if change != nil {
 			change(s)
 		}
@@ -31,15 +31,15 @@
 }
 
 // crowd announces an hour that two boxes cannot carry.
-func (w *world) crowd(version int, in time.Duration) {
+func (w *testEnv) announceOverload(version int, in time.Duration) {
 	w.t.Helper()
-	if code, body := w.say("hour", version, in, 20*time.Second, `,"class":"play","rate":30,"session_ms":4000`); code != 201 {
+	if code, body := w.announcePeak("hour", version, in, 20*time.Second, `,"class":"play","rate":30,"session_ms":4000`); code != 201 {
 		w.t.Fatal(code, body)
 	}
 }
 
 // holders are the boxes that have a title whole, by their own word.
-func (w *world) holders(title string) (out []int) {
+func (w *testEnv) boxesWithTitle(title string) (out []int) {
 	for i, b := range w.fleet.Boxes {
 		if b.Holds(title) {
 			out = append(out, i)
@@ -49,7 +49,7 @@
 }
 
 // told are the holders that the planner tells edges.
-func (w *world) told(title string) int {
+func (w *testEnv) publishedHolders(title string) int {
 	_, body := w.get("http://" + w.site.Planner.Listen + "/v1/view")
 	_, line, ok := strings.Cut(body, `{"name":"`+title+`"`)
 	if line, _, _ = strings.Cut(line, "}"); !ok || !strings.Contains(line, `"listed":true`) {
@@ -66,11 +66,13 @@
 // Copies for an hour are made over the boxes' links, told once whole, used, and given back when it is cancelled.
 func TestCopiesForAnHour(t *testing.T) {
 	t.Parallel()
-	w := copyWorld(t, 1, nil)
-	w.until("holders are told", func() bool { return w.told("clip") == 2 })
-	w.crowd(1, 8*time.Second)
-	w.until("a third holder", func() bool { return len(w.holders("clip")) > 2 && w.told("clip") == len(w.holders("clip")) })
-	w.until("sessions at a copy", func() bool {
+	w := newCopiesEnv(t, 1, nil)
+	w.waitFor("holders are told", func() bool { return w.publishedHolders("clip") == 2 })
+	w.announceOverload(1, 8*time.Second)
+	w.waitFor("a third holder", func() bool {
+		return len(w.boxesWithTitle("clip")) > 2 && w.publishedHolders("clip") == len(w.boxesWithTitle("clip"))
+	})
+	w.waitFor("sessions at a copy", func() bool {
 		for i := range 8 {
 			w.play(0, fmt.Sprintf("key=c%d-%d", i, time.Now().UnixNano()))
 		}
@@ -82,24 +84,26 @@
 		}
 		return n > 0
 	})
-	if code, _ := w.call("DELETE", "/v1/peaks/hour", ""); code != 201 {
+	if code, _ := w.callPlanner("DELETE", "/v1/peaks/hour", ""); code != 201 {
 		t.Fatal(code)
 	}
-	w.until("copies are given back", func() bool { return slices.Equal(w.holders("clip"), []int{0, 1}) && w.told("clip") == 2 })
+	w.waitFor("copies are given back", func() bool {
+		return slices.Equal(w.boxesWithTitle("clip"), []int{0, 1}) && w.publishedHolders("clip") == 2
+	})
 	for _, e := range w.log.Entries() {
 		if e.What == audit.TitleDropped && (e.Who == w.fleet.Boxes[0].Addr || e.Who == w.fleet.Boxes[1].Addr) {
 			t.Errorf("dropped at rest: %+v", e)
 		}
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // Whatever dies while a copy is made, it is made in the end, and no session suffers.
 func TestCopiesThroughDeaths(t *testing.T) {
 	t.Parallel()
-	for name, c := range map[string]func(w *world){
-		"the source": func(w *world) { w.fleet.Boxes[0].Crash() },
-		"the target": func(w *world) {
+	for name, c := range map[string]func(w *testEnv){
+		"the source": func(w *testEnv) { w.fleet.Boxes[0].Crash() },
+		"the target": func(w *testEnv) {
 			for i, b := range w.fleet.Boxes[2:] {
 				if !b.Holds("clip") {
 					b.Crash()
@@ -107,17 +111,17 @@
 				}
 			}
 		},
-		"the planner":           func(w *world) { w.plan.end(); w.startPlanner() },
-		"a drain of the source": func(w *world) { w.fleet.Boxes[0].Drain(true) },
-		"a full disk":           func(w *world) { w.fleet.Boxes[3].Set(func(f *standin.Faults) { f.FullDisk = true }) },
-		"a hang of the source":  func(w *world) { w.fleet.Boxes[1].Set(func(f *standin.Faults) { f.Hang = true }) },
+		"the planner":           func(w *testEnv) { w.plannerTask.stopAndWait(); w.startPlanner() },
+		"a drain of the source": func(w *testEnv) { w.fleet.Boxes[0].Drain(true) },
+		"a full disk":           func(w *testEnv) { w.fleet.Boxes[3].Set(func(f *standin.Faults) { f.FullDisk = true }) },
+		"a hang of the source":  func(w *testEnv) { w.fleet.Boxes[1].Set(func(f *standin.Faults) { f.Hang = true }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := copyWorld(t, 1, nil)
-			w.until("holders are told", func() bool { return w.told("clip") == 2 })
-			w.crowd(1, 10*time.Second)
-			w.until("a copy is under way", func() bool {
+			w := newCopiesEnv(t, 1, nil)
+			w.waitFor("holders are told", func() bool { return w.publishedHolders("clip") == 2 })
+			w.announceOverload(1, 10*time.Second)
+			w.waitFor("a copy is under way", func() bool {
 				return slices.ContainsFunc(w.fleet.Boxes[2:], (*standin.Box).Copying)
 			})
 			c(w)
@@ -132,16 +136,16 @@
 				}()
 			}
 			work.Wait()
-			w.until("another whole holder, told", func() bool {
+			w.waitFor("another whole holder, told", func() bool {
 				n := 0
 				for i, b := range w.fleet.Boxes {
 					if i >= 2 && b.Holds("clip") {
 						n++
 					}
 				}
-				return n > 0 && w.told("clip") > 1
+				return n > 0 && w.publishedHolders("clip") > 1
 			})
-			w.judge()
+			w.checkAudit()
 		})
 	}
 }
@@ -150,15 +154,15 @@
 // another holder: one outcome.
 func TestDropMeetsSetUp(t *testing.T) {
 	t.Parallel()
-	w := copyWorld(t, 1, nil)
-	w.until("holders are told", func() bool { return w.told("clip") == 2 })
+	w := newCopiesEnv(t, 1, nil)
+	w.waitFor("holders are told", func() bool { return w.publishedHolders("clip") == 2 })
 	for _, b := range w.fleet.Boxes[:2] {
 		b.Set(func(f *standin.Faults) { f.SetUp = 300 * time.Millisecond })
 	}
 	answers := make(chan int, 1)
 	go func() { code, _ := w.play(0, "key=x&class=paid"); answers <- code }()
 	var at *standin.Box
-	w.until("a set-up is out", func() bool {
+	w.waitFor("a set-up is out", func() bool {
 		for _, e := range w.log.Entries() {
 			if e.What == audit.SetupArrived {
 				at = w.fleet.Boxes[slices.IndexFunc(w.fleet.Boxes, func(b *standin.Box) bool { return b.Addr == e.Who })]
@@ -175,18 +179,18 @@
 	if code := <-answers; code != 200 {
 		t.Errorf("answered %d", code)
 	}
-	if n := w.count(audit.SetupRan, "paid"); n != 1 || at.Sessions() != 0 {
+	if n := w.countEntries(audit.SetupRan, "paid"); n != 1 || at.Sessions() != 0 {
 		t.Errorf("ran %d times, %d at the box without it", n, at.Sessions())
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // Two planners: boxes obey the later one, and the earlier commands no more. Clocks some seconds apart between
 // planner and edges change nothing: leases are lengths.
 func TestTwoPlanners(t *testing.T) {
 	t.Parallel()
-	w := copyWorld(t, 1, nil)
-	w.until("holders are told", func() bool { return w.told("clip") == 2 })
+	w := newCopiesEnv(t, 1, nil)
+	w.waitFor("holders are told", func() bool { return w.publishedHolders("clip") == 2 })
 	later := time.Now().Add(5 * time.Second).UnixMilli() // the other's clock is ahead
 	for _, b := range w.fleet.Boxes {
 		q, _ := http.NewRequestWithContext(context.Background(), "PUT", fmt.Sprintf("http://%s/titles/none?epoch=%d&rate=1", b.Addr, later), nil)
@@ -196,29 +200,29 @@
 		}
 		_ = p.Body.Close()
 	}
-	w.crowd(1, 8*time.Second)
-	w.until("the planner sees that it is outdated", func() bool {
+	w.announceOverload(1, 8*time.Second)
+	w.waitFor("the planner sees that it is outdated", func() bool {
 		_, body := w.get("http://" + w.site.Planner.Listen + "/metrics")
 		return strings.Contains(body, "rainpulley_planner_copies_outdated 1\n")
 	})
-	if got := w.holders("clip"); !slices.Equal(got, []int{0, 1}) {
+	if got := w.boxesWithTitle("clip"); !slices.Equal(got, []int{0, 1}) {
 		t.Errorf("holders %v", got)
 	}
 	if code, _ := w.play(0, "key=y"); code != 200 {
 		t.Errorf("%d", code)
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // A catalogue changed under load: titles removed and put back, moved, and updates that arrive half written. Each
 // session has one clear outcome, and a broken update changes nothing.
 func TestCatalogueChangesUnderLoad(t *testing.T) {
 	t.Parallel()
-	w := copyWorld(t, 2, func(s *config.Site) {
+	w := newCopiesEnv(t, 2, func(s *config.Site) {
 		s.Limits.Sessions = 2000
 		s.Links = config.Links{PerWeight: 400_000, Uplink: 3_000_000} // copies crawl where viewers fill the links
 	})
-	w.until("holders are told", func() bool { return w.told("clip") == 2 && w.told("other") == 2 })
+	w.waitFor("holders are told", func() bool { return w.publishedHolders("clip") == 2 && w.publishedHolders("other") == 2 })
 	stop, codes := make(chan struct{}), map[int]int{}
 	var mu sync.Mutex
 	var work sync.WaitGroup
@@ -245,37 +249,37 @@
 	for range 3 {
 		gone, plays := seen(404), seen(200)+seen(503)
 		for _, half := range []string{`{"name":"clip","home":0,`, `{"name":"clip","home":0,"span":99}`, `{"name":"clip"}`, ``} {
-			if code, _ := w.call("PUT", "/v1/titles/clip", half); code != 400 {
+			if code, _ := w.callPlanner("PUT", "/v1/titles/clip", half); code != 400 {
 				t.Errorf("half an update: %d", code)
 			}
 		}
-		if code, _ := w.call("DELETE", "/v1/titles/other", ""); code != 204 {
+		if code, _ := w.callPlanner("DELETE", "/v1/titles/other", ""); code != 204 {
 			t.Error(code)
 		}
-		w.until("it is gone, and viewers were told so", func() bool { return w.told("other") < 0 && seen(404) > gone })
-		if code, _ := w.call("PUT", "/v1/titles/other", `{"name":"other","home":3,"span":2,"length_ms":4000}`); code != 204 {
+		w.waitFor("it is gone, and viewers were told so", func() bool { return w.publishedHolders("other") < 0 && seen(404) > gone })
+		if code, _ := w.callPlanner("PUT", "/v1/titles/other", `{"name":"other","home":3,"span":2,"length_ms":4000}`); code != 204 {
 			t.Error(code)
 		}
-		w.until("it is back, and plays", func() bool { return w.told("other") >= 2 && seen(200)+seen(503) > plays+20 })
+		w.waitFor("it is back, and plays", func() bool { return w.publishedHolders("other") >= 2 && seen(200)+seen(503) > plays+20 })
 	}
-	if code, _ := w.call("PUT", "/v1/titles/clip", `{"name":"clip","home":2,"span":2,"length_ms":4000}`); code != 204 {
+	if code, _ := w.callPlanner("PUT", "/v1/titles/clip", `{"name":"clip","home":2,"span":2,"length_ms":4000}`); code != 204 {
 		t.Error(code)
 	}
-	w.until("new holders are told", func() bool { return len(w.holders("clip")) == 4 && w.told("clip") == 2 })
+	w.waitFor("new holders are told", func() bool { return len(w.boxesWithTitle("clip")) == 4 && w.publishedHolders("clip") == 2 })
 	close(stop)
 	work.Wait()
-	w.until("it moved", func() bool { return slices.Equal(w.holders("clip"), []int{2, 3}) })
+	w.waitFor("it moved", func() bool { return slices.Equal(w.boxesWithTitle("clip"), []int{2, 3}) })
 	if codes[200] < 20 || codes[404] == 0 || codes[0] > 0 || codes[502] > 0 || codes[504] > 0 {
 		t.Errorf("answers %v", codes)
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // A rendition removed while its sessions are being set up: those that ask for it come to one outcome each, and
 // the others play on.
 func TestRenditionRemovedMidSetUp(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, 3, 1, nil)
+	w := newTestEnv(t, 3, 1, nil)
 	w.startEdge(0, 3)
 	for _, b := range w.fleet.Boxes {
 		b.Set(func(f *standin.Faults) { f.SetUp = 150 * time.Millisecond })
@@ -288,7 +292,7 @@
 			codes <- code
 		}()
 	}
-	w.until("set-ups are out", func() bool { return w.count(audit.SetupArrived, "") > 6 })
+	w.waitFor("set-ups are out", func() bool { return w.countEntries(audit.SetupArrived, "") > 6 })
 	less := "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=2400000\nr0/media.m3u8\n#EXT-X-STREAM-INF:BANDWIDTH=6400000\nr1/media.m3u8\n"
 	for _, b := range w.fleet.Boxes {
 		b.Set(func(f *standin.Faults) { f.Manifest = less })
@@ -300,8 +304,8 @@
 	if got[200]+got[502]+got[503] != cap(codes) {
 		t.Errorf("answers %v", got)
 	}
-	if code, _ := w.get(w.media(0, manifest)); code != 200 {
+	if code, _ := w.get(w.mediaURL(0, manifest)); code != 200 {
 		t.Errorf("a session of before: %d", code)
 	}
-	w.judge()
+	w.checkAudit()
 }
--- a/internal/edge/holds_test.go
+++ b/internal/edge/holds_test.go
@@ -14,53 +14,53 @@
 // Holds reach the edge, move off a box that drains, are given back at once on cancel, and lapse when the
 // planner dies; its successor knows what was announced.
 func TestHolds(t *testing.T) {
-	w := newWorld(t, 3, 1, nil)
+	w := newTestEnv(t, 3, 1, nil)
 	w.startEdge(0, 3)
-	if code, text := w.say("p", 1, 2*time.Second, 20*time.Second, ""); code != 201 {
+	if code, text := w.announcePeak("p", 1, 2*time.Second, 20*time.Second, ""); code != 201 {
 		t.Fatalf("%d %s", code, text)
 	}
-	if code, _ := w.call("PUT", "/v1/peaks/other", `{"id":"p"}`); code != 400 {
+	if code, _ := w.callPlanner("PUT", "/v1/peaks/other", `{"id":"p"}`); code != 400 {
 		t.Errorf("id of another path: %d", code)
 	}
 	for more, field := range map[string]string{`,"rate":-1`: "rate", `,"titles":["none"]`: "titles[0]", `,"class":"x"`: "class", `,"colour":1`: "colour", `,"length_ms":0`: "length_ms"} {
-		if code, text := w.say("q", 1, time.Second, time.Second, more); code != 400 || !strings.Contains(text, field) {
+		if code, text := w.announcePeak("q", 1, time.Second, time.Second, more); code != 400 || !strings.Contains(text, field) {
 			t.Errorf("%s: %d %s", more, code, text)
 		}
 	}
-	w.until("the edge holds room on all boxes", func() bool { return w.holds(0) == 3 })
+	w.waitFor("the edge holds room on all boxes", func() bool { return w.activeHolds(0) == 3 })
 	drained := w.fleet.Boxes[0]
 	drained.Drain(true)
-	w.until("the drained box holds none", func() bool {
-		_, text := w.call("GET", "/v1/peaks", "")
+	w.waitFor("the drained box holds none", func() bool {
+		_, text := w.callPlanner("GET", "/v1/peaks", "")
 		_, text, _ = strings.Cut(text, `"holds":[`)
 		held, _, _ := strings.Cut(text, "]")
-		return w.holds(0) == 2 && !strings.Contains(held, drained.Addr)
+		return w.activeHolds(0) == 2 && !strings.Contains(held, drained.Addr)
 	})
-	w.plan.end()
-	w.until("holds lapse", func() bool { return w.holds(0) == 0 })
+	w.plannerTask.stopAndWait()
+	w.waitFor("holds lapse", func() bool { return w.activeHolds(0) == 0 })
 	if code, body := w.play(0, "key=k1"); code != 200 {
 		t.Errorf("without a planner: %d %s", code, body)
 	}
 	w.startPlanner()
-	w.until("the successor holds again", func() bool { return w.holds(0) == 2 })
-	if code, _ := w.call("DELETE", "/v1/peaks/p", ""); code != 201 {
+	w.waitFor("the successor holds again", func() bool { return w.activeHolds(0) == 2 })
+	if code, _ := w.callPlanner("DELETE", "/v1/peaks/p", ""); code != 201 {
 		t.Errorf("cancel: %d", code)
 	}
-	w.until("given back", func() bool { return w.holds(0) == 0 })
-	if code, _ := w.say("p", 1, time.Second, 20*time.Second, ""); code != 204 {
+	w.waitFor("given back", func() bool { return w.activeHolds(0) == 0 })
+	if code, _ := w.announcePeak("p", 1, time.Second, 20*time.Second, ""); code != 204 {
 		t.Errorf("an old version after the cancel: %d", code)
 	}
-	if code, _ := w.call("DELETE", "/v1/peaks/none", ""); code != 404 {
+	if code, _ := w.callPlanner("DELETE", "/v1/peaks/none", ""); code != 404 {
 		t.Errorf("cancel of none: %d", code)
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // Announcement files: half written ones and those with a fault change nothing; mended, they are taken whole.
 func TestAnnouncementFiles(t *testing.T) {
-	w := newWorld(t, 2, 1, nil)
+	w := newTestEnv(t, 2, 1, nil)
 	w.startEdge(0, 2)
-	file := filepath.Join(w.state, "peaks.jsonnet")
+	file := filepath.Join(w.stateDir, "peaks.jsonnet")
 	one := func(id, title string) string {
 		return fmt.Sprintf("{ id: '%s', version: 1, titles: ['%s'], class: 'play', start_ms: %d, rate: 2, length_ms: 20000 }", id, title,
 			time.Now().Add(time.Second).UnixMilli())
@@ -71,7 +71,7 @@
 		}
 		time.Sleep(1300 * time.Millisecond)
 	}
-	known := func() string { _, text := w.call("GET", "/v1/peaks", ""); return text }
+	known := func() string { _, text := w.callPlanner("GET", "/v1/peaks", ""); return text }
 	for _, text := range []string{"", "{ peaks: [" + one("a", "clip"), "{ peaks: [" + one("a", "clip") + "," + one("b", "none") + "] }", "{ peeks: [] }"} {
 		write(text)
 		if !strings.Contains(known(), `"peaks":[]`) {
@@ -82,24 +82,24 @@
 	if got := known(); !strings.Contains(got, `"id":"a"`) || !strings.Contains(got, `"id":"b"`) {
 		t.Error(got)
 	}
-	w.until("the edge holds room", func() bool { return w.holds(0) > 0 })
+	w.waitFor("the edge holds room", func() bool { return w.activeHolds(0) > 0 })
 }
 
 // An edge that is killed in mid-peak comes back to the holds, and its use is not counted twice.
 func TestEdgeRestartsMidPeak(t *testing.T) {
-	w := newWorld(t, 3, 1, nil)
+	w := newTestEnv(t, 3, 1, nil)
 	w.startEdge(0, 3)
-	w.say("p", 1, time.Second, 30*time.Second, "")
-	w.until("the edge holds room", func() bool { return w.holds(0) > 0 })
+	w.announcePeak("p", 1, time.Second, 30*time.Second, "")
+	w.waitFor("the edge holds room", func() bool { return w.activeHolds(0) > 0 })
 	for i := range 4 {
 		_, m := w.play(0, fmt.Sprint("class=play&key=k", i))
-		w.get(w.media(0, m))
+		w.get(w.mediaURL(0, m))
 	}
-	w.edges[0].end()
+	w.edgeTasks[0].stopAndWait()
 	w.startEdge(0, 3)
-	w.until("the edge holds room again", func() bool { return w.holds(0) > 0 })
-	w.until("use is counted once", func() bool {
-		_, text := w.call("GET", "/v1/peaks", "")
+	w.waitFor("the edge holds room again", func() bool { return w.activeHolds(0) > 0 })
+	w.waitFor("use is counted once", func() bool {
+		_, text := w.callPlanner("GET", "/v1/peaks", "")
 		var b struct {
 			Accounts map[string]struct{ Size, Held, Used, Free float64 }
 		}
@@ -122,5 +122,5 @@
 		}
 		return real == 4 && used >= 4*2000
 	})
-	w.judge()
+	w.checkAudit()
 }
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -18,7 +18,7 @@
 
 // Seats of a title are filled by retries too; one is free again when a session ends.
 func TestSeats(t *testing.T) {
-	w := newWorld(t, 3, 1, func(s *config.Site) { s.Classes[0].Seats = 3 })
+	w := newTestEnv(t, 3, 1, func(s *config.Site) { s.Classes[0].Seats = 3 })
 	w.startEdge(0, 3)
 	played := 0
 	for i := range 12 {
@@ -31,13 +31,13 @@
 	if played != 6 { // three viewers, twice each
 		t.Errorf("%d answers with a session, want 6", played)
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // Numbers in a viewer's URLs that no clock knows do no harm: too long a patience is the class's deadline,
 // a start that is negative, to come or beyond every time is refused, whether the session plays or not.
 func TestNumbersInURLs(t *testing.T) {
-	w := newWorld(t, 3, 1, nil)
+	w := newTestEnv(t, 3, 1, nil)
 	w.startEdge(0, 3)
 	for _, c := range []struct {
 		query string
@@ -49,7 +49,7 @@
 		}
 	}
 	_, manifest := w.play(0, "key=n2")
-	plays := w.media(0, manifest)
+	plays := w.mediaURL(0, manifest)
 	head, file := plays[:strings.LastIndexByte(plays[:strings.LastIndexByte(plays, '/')], '/')+1], "/media.m3u8"
 	for _, start := range []string{"-5", "-zz", "zzzzzzzz", "1y2p0ij32e8e7", "zzzzzzzzzzzzzzzz", "", "+5", "A"} {
 		for _, uri := range []string{head + start + file, strings.Replace(head, "/n2/", "/n3/", 1) + start + file} {
@@ -65,7 +65,7 @@
 
 // Noise on the peers' port, from strangers and from a peer's own address, changes nothing.
 func TestNoiseDatagrams(t *testing.T) {
-	w := newWorld(t, 2, 2, nil)
+	w := newTestEnv(t, 2, 2, nil)
 	w.startEdge(0, 2)
 	own, err := net.ListenPacket("udp", w.site.Edges[1].Peer)
 	if err != nil {
@@ -88,7 +88,7 @@
 
 // More than the edge may take is refused at once, with advice.
 func TestOverload(t *testing.T) {
-	w := newWorld(t, 2, 1, func(s *config.Site) { s.Limits.Sessions = 3 })
+	w := newTestEnv(t, 2, 1, func(s *config.Site) { s.Limits.Sessions = 3 })
 	w.startEdge(0, 2)
 	for i := range 5 {
 		r, err := http.Get("http://" + w.site.Edges[0].Listen + fmt.Sprint("/play/clip/index.m3u8?key=k", i))
@@ -107,8 +107,8 @@
 
 // The attempt budget is spent: set-ups that end in a reset are not sent again beyond it.
 func TestBudgetSpent(t *testing.T) {
-	w := newWorld(t, 3, 1, func(s *config.Site) {
-		s.Rules.BudgetSpan, s.Rules.BudgetFree, s.Rules.BudgetShare = sec(1.5), 3, 0.1
+	w := newTestEnv(t, 3, 1, func(s *config.Site) {
+		s.Rules.BudgetSpan, s.Rules.BudgetFree, s.Rules.BudgetShare = seconds(1.5), 3, 0.1
 	})
 	w.startEdge(0, 3)
 	time.Sleep(w.site.Rules.BudgetSpan.D() + 100*time.Millisecond) // an edge that has just started has no free part
@@ -120,27 +120,27 @@
 			t.Errorf("%d", code)
 		}
 	}
-	if further := w.count(audit.SetupArrived, "") - 20; further > 5 {
+	if further := w.countEntries(audit.SetupArrived, "") - 20; further > 5 {
 		t.Errorf("%d further attempts", further)
 	}
-	w.judgeWithViewers(20)
+	w.checkAuditWithRequests(20)
 }
 
 // A box comes back cold while all edges are full of work for it: it is not pushed over.
 func TestColdBoxUnderAllEdges(t *testing.T) {
 	for name, skew := range map[string]time.Duration{"one clock": 0, "edges' clocks ahead": 30 * time.Second, "edges' clocks behind": -30 * time.Second} {
-		t.Run(name, func(t *testing.T) { coldBox(t, skew) })
+		t.Run(name, func(t *testing.T) { testColdBox(t, skew) })
 	}
 }
 
-func coldBox(t *testing.T, skew time.Duration) {
-	w := newWorld(t, 2, 3, func(s *config.Site) { s.Rules.Ramp = sec(4) })
-	w.skew = skew
+func testColdBox(t *testing.T, skew time.Duration) {
+	w := newTestEnv(t, 2, 3, func(s *config.Site) { s.Rules.Ramp = seconds(4) })
+	w.edgeClockOffset = skew
 	for i := range 3 {
 		w.startEdge(i, 2)
 	}
 	w.fleet.Boxes[0].Crash()
-	w.until("all know that it is gone", func() bool {
+	w.waitFor("all know that it is gone", func() bool {
 		return strings.Contains(w.status(0)+w.status(1)+w.status(2), `"boxes":1,`)
 	})
 	if err := w.fleet.Boxes[0].Return(); err != nil {
@@ -165,15 +165,15 @@
 	if cold == 0 {
 		t.Error("the cold box got no work at all")
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // A flood of bad connections costs no descriptor and no session of another.
 func TestBadConnectionsLeaveNothing(t *testing.T) {
-	w := newWorld(t, 2, 1, nil)
+	w := newTestEnv(t, 2, 1, nil)
 	w.startEdge(0, 2)
 	_, manifest := w.play(0, "key=good")
-	uri := w.media(0, manifest)
+	uri := w.mediaURL(0, manifest)
 	open := func() int {
 		l, err := os.ReadDir("/proc/self/fd")
 		if err != nil {
@@ -200,5 +200,5 @@
 	if code, list := w.get(uri); code != 200 {
 		t.Errorf("%d %s", code, list)
 	}
-	w.until("descriptors are closed", func() bool { return open() <= before+4 })
+	w.waitFor("descriptors are closed", func() bool { return open() <= before+4 })
 }
--- a/internal/edge/rig_test.go
+++ b/internal/edge/rig_test.go
@@ -23,46 +23,46 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func sec(s float64) config.Duration { return config.Duration(s * float64(time.Second)) }
+func seconds(s float64) config.Duration { return config.Duration(s * float64(time.Second)) }
 
 // world is a small fleet in one process.
-type world struct {
-	t     *testing.T
-	site  *config.Site
-	fleet *standin.Fleet
-	log   *audit.Log
-	state string
-	edges []*running
-	plan  *running
+type testEnv struct {
+	t           *testing.T
+	site        *config.Site
+	fleet       *standin.Fleet
+	log         *audit.Log
+	stateDir    string
+	edgeTasks   []*task
+	plannerTask *task
 
-	planner   *planner.Planner
-	skew      time.Duration      // of edges' clocks
-	catalogue *standin.Catalogue // where there is one, the planner knows no boxes but its own
+	planner         *planner.Planner
+	edgeClockOffset time.Duration      // of edges' clocks
+	catalogue       *standin.Catalogue // where there is one, the planner knows no boxes but its own
 }
 
-type running struct {
-	stop context.CancelFunc
-	over chan struct{}
+type task struct {
+	cancel context.CancelFunc
+	done   chan struct{}
 }
 
-func (r *running) end() { r.stop(); <-r.over }
+func (r *task) stopAndWait() { r.cancel(); <-r.done }
 
 var testPorts = sync.OnceValue(func() *standin.Ports { return &standin.Ports{} })
 
 // newWorld makes a site of some boxes that all hold title "clip", and starts boxes and planner.
-func newWorld(t *testing.T, boxes, edges int, change func(*config.Site)) *world {
-	s := &config.Site{Zones: []string{"z"}, Cells: boxes, Racks: 1, Kinds: []config.Kind{{Name: "k", Streams: 20}}, Peers: true,
+func newTestEnv(t *testing.T, boxes, edges int, change func(*config.Site)) *testEnv {
+	site := &config.Site{Zones: []string{"z"}, Cells: boxes, Racks: 1, Kinds: []config.Kind{{Name: "k", Streams: 20}}, Peers: true,
 		Ladder: []config.Rung{{Rate: 300, Worth: 0.3}, {Rate: 800, Worth: 0.7}, {Rate: 2000, Worth: 1}},
 		Links:  config.Links{PerWeight: 20000, Uplink: 60000},
-		Classes: []config.Class{{Name: "play", Effect: "repeatable", Aim: sec(0.5), Deadline: sec(2), Worth: 1},
-			{Name: "paid", Effect: "paid", Aim: sec(0.5), Deadline: sec(1), Worth: 2, Floor: 1}},
-		Rules:    config.Rules{DrainGrace: sec(0.5), Ramp: sec(2), StartShare: 0.4, FallFactor: 3, FallSpan: sec(1), AnswerSlack: sec(0.04)},
-		Attempts: config.Attempts{Most: 5, ConnectTimeout: sec(0.25), Cancel: true},
-		Notes:    config.Notes{Delay: sec(0.1), LinkEvery: sec(0.5), SwitchCost: sec(0.5), Reports: "answers"},
-		Planner:  config.Planner{CheckEvery: sec(0.05), CheckFor: sec(0.2), GoneAfter: 2},
-		Playback: config.Playback{Ahead: sec(3), Behind: sec(6), Silence: sec(5)}, RetryAfter: sec(0.5),
+		Classes: []config.Class{{Name: "play", Effect: "repeatable", Aim: seconds(0.5), Deadline: seconds(2), Worth: 1},
+			{Name: "paid", Effect: "paid", Aim: seconds(0.5), Deadline: seconds(1), Worth: 2, Floor: 1}},
+		Rules:    config.Rules{DrainGrace: seconds(0.5), Ramp: seconds(2), StartShare: 0.4, FallFactor: 3, FallSpan: seconds(1), AnswerSlack: seconds(0.04)},
+		Attempts: config.Attempts{Most: 5, ConnectTimeout: seconds(0.25), Cancel: true},
+		Notes:    config.Notes{Delay: seconds(0.1), LinkEvery: seconds(0.5), SwitchCost: seconds(0.5), Reports: "answers"},
+		Planner:  config.Planner{CheckEvery: seconds(0.05), CheckFor: seconds(0.2), GoneAfter: 2},
+		Playback: config.Playback{Ahead: seconds(3), Behind: seconds(6), Silence: seconds(5)}, RetryAfter: seconds(0.5),
 		Limits: config.Limits{Connections: 200, Sessions: 200, Queue: 64},
-		Titles: []config.Title{{Name: "clip", Home: 0, Span: boxes, Length: sec(20)}},
+		Titles: []config.Title{{Name: "clip", Home: 0, Span: boxes, Length: seconds(20)}},
 	}
 	ports := testPorts() // worlds may run beside each other
 	port := func() string {
@@ -73,28 +73,28 @@
 		return addr
 	}
 	for i := range boxes {
-		s.Boxes = append(s.Boxes, config.Box{Addr: port(), Zone: "z", Kind: "k", Cell: i, Weight: 1})
+		site.Boxes = append(site.Boxes, config.Box{Addr: port(), Zone: "z", Kind: "k", Cell: i, Weight: 1})
 	}
 	for range edges {
-		s.Edges = append(s.Edges, config.Edge{Zone: "z", Listen: port(), Peer: port()})
+		site.Edges = append(site.Edges, config.Edge{Zone: "z", Listen: port(), Peer: port()})
 	}
-	s.Planner.Listen = port()
+	site.Planner.Listen = port()
 	if change != nil {
-		change(s)
+		change(site)
 	}
-	w := &world{t: t, site: s, log: audit.NewLog(), state: t.TempDir()}
-	w.fleet = standin.NewFleet(s, w.log, 1)
+	w := &testEnv{t: t, site: site, log: audit.NewLog(), stateDir: t.TempDir()}
+	w.fleet = standin.NewFleet(site, w.log, 1)
 	w.fleet.Setup = 5 * time.Millisecond
 	ctx, stop := context.WithCancel(context.Background())
 	if err := w.fleet.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	w.edges = make([]*running, edges)
+	w.edgeTasks = make([]*task, edges)
 	w.startPlanner()
 	t.Cleanup(func() {
-		for _, e := range append(w.edges, w.plan) {
+		for _, e := range append(w.edgeTasks, w.plannerTask) {
 			if e != nil {
-				e.end()
+				e.stopAndWait()
 			}
 		}
 		stop()
@@ -104,11 +104,11 @@
 	return w
 }
 
-func (w *world) run(f func(context.Context) error) *running {
+func (w *testEnv) run(f func(context.Context) error) *task {
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{stop: stop, over: make(chan struct{})}
+	r := &task{cancel: stop, done: make(chan struct{})}
 	go func() {
-		defer close(r.over)
+		defer close(r.done)
 		if err := f(ctx); err != nil {
 			w.t.Error(err)
 		}
@@ -117,7 +117,7 @@
 }
 
 // planSite is the site as the planner reads it.
-func (w *world) planSite() *config.Site {
+func (w *testEnv) plannerSite() *config.Site {
 	if w.catalogue == nil {
 		return w.site
 	}
@@ -126,16 +126,16 @@
 	return &s
 }
 
-func (w *world) startPlanner() {
-	w.planner = planner.New(planner.Options{Holds: "all", Site: w.planSite(), Log: plannerLog(), State: w.state, Announcements: w.state})
-	w.plan = w.run(w.planner.Run)
+func (w *testEnv) startPlanner() {
+	w.planner = planner.New(planner.Options{Holds: "all", Site: w.plannerSite(), Log: plannerLog(), State: w.stateDir, Announcements: w.stateDir})
+	w.plannerTask = w.run(w.planner.Run)
 }
 
 // startEdge starts one; it is ready when it lists so many boxes.
-func (w *world) startEdge(i, boxes int) {
+func (w *testEnv) startEdge(i, boxes int) {
 	w.t.Helper()
-	o := edge.Options{Site: w.site, Position: i, Planner: w.site.Planner.Listen, StateDir: w.state, Seed: uint64(i + 1), ShutdownGrace: 3 * time.Second,
-		Log: slog.New(slog.DiscardHandler), StartTime: time.Now().Add(w.skew)}
+	o := edge.Options{Site: w.site, Position: i, Planner: w.site.Planner.Listen, StateDir: w.stateDir, Seed: uint64(i + 1), ShutdownGrace: 3 * time.Second,
+		Log: slog.New(slog.DiscardHandler), StartTime: time.Now().Add(w.edgeClockOffset)}
 	if testing.Verbose() {
 		o.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
@@ -143,13 +143,13 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.edges[i] = w.run(e.Run)
-	w.until("edge has its view", func() bool {
+	w.edgeTasks[i] = w.run(e.Run)
+	w.waitFor("edge has its view", func() bool {
 		return strings.Contains(w.status(i), fmt.Sprintf(`"boxes":%d,`, boxes))
 	})
 }
 
-func (w *world) until(what string, ok func() bool) {
+func (w *testEnv) waitFor(what string, ok func() bool) {
 	w.t.Helper()
 	for range 1000 {
 		if ok() {
@@ -160,12 +160,12 @@
 	w.t.Fatalf("in vain: %s", what)
 }
 
-func (w *world) status(i int) string {
+func (w *testEnv) status(i int) string {
 	_, body := w.get("http://" + w.site.Edges[i].Listen + "/status")
 	return body
 }
 
-func (w *world) get(uri string) (int, string) {
+func (w *testEnv) get(uri string) (int, string) {
 	c := &http.Client{Timeout: 6 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	r, err := c.Get(uri)
 	if err != nil {
@@ -176,12 +176,12 @@
 	return r.StatusCode, string(b)
 }
 
-func (w *world) play(edge int, query string) (int, string) {
+func (w *testEnv) play(edge int, query string) (int, string) {
 	return w.get("http://" + w.site.Edges[edge].Listen + "/play/clip/index.m3u8?" + query)
 }
 
 // media is the URL of the media playlist that a manifest names.
-func (w *world) media(edge int, manifest string) string {
+func (w *testEnv) mediaURL(edge int, manifest string) string {
 	w.t.Helper()
 	for _, l := range strings.Split(manifest, "\n") {
 		if strings.HasPrefix(l, "/s/") {
@@ -193,7 +193,7 @@
 }
 
 // box is the one that a playlist's segments are at.
-func (w *world) box(playlist string) *standin.Box {
+func (w *testEnv) boxOf(playlist string) *standin.Box {
 	w.t.Helper()
 	var found *standin.Box
 	for _, l := range strings.Split(playlist, "\n") {
@@ -216,7 +216,7 @@
 }
 
 // count is how many entries of the boxes' logs say something of a class.
-func (w *world) count(what, class string) (n int) {
+func (w *testEnv) countEntries(what, class string) (n int) {
 	for _, e := range w.log.Entries() {
 		if e.What == what && (class == "" || e.Class == class) {
 			n++
@@ -225,7 +225,7 @@
 	return n
 }
 
-func (w *world) judge() {
+func (w *testEnv) checkAudit() {
 	w.t.Helper()
 	for _, b := range audit.Judge(w.site, w.log.Entries()).Breaches {
 		w.t.Errorf("%+v", b)
@@ -233,7 +233,7 @@
 }
 
 // judgeWithViewers also gives the audit the requests, which these tests' viewers do not log.
-func (w *world) judgeWithViewers(requests int) {
+func (w *testEnv) checkAuditWithRequests(requests int) {
 	w.t.Helper()
 	entries := w.log.Entries()
 	for i := range requests {
@@ -252,13 +252,13 @@
 }
 
 // say sends the planner an announcement of title "clip", and returns its answer.
-func (w *world) say(id string, version int, in, length time.Duration, more string) (int, string) {
+func (w *testEnv) announcePeak(id string, version int, in, length time.Duration, more string) (int, string) {
 	body := fmt.Sprintf(`{"id":%q,"version":%d,"titles":["clip"],"class":"play","start_ms":%d,"rate":4,"length_ms":%d%s}`, id, version,
 		time.Now().Add(in).UnixMilli(), length.Milliseconds(), more)
-	return w.call("PUT", "/v1/peaks/"+id, body)
+	return w.callPlanner("PUT", "/v1/peaks/"+id, body)
 }
 
-func (w *world) call(method, path, body string) (int, string) {
+func (w *testEnv) callPlanner(method, path, body string) (int, string) {
 	q, err := http.NewRequest(method, "http://"+w.site.Planner.Listen+path, strings.NewReader(body))
 	if err != nil {
 		w.t.Fatal(err)
@@ -273,7 +273,7 @@
 	return r.StatusCode, string(b)
 }
 
-func (w *world) holds(i int) (n int) {
+func (w *testEnv) activeHolds(i int) (n int) {
 	_, rest, _ := strings.Cut(w.status(i), `"holds":`)
 	_, _ = fmt.Sscan(rest, &n)
 	return n
--- a/internal/edge/session_test.go
+++ b/internal/edge/session_test.go
@@ -13,18 +13,18 @@
 )
 
 func TestWholePath(t *testing.T) {
-	w := newWorld(t, 3, 1, nil)
+	w := newTestEnv(t, 3, 1, nil)
 	w.startEdge(0, 3)
 	code, manifest := w.play(0, "class=play&best=1&key=k1")
 	if code != 200 || strings.Count(manifest, "#EXT-X-STREAM-INF:") != 1 {
 		t.Fatalf("%d %s", code, manifest)
 	}
-	uri := w.media(0, manifest)
+	uri := w.mediaURL(0, manifest)
 	code, list := w.get(uri)
 	if code != 200 || !strings.Contains(list, "#EXT-X-MEDIA-SEQUENCE:0\n") || strings.Contains(list, "ENDLIST") || !strings.Contains(list, "/r1/0.aac?s=") {
 		t.Fatalf("%d %s", code, list)
 	}
-	w.box(list)
+	w.boxOf(list)
 	for _, l := range strings.Split(list, "\n") {
 		if strings.HasPrefix(l, "http://") {
 			if code, body := w.get(l); code != 200 || !strings.HasPrefix(body, "ID3") {
@@ -42,12 +42,12 @@
 			t.Errorf("%s: %d %s", c.path, code, body)
 		}
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // A viewer that asks again, on other connections and at once, joins the session it has.
 func TestRetriesJoin(t *testing.T) {
-	w := newWorld(t, 3, 1, nil)
+	w := newTestEnv(t, 3, 1, nil)
 	w.fleet.Setup = 100 * time.Millisecond
 	w.startEdge(0, 3)
 	var work sync.WaitGroup
@@ -65,42 +65,42 @@
 		t.Errorf("CMCD: %d %s", code, body)
 	}
 	_, manifest := w.play(0, "class=paid&key=same")
-	w.get(w.media(0, manifest))
-	if n := w.count(audit.SetupArrived, "paid"); n != 1 {
+	w.get(w.mediaURL(0, manifest))
+	if n := w.countEntries(audit.SetupArrived, "paid"); n != 1 {
 		t.Errorf("%d set-ups for one viewer", n)
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // A box drains while a manifest is half fetched: what plays goes on there, nothing new comes to it.
 func TestDrainMidManifest(t *testing.T) {
-	w := newWorld(t, 2, 1, nil)
+	w := newTestEnv(t, 2, 1, nil)
 	w.startEdge(0, 2)
 	_, manifest := w.play(0, "key=k1")
-	uri := w.media(0, manifest)
+	uri := w.mediaURL(0, manifest)
 	_, list := w.get(uri)
-	b := w.box(list)
+	b := w.boxOf(list)
 	b.Drain(true)
-	w.until("the edge is told", func() bool {
+	w.waitFor("the edge is told", func() bool {
 		_, body := w.get("http://" + w.site.Planner.Listen + "/v1/view")
 		return strings.Contains(body, "draining")
 	})
-	if code, again := w.get(uri); code != 200 || w.box(again) != b {
+	if code, again := w.get(uri); code != 200 || w.boxOf(again) != b {
 		t.Errorf("%d: a drain broke what plays:\n%s", code, again)
 	}
 	time.Sleep(100 * time.Millisecond)
 	for i := range 8 {
 		_, m := w.play(0, fmt.Sprint("key=n", i))
-		if _, l := w.get(w.media(0, m)); w.box(l) == b {
+		if _, l := w.get(w.mediaURL(0, m)); w.boxOf(l) == b {
 			t.Errorf("new session at a draining box")
 		}
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // A box dies between the multivariant and the first media playlist: the reload is answered from another.
 func TestBoxDiesBeforeMedia(t *testing.T) {
-	w := newWorld(t, 3, 1, nil)
+	w := newTestEnv(t, 3, 1, nil)
 	w.startEdge(0, 3)
 	_, manifest := w.play(0, "key=k1")
 	var dead *standin.Box
@@ -110,38 +110,38 @@
 		}
 	}
 	dead.Crash()
-	uri := w.media(0, manifest)
-	w.until("the reload names a living box", func() bool {
+	uri := w.mediaURL(0, manifest)
+	w.waitFor("the reload names a living box", func() bool {
 		code, list := w.get(uri)
-		return code == 200 && w.box(list) != dead
+		return code == 200 && w.boxOf(list) != dead
 	})
 	if _, list := w.get(uri); !strings.Contains(list, "#EXT-X-DISCONTINUITY\n") && !strings.Contains(list, "#EXT-X-MEDIA-SEQUENCE:0\n") {
 		t.Errorf("%s", list)
 	}
-	if n := w.count(audit.SetupArrived, ""); n != 2 {
+	if n := w.countEntries(audit.SetupArrived, ""); n != 2 {
 		t.Errorf("%d set-ups", n)
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // A reload at another edge, which never saw the session, is set up there and goes on where play stands.
 func TestReloadAtAnotherEdge(t *testing.T) {
-	w := newWorld(t, 3, 2, nil)
+	w := newTestEnv(t, 3, 2, nil)
 	w.startEdge(0, 3)
 	w.startEdge(1, 3)
 	_, manifest := w.play(0, "key=k1")
 	time.Sleep(2200 * time.Millisecond)
-	code, list := w.get(w.media(1, manifest))
+	code, list := w.get(w.mediaURL(1, manifest))
 	if code != 200 || !strings.Contains(list, "#EXT-X-MEDIA-SEQUENCE:2\n") || !strings.Contains(list, "/2.aac") {
 		t.Errorf("%d %s", code, list)
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // The answer of a set-up is lost, though the box runs it: a repeatable class is set up elsewhere after
 // the attempt is out, a paid one has failed and is not sent again. The stray session is let go.
 func TestAnswerLost(t *testing.T) {
-	w := newWorld(t, 3, 1, nil)
+	w := newTestEnv(t, 3, 1, nil)
 	w.startEdge(0, 3)
 	lose := func(b *standin.Box) { b.Set(func(f *standin.Faults) { f.AnswerLost = 1 }) }
 	for _, b := range w.fleet.Boxes {
@@ -151,7 +151,7 @@
 	if code != 502 {
 		t.Errorf("paid: %d, want failed", code)
 	}
-	if n := w.count(audit.SetupRan, "paid"); n != 1 {
+	if n := w.countEntries(audit.SetupRan, "paid"); n != 1 {
 		t.Errorf("paid: %d set-ups ran", n)
 	}
 	keep := w.fleet.Boxes[1]
@@ -164,13 +164,13 @@
 	if !ok {
 		t.Error("repeatable: never played")
 	}
-	w.until("strays are let go", func() bool { return w.fleet.Boxes[0].Sessions()+w.fleet.Boxes[2].Sessions() == 0 })
-	w.judge()
+	w.waitFor("strays are let go", func() bool { return w.fleet.Boxes[0].Sessions()+w.fleet.Boxes[2].Sessions() == 0 })
+	w.checkAudit()
 }
 
 // Viewers give up at every moment around the answer; nothing is set up twice and nothing stays.
 func TestGiveUpRaces(t *testing.T) {
-	w := newWorld(t, 3, 1, nil)
+	w := newTestEnv(t, 3, 1, nil)
 	w.fleet.Setup = 20 * time.Millisecond
 	w.startEdge(0, 3)
 	var work sync.WaitGroup
@@ -194,12 +194,12 @@
 		}()
 	}
 	work.Wait()
-	w.judge()
+	w.checkAudit()
 }
 
 // Playlists that cannot be used end in one clear answer.
 func TestBrokenPlaylists(t *testing.T) {
-	w := newWorld(t, 2, 1, nil)
+	w := newTestEnv(t, 2, 1, nil)
 	w.startEdge(0, 2)
 	for i, text := range []string{"nonsense", "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\nhttp://evil/x\n", "#EXTM3U\n#EXT-X-TARGETDURATION:1\n"} {
 		for _, b := range w.fleet.Boxes {
@@ -209,13 +209,13 @@
 			t.Errorf("%q: %d", text, code)
 		}
 	}
-	w.judge()
+	w.checkAudit()
 }
 
 // A manifest with an audio group: the session's manifest names the edge for both, each at the session's box;
 // tags that the edge does not know stay.
 func TestRenditions(t *testing.T) {
-	w := newWorld(t, 2, 1, nil)
+	w := newTestEnv(t, 2, 1, nil)
 	w.startEdge(0, 2)
 	for _, b := range w.fleet.Boxes {
 		b.Set(func(f *standin.Faults) {
@@ -228,10 +228,10 @@
 	if code != 200 || !strings.Contains(manifest, "#EXT-X-NEW-TAG:A=1\n") || strings.Contains(manifest, "GROUP-ID=\"b\"") {
 		t.Fatalf("%d %s", code, manifest)
 	}
-	uri := w.media(0, manifest)
+	uri := w.mediaURL(0, manifest)
 	_, main := w.get(uri)
 	code, audio := w.get(strings.Replace(uri, "media.m3u8", "r1.m3u8", 1))
-	if code != 200 || w.box(audio) != w.box(main) || !strings.Contains(audio, "/r0/0.aac") || !strings.Contains(main, "/r2/0.aac") {
+	if code != 200 || w.boxOf(audio) != w.boxOf(main) || !strings.Contains(audio, "/r0/0.aac") || !strings.Contains(main, "/r2/0.aac") {
 		t.Errorf("%d\n%s\n%s", code, audio, main)
 	}
 	if code, _ := w.get(strings.Replace(uri, "media.m3u8", "r3.m3u8", 1)); code != 404 {
