--- a/internal/edge/copies_test.go
+++ b/internal/edge/copies_test.go
@@ -17,7 +17,7 @@
 
 // copyWorld is six boxes of which two hold the clip at rest, with copies looked after.
 func newCopiesEnv(t *testing.T, edges int, change func(*config.Site)) *testEnv {
-	w := newTestEnv(t, 6, edges, func(s *config.Site) {
+	env := newTestEnv(t, 6, edges, func(s *config.Site) {
 		s.Titles = []config.Title{{Name: "clip", Home: 0, Span: 2, Length: seconds(4)}, {Name: "other", Home: 3, Span: 2, Length: seconds(4)}}
 		s.Copies = config.Copies{Managed: true, Least: 2, AtOnce: 2, Share: 0.9, Most: 4, Grace: seconds(1), Patience: seconds(1), Backoff: seconds(0.3), Ahead: seconds(60)}
 		if change != nil {
@@ -25,32 +25,32 @@
 		}
 	})
 	for i := range edges {
-		w.startEdge(i, 6)
+		env.startEdge(i, 6)
 	}
-	return w
+	return env
 }
 
 // crowd announces an hour that two boxes cannot carry.
-func (w *testEnv) announceOverload(version int, in time.Duration) {
-	w.t.Helper()
-	if code, body := w.announcePeak("hour", version, in, 20*time.Second, `,"class":"play","rate":30,"session_ms":4000`); code != 201 {
-		w.t.Fatal(code, body)
+func (env *testEnv) announceOverload(version int, in time.Duration) {
+	env.t.Helper()
+	if code, body := env.announcePeak("hour", version, in, 20*time.Second, `,"class":"play","rate":30,"session_ms":4000`); code != 201 {
+		env.t.Fatal(code, body)
 	}
 }
 
 // holders are the boxes that have a title whole, by their own word.
-func (w *testEnv) boxesWithTitle(title string) (out []int) {
-	for i, b := range w.fleet.Boxes {
+func (env *testEnv) boxesWithTitle(title string) (indices []int) {
+	for i, b := range env.fleet.Boxes {
 		if b.Holds(title) {
-			out = append(out, i)
+			indices = append(indices, i)
 		}
 	}
-	return out
+	return indices
 }
 
 // told are the holders that the planner tells edges.
-func (w *testEnv) publishedHolders(title string) int {
-	_, body := w.get("http://" + w.site.Planner.Listen + "/v1/view")
+func (env *testEnv) publishedHolders(title string) int {
+	_, body := env.get("http://" + env.site.Planner.Listen + "/v1/view")
 	_, line, ok := strings.Cut(body, `{"name":"`+title+`"`)
 	if line, _, _ = strings.Cut(line, "}"); !ok || !strings.Contains(line, `"listed":true`) {
 		return -1
@@ -64,169 +64,169 @@
 }
 
 // Copies for an hour are made over the boxes' links, told once whole, used, and given back when it is cancelled.
-func TestCopiesForAnHour(t *testing.T) {
+func TestCopiesForPeak(t *testing.T) {
 	t.Parallel()
-	w := newCopiesEnv(t, 1, nil)
-	w.waitFor("holders are told", func() bool { return w.publishedHolders("clip") == 2 })
-	w.announceOverload(1, 8*time.Second)
-	w.waitFor("a third holder", func() bool {
-		return len(w.boxesWithTitle("clip")) > 2 && w.publishedHolders("clip") == len(w.boxesWithTitle("clip"))
+	env := newCopiesEnv(t, 1, nil)
+	env.waitFor("holders are told", func() bool { return env.publishedHolders("clip") == 2 })
+	env.announceOverload(1, 8*time.Second)
+	env.waitFor("a third holder", func() bool {
+		return len(env.boxesWithTitle("clip")) > 2 && env.publishedHolders("clip") == len(env.boxesWithTitle("clip"))
 	})
-	w.waitFor("sessions at a copy", func() bool {
+	env.waitFor("sessions at a copy", func() bool {
 		for i := range 8 {
-			w.play(0, fmt.Sprintf("key=c%d-%d", i, time.Now().UnixNano()))
+			env.play(0, fmt.Sprintf("key=c%d-%d", i, time.Now().UnixNano()))
 		}
 		n := 0
-		for i, b := range w.fleet.Boxes {
+		for i, b := range env.fleet.Boxes {
 			if i >= 2 {
 				n += b.Sessions()
 			}
 		}
 		return n > 0
 	})
-	if code, _ := w.callPlanner("DELETE", "/v1/peaks/hour", ""); code != 201 {
+	if code, _ := env.callPlanner("DELETE", "/v1/peaks/hour", ""); code != 201 {
 		t.Fatal(code)
 	}
-	w.waitFor("copies are given back", func() bool {
-		return slices.Equal(w.boxesWithTitle("clip"), []int{0, 1}) && w.publishedHolders("clip") == 2
+	env.waitFor("copies are given back", func() bool {
+		return slices.Equal(env.boxesWithTitle("clip"), []int{0, 1}) && env.publishedHolders("clip") == 2
 	})
-	for _, e := range w.log.Entries() {
-		if e.What == audit.TitleDropped && (e.Who == w.fleet.Boxes[0].Addr || e.Who == w.fleet.Boxes[1].Addr) {
+	for _, e := range env.log.Entries() {
+		if e.What == audit.TitleDropped && (e.Who == env.fleet.Boxes[0].Addr || e.Who == env.fleet.Boxes[1].Addr) {
 			t.Errorf("dropped at rest: %+v", e)
 		}
 	}
-	w.checkAudit()
+	env.checkAudit()
 }
 
 // Whatever dies while a copy is made, it is made in the end, and no session suffers.
-func TestCopiesThroughDeaths(t *testing.T) {
+func TestCopiesDespiteFailures(t *testing.T) {
 	t.Parallel()
-	for name, c := range map[string]func(w *testEnv){
-		"the source": func(w *testEnv) { w.fleet.Boxes[0].Crash() },
-		"the target": func(w *testEnv) {
-			for i, b := range w.fleet.Boxes[2:] {
+	for name, fail := range map[string]func(env *testEnv){
+		"the source": func(env *testEnv) { env.fleet.Boxes[0].Crash() },
+		"the target": func(env *testEnv) {
+			for i, b := range env.fleet.Boxes[2:] {
 				if !b.Holds("clip") {
 					b.Crash()
-					time.AfterFunc(500*time.Millisecond, func() { _ = w.fleet.Boxes[2+i].Return() })
+					time.AfterFunc(500*time.Millisecond, func() { _ = env.fleet.Boxes[2+i].Return() })
 				}
 			}
 		},
-		"the planner":           func(w *testEnv) { w.plannerTask.stopAndWait(); w.startPlanner() },
-		"a drain of the source": func(w *testEnv) { w.fleet.Boxes[0].Drain(true) },
-		"a full disk":           func(w *testEnv) { w.fleet.Boxes[3].Set(func(f *standin.Faults) { f.FullDisk = true }) },
-		"a hang of the source":  func(w *testEnv) { w.fleet.Boxes[1].Set(func(f *standin.Faults) { f.Hang = true }) },
+		"the planner":           func(env *testEnv) { env.plannerTask.stopAndWait(); env.startPlanner() },
+		"a drain of the source": func(env *testEnv) { env.fleet.Boxes[0].Drain(true) },
+		"a full disk":           func(env *testEnv) { env.fleet.Boxes[3].Set(func(f *standin.Faults) { f.FullDisk = true }) },
+		"a hang of the source":  func(env *testEnv) { env.fleet.Boxes[1].Set(func(f *standin.Faults) { f.Hang = true }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newCopiesEnv(t, 1, nil)
-			w.waitFor("holders are told", func() bool { return w.publishedHolders("clip") == 2 })
-			w.announceOverload(1, 10*time.Second)
-			w.waitFor("a copy is under way", func() bool {
-				return slices.ContainsFunc(w.fleet.Boxes[2:], (*standin.Box).Copying)
+			env := newCopiesEnv(t, 1, nil)
+			env.waitFor("holders are told", func() bool { return env.publishedHolders("clip") == 2 })
+			env.announceOverload(1, 10*time.Second)
+			env.waitFor("a copy is under way", func() bool {
+				return slices.ContainsFunc(env.fleet.Boxes[2:], (*standin.Box).Copying)
 			})
-			c(w)
+			fail(env)
 			var work sync.WaitGroup
 			for i := range 6 {
 				work.Add(1)
 				go func() {
 					defer work.Done()
-					if code, body := w.play(0, fmt.Sprint("key=d", i)); code != 200 && code != 503 && code != 502 {
+					if code, body := env.play(0, fmt.Sprint("key=d", i)); code != 200 && code != 503 && code != 502 {
 						t.Errorf("%d %s", code, body)
 					}
 				}()
 			}
 			work.Wait()
-			w.waitFor("another whole holder, told", func() bool {
+			env.waitFor("another whole holder, told", func() bool {
 				n := 0
-				for i, b := range w.fleet.Boxes {
+				for i, b := range env.fleet.Boxes {
 					if i >= 2 && b.Holds("clip") {
 						n++
 					}
 				}
-				return n > 0 && w.publishedHolders("clip") > 1
+				return n > 0 && env.publishedHolders("clip") > 1
 			})
-			w.checkAudit()
+			env.checkAudit()
 		})
 	}
 }
 
 // A set-up that is out in the moment its title is dropped there never ran, by the box's word, and goes to
 // another holder: one outcome.
-func TestDropMeetsSetUp(t *testing.T) {
+func TestTitleDroppedDuringSetUp(t *testing.T) {
 	t.Parallel()
-	w := newCopiesEnv(t, 1, nil)
-	w.waitFor("holders are told", func() bool { return w.publishedHolders("clip") == 2 })
-	for _, b := range w.fleet.Boxes[:2] {
+	env := newCopiesEnv(t, 1, nil)
+	env.waitFor("holders are told", func() bool { return env.publishedHolders("clip") == 2 })
+	for _, b := range env.fleet.Boxes[:2] {
 		b.Set(func(f *standin.Faults) { f.SetUp = 300 * time.Millisecond })
 	}
 	answers := make(chan int, 1)
-	go func() { code, _ := w.play(0, "key=x&class=paid"); answers <- code }()
-	var at *standin.Box
-	w.waitFor("a set-up is out", func() bool {
-		for _, e := range w.log.Entries() {
+	go func() { code, _ := env.play(0, "key=x&class=paid"); answers <- code }()
+	var target *standin.Box
+	env.waitFor("a set-up is out", func() bool {
+		for _, e := range env.log.Entries() {
 			if e.What == audit.SetupArrived {
-				at = w.fleet.Boxes[slices.IndexFunc(w.fleet.Boxes, func(b *standin.Box) bool { return b.Addr == e.Who })]
+				target = env.fleet.Boxes[slices.IndexFunc(env.fleet.Boxes, func(b *standin.Box) bool { return b.Addr == e.Who })]
 			}
 		}
-		return at != nil
+		return target != nil
 	})
-	q, _ := http.NewRequestWithContext(context.Background(), "DELETE", fmt.Sprintf("http://%s/titles/clip?epoch=%d", at.Addr, time.Now().UnixMilli()), nil)
-	p, err := http.DefaultClient.Do(q)
+	req, _ := http.NewRequestWithContext(context.Background(), "DELETE", fmt.Sprintf("http://%s/titles/clip?epoch=%d", target.Addr, time.Now().UnixMilli()), nil)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = p.Body.Close()
+	_ = resp.Body.Close()
 	if code := <-answers; code != 200 {
 		t.Errorf("answered %d", code)
 	}
-	if n := w.countEntries(audit.SetupRan, "paid"); n != 1 || at.Sessions() != 0 {
-		t.Errorf("ran %d times, %d at the box without it", n, at.Sessions())
+	if n := env.countEntries(audit.SetupRan, "paid"); n != 1 || target.Sessions() != 0 {
+		t.Errorf("ran %d times, %d at the box without it", n, target.Sessions())
 	}
-	w.checkAudit()
+	env.checkAudit()
 }
 
 // Two planners: boxes obey the later one, and the earlier commands no more. Clocks some seconds apart between
 // planner and edges change nothing: leases are lengths.
 func TestTwoPlanners(t *testing.T) {
 	t.Parallel()
-	w := newCopiesEnv(t, 1, nil)
-	w.waitFor("holders are told", func() bool { return w.publishedHolders("clip") == 2 })
+	env := newCopiesEnv(t, 1, nil)
+	env.waitFor("holders are told", func() bool { return env.publishedHolders("clip") == 2 })
 	later := time.Now().Add(5 * time.Second).UnixMilli() // the other's clock is ahead
-	for _, b := range w.fleet.Boxes {
-		q, _ := http.NewRequestWithContext(context.Background(), "PUT", fmt.Sprintf("http://%s/titles/none?epoch=%d&rate=1", b.Addr, later), nil)
-		p, err := http.DefaultClient.Do(q)
+	for _, b := range env.fleet.Boxes {
+		req, _ := http.NewRequestWithContext(context.Background(), "PUT", fmt.Sprintf("http://%s/titles/none?epoch=%d&rate=1", b.Addr, later), nil)
+		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = p.Body.Close()
+		_ = resp.Body.Close()
 	}
-	w.announceOverload(1, 8*time.Second)
-	w.waitFor("the planner sees that it is outdated", func() bool {
-		_, body := w.get("http://" + w.site.Planner.Listen + "/metrics")
+	env.announceOverload(1, 8*time.Second)
+	env.waitFor("the planner sees that it is outdated", func() bool {
+		_, body := env.get("http://" + env.site.Planner.Listen + "/metrics")
 		return strings.Contains(body, "rainpulley_planner_copies_outdated 1\n")
 	})
-	if got := w.boxesWithTitle("clip"); !slices.Equal(got, []int{0, 1}) {
+	if got := env.boxesWithTitle("clip"); !slices.Equal(got, []int{0, 1}) {
 		t.Errorf("holders %v", got)
 	}
-	if code, _ := w.play(0, "key=y"); code != 200 {
+	if code, _ := env.play(0, "key=y"); code != 200 {
 		t.Errorf("%d", code)
 	}
-	w.checkAudit()
+	env.checkAudit()
 }
 
 // A catalogue changed under load: titles removed and put back, moved, and updates that arrive half written. Each
 // session has one clear outcome, and a broken update changes nothing.
 func TestCatalogueChangesUnderLoad(t *testing.T) {
 	t.Parallel()
-	w := newCopiesEnv(t, 2, func(s *config.Site) {
+	env := newCopiesEnv(t, 2, func(s *config.Site) {
 		s.Limits.Sessions = 2000
 		s.Links = config.Links{PerWeight: 400_000, Uplink: 3_000_000} // copies crawl where viewers fill the links
 	})
-	w.waitFor("holders are told", func() bool { return w.publishedHolders("clip") == 2 && w.publishedHolders("other") == 2 })
+	env.waitFor("holders are told", func() bool { return env.publishedHolders("clip") == 2 && env.publishedHolders("other") == 2 })
 	stop, codes := make(chan struct{}), map[int]int{}
 	var mu sync.Mutex
 	var work sync.WaitGroup
-	for v := range 4 {
+	for viewer := range 4 {
 		work.Add(1)
 		go func() {
 			defer work.Done()
@@ -237,7 +237,7 @@
 				default:
 				}
 				title := []string{"clip", "other"}[i%2]
-				code, _ := w.get(fmt.Sprintf("http://%s/play/%s/index.m3u8?key=u%d-%d", w.site.Edges[v%2].Listen, title, v, i))
+				code, _ := env.get(fmt.Sprintf("http://%s/play/%s/index.m3u8?key=u%d-%d", env.site.Edges[viewer%2].Listen, title, viewer, i))
 				mu.Lock()
 				codes[code]++
 				mu.Unlock()
@@ -247,55 +247,55 @@
 	}
 	seen := func(code int) int { mu.Lock(); defer mu.Unlock(); return codes[code] }
 	for range 3 {
-		gone, plays := seen(404), seen(200)+seen(503)
-		for _, half := range []string{`{"name":"clip","home":0,`, `{"name":"clip","home":0,"span":99}`, `{"name":"clip"}`, ``} {
-			if code, _ := w.callPlanner("PUT", "/v1/titles/clip", half); code != 400 {
+		notFound, plays := seen(404), seen(200)+seen(503)
+		for _, malformed := range []string{`{"name":"clip","home":0,`, `{"name":"clip","home":0,"span":99}`, `{"name":"clip"}`, ``} {
+			if code, _ := env.callPlanner("PUT", "/v1/titles/clip", malformed); code != 400 {
 				t.Errorf("half an update: %d", code)
 			}
 		}
-		if code, _ := w.callPlanner("DELETE", "/v1/titles/other", ""); code != 204 {
+		if code, _ := env.callPlanner("DELETE", "/v1/titles/other", ""); code != 204 {
 			t.Error(code)
 		}
-		w.waitFor("it is gone, and viewers were told so", func() bool { return w.publishedHolders("other") < 0 && seen(404) > gone })
-		if code, _ := w.callPlanner("PUT", "/v1/titles/other", `{"name":"other","home":3,"span":2,"length_ms":4000}`); code != 204 {
+		env.waitFor("it is gone, and viewers were told so", func() bool { return env.publishedHolders("other") < 0 && seen(404) > notFound })
+		if code, _ := env.callPlanner("PUT", "/v1/titles/other", `{"name":"other","home":3,"span":2,"length_ms":4000}`); code != 204 {
 			t.Error(code)
 		}
-		w.waitFor("it is back, and plays", func() bool { return w.publishedHolders("other") >= 2 && seen(200)+seen(503) > plays+20 })
+		env.waitFor("it is back, and plays", func() bool { return env.publishedHolders("other") >= 2 && seen(200)+seen(503) > plays+20 })
 	}
-	if code, _ := w.callPlanner("PUT", "/v1/titles/clip", `{"name":"clip","home":2,"span":2,"length_ms":4000}`); code != 204 {
+	if code, _ := env.callPlanner("PUT", "/v1/titles/clip", `{"name":"clip","home":2,"span":2,"length_ms":4000}`); code != 204 {
 		t.Error(code)
 	}
-	w.waitFor("new holders are told", func() bool { return len(w.boxesWithTitle("clip")) == 4 && w.publishedHolders("clip") == 2 })
+	env.waitFor("new holders are told", func() bool { return len(env.boxesWithTitle("clip")) == 4 && env.publishedHolders("clip") == 2 })
 	close(stop)
 	work.Wait()
-	w.waitFor("it moved", func() bool { return slices.Equal(w.boxesWithTitle("clip"), []int{2, 3}) })
+	env.waitFor("it moved", func() bool { return slices.Equal(env.boxesWithTitle("clip"), []int{2, 3}) })
 	if codes[200] < 20 || codes[404] == 0 || codes[0] > 0 || codes[502] > 0 || codes[504] > 0 {
 		t.Errorf("answers %v", codes)
 	}
-	w.checkAudit()
+	env.checkAudit()
 }
 
 // A rendition removed while its sessions are being set up: those that ask for it come to one outcome each, and
 // the others play on.
-func TestRenditionRemovedMidSetUp(t *testing.T) {
+func TestRenditionRemovedDuringSetUp(t *testing.T) {
 	t.Parallel()
-	w := newTestEnv(t, 3, 1, nil)
-	w.startEdge(0, 3)
-	for _, b := range w.fleet.Boxes {
+	env := newTestEnv(t, 3, 1, nil)
+	env.startEdge(0, 3)
+	for _, b := range env.fleet.Boxes {
 		b.Set(func(f *standin.Faults) { f.SetUp = 150 * time.Millisecond })
 	}
-	_, manifest := w.play(0, "key=before")
+	_, manifest := env.play(0, "key=before")
 	codes := make(chan int, 24)
 	for i := range cap(codes) {
 		go func() {
-			code, _ := w.play(0, fmt.Sprintf("key=r%d&best=%d&class=%s", i, 1+i%2, []string{"play", "paid"}[i%2]))
+			code, _ := env.play(0, fmt.Sprintf("key=r%d&best=%d&class=%s", i, 1+i%2, []string{"play", "paid"}[i%2]))
 			codes <- code
 		}()
 	}
-	w.waitFor("set-ups are out", func() bool { return w.countEntries(audit.SetupArrived, "") > 6 })
-	less := "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=2400000\nr0/media.m3u8\n#EXT-X-STREAM-INF:BANDWIDTH=6400000\nr1/media.m3u8\n"
-	for _, b := range w.fleet.Boxes {
-		b.Set(func(f *standin.Faults) { f.Manifest = less })
+	env.waitFor("set-ups are out", func() bool { return env.countEntries(audit.SetupArrived, "") > 6 })
+	shortened := "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=2400000\nr0/media.m3u8\n#EXT-X-STREAM-INF:BANDWIDTH=6400000\nr1/media.m3u8\n"
+	for _, b := range env.fleet.Boxes {
+		b.Set(func(f *standin.Faults) { f.Manifest = shortened })
 	}
 	got := map[int]int{}
 	for range cap(codes) {
@@ -304,8 +304,8 @@
 	if got[200]+got[502]+got[503] != cap(codes) {
 		t.Errorf("answers %v", got)
 	}
-	if code, _ := w.get(w.mediaURL(0, manifest)); code != 200 {
+	if code, _ := env.get(env.mediaURL(0, manifest)); code != 200 {
 		t.Errorf("a session of before: %d", code)
 	}
-	w.checkAudit()
+	env.checkAudit()
 }
--- a/internal/edge/holds_test.go
+++ b/internal/edge/holds_test.go
@@ -14,54 +14,54 @@
 // Holds reach the edge, move off a box that drains, are given back at once on cancel, and lapse when the
 // planner dies; its successor knows what was announced.
 func TestHolds(t *testing.T) {
-	w := newTestEnv(t, 3, 1, nil)
-	w.startEdge(0, 3)
-	if code, text := w.announcePeak("p", 1, 2*time.Second, 20*time.Second, ""); code != 201 {
+	env := newTestEnv(t, 3, 1, nil)
+	env.startEdge(0, 3)
+	if code, text := env.announcePeak("p", 1, 2*time.Second, 20*time.Second, ""); code != 201 {
 		t.Fatalf("%d %s", code, text)
 	}
-	if code, _ := w.callPlanner("PUT", "/v1/peaks/other", `{"id":"p"}`); code != 400 {
+	if code, _ := env.callPlanner("PUT", "/v1/peaks/other", `{"id":"p"}`); code != 400 {
 		t.Errorf("id of another path: %d", code)
 	}
-	for more, field := range map[string]string{`,"rate":-1`: "rate", `,"titles":["none"]`: "titles[0]", `,"class":"x"`: "class", `,"colour":1`: "colour", `,"length_ms":0`: "length_ms"} {
-		if code, text := w.announcePeak("q", 1, time.Second, time.Second, more); code != 400 || !strings.Contains(text, field) {
-			t.Errorf("%s: %d %s", more, code, text)
+	for extraFields, field := range map[string]string{`,"rate":-1`: "rate", `,"titles":["none"]`: "titles[0]", `,"class":"x"`: "class", `,"colour":1`: "colour", `,"length_ms":0`: "length_ms"} {
+		if code, text := env.announcePeak("q", 1, time.Second, time.Second, extraFields); code != 400 || !strings.Contains(text, field) {
+			t.Errorf("%s: %d %s", extraFields, code, text)
 		}
 	}
-	w.waitFor("the edge holds room on all boxes", func() bool { return w.activeHolds(0) == 3 })
-	drained := w.fleet.Boxes[0]
-	drained.Drain(true)
-	w.waitFor("the drained box holds none", func() bool {
-		_, text := w.callPlanner("GET", "/v1/peaks", "")
+	env.waitFor("the edge holds room on all boxes", func() bool { return env.activeHolds(0) == 3 })
+	drainedBox := env.fleet.Boxes[0]
+	drainedBox.Drain(true)
+	env.waitFor("the drained box holds none", func() bool {
+		_, text := env.callPlanner("GET", "/v1/peaks", "")
 		_, text, _ = strings.Cut(text, `"holds":[`)
 		held, _, _ := strings.Cut(text, "]")
-		return w.activeHolds(0) == 2 && !strings.Contains(held, drained.Addr)
+		return env.activeHolds(0) == 2 && !strings.Contains(held, drainedBox.Addr)
 	})
-	w.plannerTask.stopAndWait()
-	w.waitFor("holds lapse", func() bool { return w.activeHolds(0) == 0 })
-	if code, body := w.play(0, "key=k1"); code != 200 {
+	env.plannerTask.stopAndWait()
+	env.waitFor("holds lapse", func() bool { return env.activeHolds(0) == 0 })
+	if code, body := env.play(0, "key=k1"); code != 200 {
 		t.Errorf("without a planner: %d %s", code, body)
 	}
-	w.startPlanner()
-	w.waitFor("the successor holds again", func() bool { return w.activeHolds(0) == 2 })
-	if code, _ := w.callPlanner("DELETE", "/v1/peaks/p", ""); code != 201 {
+	env.startPlanner()
+	env.waitFor("the successor holds again", func() bool { return env.activeHolds(0) == 2 })
+	if code, _ := env.callPlanner("DELETE", "/v1/peaks/p", ""); code != 201 {
 		t.Errorf("cancel: %d", code)
 	}
-	w.waitFor("given back", func() bool { return w.activeHolds(0) == 0 })
-	if code, _ := w.announcePeak("p", 1, time.Second, 20*time.Second, ""); code != 204 {
+	env.waitFor("given back", func() bool { return env.activeHolds(0) == 0 })
+	if code, _ := env.announcePeak("p", 1, time.Second, 20*time.Second, ""); code != 204 {
 		t.Errorf("an old version after the cancel: %d", code)
 	}
-	if code, _ := w.callPlanner("DELETE", "/v1/peaks/none", ""); code != 404 {
+	if code, _ := env.callPlanner("DELETE", "/v1/peaks/none", ""); code != 404 {
 		t.Errorf("cancel of none: %d", code)
 	}
-	w.checkAudit()
+	env.checkAudit()
 }
 
 // Announcement files: half written ones and those with a fault change nothing; mended, they are taken whole.
 func TestAnnouncementFiles(t *testing.T) {
-	w := newTestEnv(t, 2, 1, nil)
-	w.startEdge(0, 2)
-	file := filepath.Join(w.stateDir, "peaks.jsonnet")
-	one := func(id, title string) string {
+	env := newTestEnv(t, 2, 1, nil)
+	env.startEdge(0, 2)
+	file := filepath.Join(env.stateDir, "peaks.jsonnet")
+	peak := func(id, title string) string {
 		return fmt.Sprintf("{ id: '%s', version: 1, titles: ['%s'], class: 'play', start_ms: %d, rate: 2, length_ms: 20000 }", id, title,
 			time.Now().Add(time.Second).UnixMilli())
 	}
@@ -71,56 +71,56 @@
 		}
 		time.Sleep(1300 * time.Millisecond)
 	}
-	known := func() string { _, text := w.callPlanner("GET", "/v1/peaks", ""); return text }
-	for _, text := range []string{"", "{ peaks: [" + one("a", "clip"), "{ peaks: [" + one("a", "clip") + "," + one("b", "none") + "] }", "{ peeks: [] }"} {
+	known := func() string { _, text := env.callPlanner("GET", "/v1/peaks", ""); return text }
+	for _, text := range []string{"", "{ peaks: [" + peak("a", "clip"), "{ peaks: [" + peak("a", "clip") + "," + peak("b", "none") + "] }", "{ peeks: [] }"} {
 		write(text)
 		if !strings.Contains(known(), `"peaks":[]`) {
 			t.Errorf("%q: %s", text, known())
 		}
 	}
-	write("{ peaks: [" + one("a", "clip") + "," + one("b", "clip") + "] }")
+	write("{ peaks: [" + peak("a", "clip") + "," + peak("b", "clip") + "] }")
 	if got := known(); !strings.Contains(got, `"id":"a"`) || !strings.Contains(got, `"id":"b"`) {
 		t.Error(got)
 	}
-	w.waitFor("the edge holds room", func() bool { return w.activeHolds(0) > 0 })
+	env.waitFor("the edge holds room", func() bool { return env.activeHolds(0) > 0 })
 }
 
 // An edge that is killed in mid-peak comes back to the holds, and its use is not counted twice.
-func TestEdgeRestartsMidPeak(t *testing.T) {
-	w := newTestEnv(t, 3, 1, nil)
-	w.startEdge(0, 3)
-	w.announcePeak("p", 1, time.Second, 30*time.Second, "")
-	w.waitFor("the edge holds room", func() bool { return w.activeHolds(0) > 0 })
+func TestEdgeRestartDuringPeak(t *testing.T) {
+	env := newTestEnv(t, 3, 1, nil)
+	env.startEdge(0, 3)
+	env.announcePeak("p", 1, time.Second, 30*time.Second, "")
+	env.waitFor("the edge holds room", func() bool { return env.activeHolds(0) > 0 })
 	for i := range 4 {
-		_, m := w.play(0, fmt.Sprint("class=play&key=k", i))
-		w.get(w.mediaURL(0, m))
+		_, m := env.play(0, fmt.Sprint("class=play&key=k", i))
+		env.get(env.mediaURL(0, m))
 	}
-	w.edgeTasks[0].stopAndWait()
-	w.startEdge(0, 3)
-	w.waitFor("the edge holds room again", func() bool { return w.activeHolds(0) > 0 })
-	w.waitFor("use is counted once", func() bool {
-		_, text := w.callPlanner("GET", "/v1/peaks", "")
-		var b struct {
+	env.edgeTasks[0].stopAndWait()
+	env.startEdge(0, 3)
+	env.waitFor("the edge holds room again", func() bool { return env.activeHolds(0) > 0 })
+	env.waitFor("use is counted once", func() bool {
+		_, text := env.callPlanner("GET", "/v1/peaks", "")
+		var listed struct {
 			Accounts map[string]struct{ Size, Held, Used, Free float64 }
 		}
-		if err := json.Unmarshal([]byte(text), &b); err != nil {
+		if err := json.Unmarshal([]byte(text), &listed); err != nil {
 			t.Fatal(err)
 		}
 		used := 0.0
-		for _, a := range b.Accounts {
+		for _, a := range listed.Accounts {
 			used += a.Used
 			if math.Abs(a.Held+a.Used+a.Free-a.Size) > 1e-6 {
 				t.Errorf("%+v", a)
 			}
 		}
 		real := 0
-		for _, b := range w.fleet.Boxes {
-			real += b.Sessions()
+		for _, listed := range env.fleet.Boxes {
+			real += listed.Sessions()
 		}
 		if used > 1.2*4*2000 { // links are up to 15% other than told
 			t.Errorf("%.0f kB/s used by %d sessions of 2,000", used, real)
 		}
 		return real == 4 && used >= 4*2000
 	})
-	w.checkAudit()
+	env.checkAudit()
 }
--- a/internal/edge/rig_test.go
+++ b/internal/edge/rig_test.go
@@ -82,199 +82,199 @@
 	if change != nil {
 		change(site)
 	}
-	w := &testEnv{t: t, site: site, log: audit.NewLog(), stateDir: t.TempDir()}
-	w.fleet = standin.NewFleet(site, w.log, 1)
-	w.fleet.Setup = 5 * time.Millisecond
+	env := &testEnv{t: t, site: site, log: audit.NewLog(), stateDir: t.TempDir()}
+	env.fleet = standin.NewFleet(site, env.log, 1)
+	env.fleet.Setup = 5 * time.Millisecond
 	ctx, stop := context.WithCancel(context.Background())
-	if err := w.fleet.Start(ctx); err != nil {
+	if err := env.fleet.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	w.edgeTasks = make([]*task, edges)
-	w.startPlanner()
+	env.edgeTasks = make([]*task, edges)
+	env.startPlanner()
 	t.Cleanup(func() {
-		for _, e := range append(w.edgeTasks, w.plannerTask) {
+		for _, e := range append(env.edgeTasks, env.plannerTask) {
 			if e != nil {
 				e.stopAndWait()
 			}
 		}
 		stop()
-		w.fleet.Wait()
+		env.fleet.Wait()
 		http.DefaultClient.CloseIdleConnections()
 	})
-	return w
+	return env
 }
 
-func (w *testEnv) run(f func(context.Context) error) *task {
+func (env *testEnv) run(f func(context.Context) error) *task {
 	ctx, stop := context.WithCancel(context.Background())
 	r := &task{cancel: stop, done: make(chan struct{})}
 	go func() {
 		defer close(r.done)
 		if err := f(ctx); err != nil {
-			w.t.Error(err)
+			env.t.Error(err)
 		}
 	}()
 	return r
 }
 
 // planSite is the site as the planner reads it.
-func (w *testEnv) plannerSite() *config.Site {
-	if w.catalogue == nil {
-		return w.site
+func (env *testEnv) plannerSite() *config.Site {
+	if env.catalogue == nil {
+		return env.site
 	}
-	s := *w.site
+	s := *env.site
 	s.Boxes = nil
 	return &s
 }
 
-func (w *testEnv) startPlanner() {
-	w.planner = planner.New(planner.Options{Holds: "all", Site: w.plannerSite(), Log: plannerLog(), State: w.stateDir, Announcements: w.stateDir})
-	w.plannerTask = w.run(w.planner.Run)
+func (env *testEnv) startPlanner() {
+	env.planner = planner.New(planner.Options{Holds: "all", Site: env.plannerSite(), Log: plannerLog(), State: env.stateDir, Announcements: env.stateDir})
+	env.plannerTask = env.run(env.planner.Run)
 }
 
 // startEdge starts one; it is ready when it lists so many boxes.
-func (w *testEnv) startEdge(i, boxes int) {
-	w.t.Helper()
-	o := edge.Options{Site: w.site, Position: i, Planner: w.site.Planner.Listen, StateDir: w.stateDir, Seed: uint64(i + 1), ShutdownGrace: 3 * time.Second,
-		Log: slog.New(slog.DiscardHandler), StartTime: time.Now().Add(w.edgeClockOffset)}
+func (env *testEnv) startEdge(i, boxes int) {
+	env.t.Helper()
+	o := edge.Options{Site: env.site, Position: i, Planner: env.site.Planner.Listen, StateDir: env.stateDir, Seed: uint64(i + 1), ShutdownGrace: 3 * time.Second,
+		Log: slog.New(slog.DiscardHandler), StartTime: time.Now().Add(env.edgeClockOffset)}
 	if testing.Verbose() {
 		o.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
 	e, err := edge.New(o)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.edgeTasks[i] = w.run(e.Run)
-	w.waitFor("edge has its view", func() bool {
-		return strings.Contains(w.status(i), fmt.Sprintf(`"boxes":%d,`, boxes))
+	env.edgeTasks[i] = env.run(e.Run)
+	env.waitFor("edge has its view", func() bool {
+		return strings.Contains(env.status(i), fmt.Sprintf(`"boxes":%d,`, boxes))
 	})
 }
 
-func (w *testEnv) waitFor(what string, ok func() bool) {
-	w.t.Helper()
+func (env *testEnv) waitFor(what string, condition func() bool) {
+	env.t.Helper()
 	for range 1000 {
-		if ok() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	w.t.Fatalf("in vain: %s", what)
+	env.t.Fatalf("in vain: %s", what)
 }
 
-func (w *testEnv) status(i int) string {
-	_, body := w.get("http://" + w.site.Edges[i].Listen + "/status")
+func (env *testEnv) status(i int) string {
+	_, body := env.get("http://" + env.site.Edges[i].Listen + "/status")
 	return body
 }
 
-func (w *testEnv) get(uri string) (int, string) {
+func (env *testEnv) get(uri string) (int, string) {
 	c := &http.Client{Timeout: 6 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	r, err := c.Get(uri)
+	resp, err := c.Get(uri)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer r.Body.Close()
-	b, _ := io.ReadAll(r.Body)
-	return r.StatusCode, string(b)
+	defer resp.Body.Close()
+	b, _ := io.ReadAll(resp.Body)
+	return resp.StatusCode, string(b)
 }
 
-func (w *testEnv) play(edge int, query string) (int, string) {
-	return w.get("http://" + w.site.Edges[edge].Listen + "/play/clip/index.m3u8?" + query)
+func (env *testEnv) play(edge int, query string) (int, string) {
+	return env.get("http://" + env.site.Edges[edge].Listen + "/play/clip/index.m3u8?" + query)
 }
 
 // media is the URL of the media playlist that a manifest names.
-func (w *testEnv) mediaURL(edge int, manifest string) string {
-	w.t.Helper()
+func (env *testEnv) mediaURL(edge int, manifest string) string {
+	env.t.Helper()
 	for _, l := range strings.Split(manifest, "\n") {
 		if strings.HasPrefix(l, "/s/") {
-			return "http://" + w.site.Edges[edge].Listen + l
+			return "http://" + env.site.Edges[edge].Listen + l
 		}
 	}
-	w.t.Fatalf("no media playlist in %q", manifest)
+	env.t.Fatalf("no media playlist in %q", manifest)
 	return ""
 }
 
 // box is the one that a playlist's segments are at.
-func (w *testEnv) boxOf(playlist string) *standin.Box {
-	w.t.Helper()
+func (env *testEnv) boxOf(playlist string) *standin.Box {
+	env.t.Helper()
 	var found *standin.Box
 	for _, l := range strings.Split(playlist, "\n") {
 		if !strings.HasPrefix(l, "http://") {
 			continue
 		}
-		for _, b := range w.fleet.Boxes {
+		for _, b := range env.fleet.Boxes {
 			if strings.HasPrefix(l, "http://"+b.Addr+"/") {
 				if found != nil && found != b {
-					w.t.Errorf("one playlist names two boxes:\n%s", playlist)
+					env.t.Errorf("one playlist names two boxes:\n%s", playlist)
 				}
 				found = b
 			}
 		}
 	}
 	if found == nil {
-		w.t.Fatalf("no segment in\n%s", playlist)
+		env.t.Fatalf("no segment in\n%s", playlist)
 	}
 	return found
 }
 
 // count is how many entries of the boxes' logs say something of a class.
-func (w *testEnv) countEntries(what, class string) (n int) {
-	for _, e := range w.log.Entries() {
-		if e.What == what && (class == "" || e.Class == class) {
+func (env *testEnv) countEntries(event, class string) (n int) {
+	for _, e := range env.log.Entries() {
+		if e.What == event && (class == "" || e.Class == class) {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *testEnv) checkAudit() {
-	w.t.Helper()
-	for _, b := range audit.Judge(w.site, w.log.Entries()).Breaches {
-		w.t.Errorf("%+v", b)
+func (env *testEnv) checkAudit() {
+	env.t.Helper()
+	for _, b := range audit.Judge(env.site, env.log.Entries()).Breaches {
+		env.t.Errorf("%+v", b)
 	}
 }
 
 // judgeWithViewers also gives the audit the requests, which these tests' viewers do not log.
-func (w *testEnv) checkAuditWithRequests(requests int) {
-	w.t.Helper()
-	entries := w.log.Entries()
+func (env *testEnv) checkAuditWithRequests(requests int) {
+	env.t.Helper()
+	entries := env.log.Entries()
 	for i := range requests {
-		q := audit.Entry{Side: "viewer", What: audit.Asked, Session: fmt.Sprint("q", i), Edge: "0", Value: 4}
-		entries = append(entries, q)
-		q.What = audit.Answered
-		entries = append(entries, q)
+		entry := audit.Entry{Side: "viewer", What: audit.Asked, Session: fmt.Sprint("q", i), Edge: "0", Value: 4}
+		entries = append(entries, entry)
+		entry.What = audit.Answered
+		entries = append(entries, entry)
 	}
-	v := audit.Judge(w.site, entries)
-	for _, b := range v.Breaches {
-		w.t.Errorf("%+v", b)
+	verdict := audit.Judge(env.site, entries)
+	for _, b := range verdict.Breaches {
+		env.t.Errorf("%+v", b)
 	}
-	if w.site.Rules.BudgetSpan > 0 && v.Checks[audit.BudgetKept] == 0 {
-		w.t.Error("no further attempt was checked")
+	if env.site.Rules.BudgetSpan > 0 && verdict.Checks[audit.BudgetKept] == 0 {
+		env.t.Error("no further attempt was checked")
 	}
 }
 
 // say sends the planner an announcement of title "clip", and returns its answer.
-func (w *testEnv) announcePeak(id string, version int, in, length time.Duration, more string) (int, string) {
+func (env *testEnv) announcePeak(id string, version int, in, length time.Duration, extraFields string) (int, string) {
 	body := fmt.Sprintf(`{"id":%q,"version":%d,"titles":["clip"],"class":"play","start_ms":%d,"rate":4,"length_ms":%d%s}`, id, version,
-		time.Now().Add(in).UnixMilli(), length.Milliseconds(), more)
-	return w.callPlanner("PUT", "/v1/peaks/"+id, body)
+		time.Now().Add(in).UnixMilli(), length.Milliseconds(), extraFields)
+	return env.callPlanner("PUT", "/v1/peaks/"+id, body)
 }
 
-func (w *testEnv) callPlanner(method, path, body string) (int, string) {
-	q, err := http.NewRequest(method, "http://"+w.site.Planner.Listen+path, strings.NewReader(body))
+func (env *testEnv) callPlanner(method, path, body string) (int, string) {
+	req, err := http.NewRequest(method, "http://"+env.site.Planner.Listen+path, strings.NewReader(body))
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	c := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	r, err := c.Do(q)
+	resp, err := c.Do(req)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer r.Body.Close()
-	b, _ := io.ReadAll(r.Body)
-	return r.StatusCode, string(b)
+	defer resp.Body.Close()
+	b, _ := io.ReadAll(resp.Body)
+	return resp.StatusCode, string(b)
 }
 
-func (w *testEnv) activeHolds(i int) (n int) {
-	_, rest, _ := strings.Cut(w.status(i), `"holds":`)
+func (env *testEnv) activeHolds(i int) (n int) {
+	_, rest, _ := strings.Cut(env.status(i), `"holds":`)
 	_, _ = fmt.Sscan(rest, &n)
 	return n
 }
--- a/internal/edge/session_test.go
+++ b/internal/edge/session_test.go
@@ -12,22 +12,22 @@
 	"rainpulley/internal/standin"
 )
 
-func TestWholePath(t *testing.T) {
-	w := newTestEnv(t, 3, 1, nil)
-	w.startEdge(0, 3)
-	code, manifest := w.play(0, "class=play&best=1&key=k1")
+func TestPlayAndReload(t *testing.T) {
+	env := newTestEnv(t, 3, 1, nil)
+	env.startEdge(0, 3)
+	code, manifest := env.play(0, "class=play&best=1&key=k1")
 	if code != 200 || strings.Count(manifest, "#EXT-X-STREAM-INF:") != 1 {
 		t.Fatalf("%d %s", code, manifest)
 	}
-	uri := w.mediaURL(0, manifest)
-	code, list := w.get(uri)
+	uri := env.mediaURL(0, manifest)
+	code, list := env.get(uri)
 	if code != 200 || !strings.Contains(list, "#EXT-X-MEDIA-SEQUENCE:0\n") || strings.Contains(list, "ENDLIST") || !strings.Contains(list, "/r1/0.aac?s=") {
 		t.Fatalf("%d %s", code, list)
 	}
-	w.boxOf(list)
+	env.boxOf(list)
 	for _, l := range strings.Split(list, "\n") {
 		if strings.HasPrefix(l, "http://") {
-			if code, body := w.get(l); code != 200 || !strings.HasPrefix(body, "ID3") {
+			if code, body := env.get(l); code != 200 || !strings.HasPrefix(body, "ID3") {
 				t.Errorf("segment %s: %d", l, code)
 			}
 		}
@@ -38,147 +38,147 @@
 	}{{"/play/none/index.m3u8", 404}, {"/play/clip/index.m3u8?class=x", 400}, {"/play/clip/index.m3u8?best=x", 400}, {"/play/clip/index.m3u8?key=a/b", 400},
 		{"/play/clip/index.m3u8?class=paid&best=0", 400}, {"/x", 404}, {"/s/a", 404}, {"/s/play/clip/k9/9/0/media.m3u8", 400}, {"/s/play/clip/k1/1/0/r1.m3u8", 404},
 		{"/s/play/none/k9/1/0/media.m3u8", 404}, {"/play/clip/index.m3u8?patience=0", 400}, {"/healthz", 200}} {
-		if code, body := w.get("http://" + w.site.Edges[0].Listen + c.path); code != c.want {
+		if code, body := env.get("http://" + env.site.Edges[0].Listen + c.path); code != c.want {
 			t.Errorf("%s: %d %s", c.path, code, body)
 		}
 	}
-	w.checkAudit()
+	env.checkAudit()
 }
 
 // A viewer that asks again, on other connections and at once, joins the session it has.
-func TestRetriesJoin(t *testing.T) {
-	w := newTestEnv(t, 3, 1, nil)
-	w.fleet.Setup = 100 * time.Millisecond
-	w.startEdge(0, 3)
+func TestRetriesJoinSession(t *testing.T) {
+	env := newTestEnv(t, 3, 1, nil)
+	env.fleet.Setup = 100 * time.Millisecond
+	env.startEdge(0, 3)
 	var work sync.WaitGroup
 	for range 20 {
 		work.Add(1)
 		go func() {
 			defer work.Done()
-			if code, body := w.play(0, "class=paid&key=same"); code != 200 {
+			if code, body := env.play(0, "class=paid&key=same"); code != 200 {
 				t.Errorf("%d %s", code, body)
 			}
 		}()
 	}
 	work.Wait()
-	if code, body := w.get("http://" + w.site.Edges[0].Listen + "/play/clip/index.m3u8?CMCD=tb%3D3000%2Csid%3D%22cmcd-1%22"); code != 200 || !strings.Contains(body, "/cmcd-1/0/") {
+	if code, body := env.get("http://" + env.site.Edges[0].Listen + "/play/clip/index.m3u8?CMCD=tb%3D3000%2Csid%3D%22cmcd-1%22"); code != 200 || !strings.Contains(body, "/cmcd-1/0/") {
 		t.Errorf("CMCD: %d %s", code, body)
 	}
-	_, manifest := w.play(0, "class=paid&key=same")
-	w.get(w.mediaURL(0, manifest))
-	if n := w.countEntries(audit.SetupArrived, "paid"); n != 1 {
+	_, manifest := env.play(0, "class=paid&key=same")
+	env.get(env.mediaURL(0, manifest))
+	if n := env.countEntries(audit.SetupArrived, "paid"); n != 1 {
 		t.Errorf("%d set-ups for one viewer", n)
 	}
-	w.checkAudit()
+	env.checkAudit()
 }
 
 // A box drains while a manifest is half fetched: what plays goes on there, nothing new comes to it.
-func TestDrainMidManifest(t *testing.T) {
-	w := newTestEnv(t, 2, 1, nil)
-	w.startEdge(0, 2)
-	_, manifest := w.play(0, "key=k1")
-	uri := w.mediaURL(0, manifest)
-	_, list := w.get(uri)
-	b := w.boxOf(list)
+func TestDrainDuringPlayback(t *testing.T) {
+	env := newTestEnv(t, 2, 1, nil)
+	env.startEdge(0, 2)
+	_, manifest := env.play(0, "key=k1")
+	uri := env.mediaURL(0, manifest)
+	_, list := env.get(uri)
+	b := env.boxOf(list)
 	b.Drain(true)
-	w.waitFor("the edge is told", func() bool {
-		_, body := w.get("http://" + w.site.Planner.Listen + "/v1/view")
+	env.waitFor("the edge is told", func() bool {
+		_, body := env.get("http://" + env.site.Planner.Listen + "/v1/view")
 		return strings.Contains(body, "draining")
 	})
-	if code, again := w.get(uri); code != 200 || w.boxOf(again) != b {
+	if code, again := env.get(uri); code != 200 || env.boxOf(again) != b {
 		t.Errorf("%d: a drain broke what plays:\n%s", code, again)
 	}
 	time.Sleep(100 * time.Millisecond)
 	for i := range 8 {
-		_, m := w.play(0, fmt.Sprint("key=n", i))
-		if _, l := w.get(w.mediaURL(0, m)); w.boxOf(l) == b {
+		_, m := env.play(0, fmt.Sprint("key=n", i))
+		if _, l := env.get(env.mediaURL(0, m)); env.boxOf(l) == b {
 			t.Errorf("new session at a draining box")
 		}
 	}
-	w.checkAudit()
+	env.checkAudit()
 }
 
 // A box dies between the multivariant and the first media playlist: the reload is answered from another.
-func TestBoxDiesBeforeMedia(t *testing.T) {
-	w := newTestEnv(t, 3, 1, nil)
-	w.startEdge(0, 3)
-	_, manifest := w.play(0, "key=k1")
-	var dead *standin.Box
-	for _, b := range w.fleet.Boxes {
+func TestBoxCrashBeforeMediaPlaylist(t *testing.T) {
+	env := newTestEnv(t, 3, 1, nil)
+	env.startEdge(0, 3)
+	_, manifest := env.play(0, "key=k1")
+	var crashed *standin.Box
+	for _, b := range env.fleet.Boxes {
 		if b.Sessions() > 0 {
-			dead = b
+			crashed = b
 		}
 	}
-	dead.Crash()
-	uri := w.mediaURL(0, manifest)
-	w.waitFor("the reload names a living box", func() bool {
-		code, list := w.get(uri)
-		return code == 200 && w.boxOf(list) != dead
+	crashed.Crash()
+	uri := env.mediaURL(0, manifest)
+	env.waitFor("the reload names a living box", func() bool {
+		code, list := env.get(uri)
+		return code == 200 && env.boxOf(list) != crashed
 	})
-	if _, list := w.get(uri); !strings.Contains(list, "#EXT-X-DISCONTINUITY\n") && !strings.Contains(list, "#EXT-X-MEDIA-SEQUENCE:0\n") {
+	if _, list := env.get(uri); !strings.Contains(list, "#EXT-X-DISCONTINUITY\n") && !strings.Contains(list, "#EXT-X-MEDIA-SEQUENCE:0\n") {
 		t.Errorf("%s", list)
 	}
-	if n := w.countEntries(audit.SetupArrived, ""); n != 2 {
+	if n := env.countEntries(audit.SetupArrived, ""); n != 2 {
 		t.Errorf("%d set-ups", n)
 	}
-	w.checkAudit()
+	env.checkAudit()
 }
 
 // A reload at another edge, which never saw the session, is set up there and goes on where play stands.
 func TestReloadAtAnotherEdge(t *testing.T) {
-	w := newTestEnv(t, 3, 2, nil)
-	w.startEdge(0, 3)
-	w.startEdge(1, 3)
-	_, manifest := w.play(0, "key=k1")
+	env := newTestEnv(t, 3, 2, nil)
+	env.startEdge(0, 3)
+	env.startEdge(1, 3)
+	_, manifest := env.play(0, "key=k1")
 	time.Sleep(2200 * time.Millisecond)
-	code, list := w.get(w.mediaURL(1, manifest))
+	code, list := env.get(env.mediaURL(1, manifest))
 	if code != 200 || !strings.Contains(list, "#EXT-X-MEDIA-SEQUENCE:2\n") || !strings.Contains(list, "/2.aac") {
 		t.Errorf("%d %s", code, list)
 	}
-	w.checkAudit()
+	env.checkAudit()
 }
 
 // The answer of a set-up is lost, though the box runs it: a repeatable class is set up elsewhere after
 // the attempt is out, a paid one has failed and is not sent again. The stray session is let go.
-func TestAnswerLost(t *testing.T) {
-	w := newTestEnv(t, 3, 1, nil)
-	w.startEdge(0, 3)
-	lose := func(b *standin.Box) { b.Set(func(f *standin.Faults) { f.AnswerLost = 1 }) }
-	for _, b := range w.fleet.Boxes {
-		lose(b)
-	}
-	code, _ := w.play(0, "class=paid&key=p1")
+func TestSetUpAnswerLost(t *testing.T) {
+	env := newTestEnv(t, 3, 1, nil)
+	env.startEdge(0, 3)
+	loseNextAnswer := func(b *standin.Box) { b.Set(func(f *standin.Faults) { f.AnswerLost = 1 }) }
+	for _, b := range env.fleet.Boxes {
+		loseNextAnswer(b)
+	}
+	code, _ := env.play(0, "class=paid&key=p1")
 	if code != 502 {
 		t.Errorf("paid: %d, want failed", code)
 	}
-	if n := w.countEntries(audit.SetupRan, "paid"); n != 1 {
+	if n := env.countEntries(audit.SetupRan, "paid"); n != 1 {
 		t.Errorf("paid: %d set-ups ran", n)
 	}
-	keep := w.fleet.Boxes[1]
-	keep.Set(func(f *standin.Faults) { f.AnswerLost = 0 })
-	ok := false
+	healthy := env.fleet.Boxes[1]
+	healthy.Set(func(f *standin.Faults) { f.AnswerLost = 0 })
+	played := false
 	for i := range 4 {
-		code, _ = w.play(0, fmt.Sprint("class=play&key=r", i))
-		ok = ok || code == 200
+		code, _ = env.play(0, fmt.Sprint("class=play&key=r", i))
+		played = played || code == 200
 	}
-	if !ok {
+	if !played {
 		t.Error("repeatable: never played")
 	}
-	w.waitFor("strays are let go", func() bool { return w.fleet.Boxes[0].Sessions()+w.fleet.Boxes[2].Sessions() == 0 })
-	w.checkAudit()
+	env.waitFor("strays are let go", func() bool { return env.fleet.Boxes[0].Sessions()+env.fleet.Boxes[2].Sessions() == 0 })
+	env.checkAudit()
 }
 
 // Viewers give up at every moment around the answer; nothing is set up twice and nothing stays.
-func TestGiveUpRaces(t *testing.T) {
-	w := newTestEnv(t, 3, 1, nil)
-	w.fleet.Setup = 20 * time.Millisecond
-	w.startEdge(0, 3)
+func TestDisconnectRaces(t *testing.T) {
+	env := newTestEnv(t, 3, 1, nil)
+	env.fleet.Setup = 20 * time.Millisecond
+	env.startEdge(0, 3)
 	var work sync.WaitGroup
 	for i := range 60 {
 		work.Add(1)
 		go func() {
 			defer work.Done()
-			conn, err := net.Dial("tcp", w.site.Edges[0].Listen)
+			conn, err := net.Dial("tcp", env.site.Edges[0].Listen)
 			if err != nil {
 				t.Error(err)
 				return
@@ -187,54 +187,54 @@
 			time.Sleep(time.Duration(i) * time.Millisecond)
 			conn.Close()
 			if i%3 == 0 { // and come again at once
-				if code, body := w.play(0, fmt.Sprintf("class=paid&key=g%d", i)); code != 200 && code != 503 {
+				if code, body := env.play(0, fmt.Sprintf("class=paid&key=g%d", i)); code != 200 && code != 503 {
 					t.Errorf("%d %s", code, body)
 				}
 			}
 		}()
 	}
 	work.Wait()
-	w.checkAudit()
+	env.checkAudit()
 }
 
 // Playlists that cannot be used end in one clear answer.
-func TestBrokenPlaylists(t *testing.T) {
-	w := newTestEnv(t, 2, 1, nil)
-	w.startEdge(0, 2)
+func TestMalformedPlaylists(t *testing.T) {
+	env := newTestEnv(t, 2, 1, nil)
+	env.startEdge(0, 2)
 	for i, text := range []string{"nonsense", "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\nhttp://evil/x\n", "#EXTM3U\n#EXT-X-TARGETDURATION:1\n"} {
-		for _, b := range w.fleet.Boxes {
+		for _, b := range env.fleet.Boxes {
 			b.Set(func(f *standin.Faults) { f.Playlist = text })
 		}
-		if code, _ := w.play(0, fmt.Sprint("class=paid&key=b", i)); code != 502 && code != 503 {
+		if code, _ := env.play(0, fmt.Sprint("class=paid&key=b", i)); code != 502 && code != 503 {
 			t.Errorf("%q: %d", text, code)
 		}
 	}
-	w.checkAudit()
+	env.checkAudit()
 }
 
 // A manifest with an audio group: the session's manifest names the edge for both, each at the session's box;
 // tags that the edge does not know stay.
 func TestRenditions(t *testing.T) {
-	w := newTestEnv(t, 2, 1, nil)
-	w.startEdge(0, 2)
-	for _, b := range w.fleet.Boxes {
+	env := newTestEnv(t, 2, 1, nil)
+	env.startEdge(0, 2)
+	for _, b := range env.fleet.Boxes {
 		b.Set(func(f *standin.Faults) {
 			f.Manifest = "#EXTM3U\n#EXT-X-NEW-TAG:A=1\n#EXT-X-MEDIA:TYPE=AUDIO,GROUP-ID=\"a\",NAME=\"en\",URI=\"r0/media.m3u8\"\n" +
 				"#EXT-X-MEDIA:TYPE=AUDIO,GROUP-ID=\"b\",NAME=\"other\",URI=\"r1/media.m3u8\"\n" +
 				"#EXT-X-STREAM-INF:BANDWIDTH=9,AUDIO=\"a\"\nr2/media.m3u8\n"
 		})
 	}
-	code, manifest := w.play(0, "key=k1")
+	code, manifest := env.play(0, "key=k1")
 	if code != 200 || !strings.Contains(manifest, "#EXT-X-NEW-TAG:A=1\n") || strings.Contains(manifest, "GROUP-ID=\"b\"") {
 		t.Fatalf("%d %s", code, manifest)
 	}
-	uri := w.mediaURL(0, manifest)
-	_, main := w.get(uri)
-	code, audio := w.get(strings.Replace(uri, "media.m3u8", "r1.m3u8", 1))
-	if code != 200 || w.boxOf(audio) != w.boxOf(main) || !strings.Contains(audio, "/r0/0.aac") || !strings.Contains(main, "/r2/0.aac") {
+	uri := env.mediaURL(0, manifest)
+	_, main := env.get(uri)
+	code, audio := env.get(strings.Replace(uri, "media.m3u8", "r1.m3u8", 1))
+	if code != 200 || env.boxOf(audio) != env.boxOf(main) || !strings.Contains(audio, "/r0/0.aac") || !strings.Contains(main, "/r2/0.aac") {
 		t.Errorf("%d\n%s\n%s", code, audio, main)
 	}
-	if code, _ := w.get(strings.Replace(uri, "media.m3u8", "r3.m3u8", 1)); code != 404 {
+	if code, _ := env.get(strings.Replace(uri, "media.m3u8", "r3.m3u8", 1)); code != 404 {
 		t.Errorf("no such rendition: %d", code)
 	}
 }
