--- a/cmd/rainpulley/boxes.go
+++ b/cmd/rainpulley/boxes.go
@@ -24,7 +24,7 @@
 	}
 	defer p.Body.Close()
 	var list struct {
-		Boxes []planner.BoxLine `json:"boxes"`
+		Boxes []planner.BoxStatus `json:"boxes"`
 	}
 	if err := json.NewDecoder(p.Body).Decode(&list); err != nil || p.StatusCode != 200 {
 		return fmt.Errorf("planner answered %d: %w", p.StatusCode, err)
--- a/internal/edge/consul_test.go
+++ b/internal/edge/consul_test.go
@@ -50,9 +50,9 @@
 }
 
 // line is what the planner says of a box.
-func (env *testEnv) plannerBox(i int) (found planner.BoxLine) {
+func (env *testEnv) plannerBox(i int) (found planner.BoxStatus) {
 	_, body := env.get("http://" + env.site.Planner.Listen + "/v1/boxes")
-	var list struct{ Boxes []planner.BoxLine }
+	var list struct{ Boxes []planner.BoxStatus }
 	_ = json.Unmarshal([]byte(body), &list)
 	for _, box := range list.Boxes {
 		if box.ID == env.site.Boxes[i].Addr {
--- a/internal/planner/copies_test.go
+++ b/internal/planner/copies_test.go
@@ -39,8 +39,8 @@
 		if c.begun > -1000 {
 			f.Saw(start+1000*c.begun, 100, &a)
 		}
-		p.board.followers["p"] = f
-		if got := p.copiesFor(&a, start+1000*c.at); got != c.want {
+		p.peakState.followers["p"] = f
+		if got := p.needsCopies(&a, start+1000*c.at); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
--- a/internal/planner/keep.go
+++ b/internal/planner/keep.go
@@ -12,13 +12,13 @@
 )
 
 // told is what operators told through the API beyond the site file; it outlives a restart.
-type told struct {
+type overrides struct {
 	Drains []string              `json:"drains"`
 	Titles map[string]view.Title `json:"titles"` // a span of 0: removed
 }
 
 // keepFile writes a value beside the old file, syncs it and renames it, so that a crash leaves one of the two.
-func keepFile(path string, v any) error {
+func writeStateFile(path string, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("planner: %w", err)
@@ -39,7 +39,7 @@
 }
 
 // readKept reads such a file; false where there is none or it cannot be used, which is logged.
-func (p *Planner) readKept(path string, into any) bool {
+func (p *Planner) readStateFile(path string, into any) bool {
 	b, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return false
@@ -53,45 +53,45 @@
 	return err == nil
 }
 
-func (p *Planner) toldPath() string { return filepath.Join(p.State, "told.json") }
+func (p *Planner) overridesPath() string { return filepath.Join(p.State, "told.json") }
 
 // tell changes what operators told, on disk first. p.mu is held.
-func (p *Planner) tell(change func(*told)) error {
-	next := told{slices.Clone(p.told.Drains), map[string]view.Title{}}
-	for k, v := range p.told.Titles {
+func (p *Planner) changeOverrides(change func(*overrides)) error {
+	next := overrides{slices.Clone(p.overrides.Drains), map[string]view.Title{}}
+	for k, v := range p.overrides.Titles {
 		next.Titles[k] = v
 	}
 	change(&next)
 	if p.State != "" {
-		if err := keepFile(p.toldPath(), next); err != nil {
+		if err := writeStateFile(p.overridesPath(), next); err != nil {
 			return err
 		}
 	}
-	p.told = next
+	p.overrides = next
 	return nil
 }
 
 // loadTold takes up what an earlier planner was told. What names boxes or cells that the site no longer
 // has is dropped.
-func (p *Planner) loadTold() {
-	var t told
-	if p.State == "" || !p.readKept(p.toldPath(), &t) {
+func (p *Planner) loadOverrides() {
+	var saved overrides
+	if p.State == "" || !p.readStateFile(p.overridesPath(), &saved) {
 		return
 	}
-	for _, id := range t.Drains {
-		if !p.watch.Drain(id, true) {
+	for _, id := range saved.Drains {
+		if !p.monitor.SetDrain(id, true) {
 			p.Log.Warn("drain of before dropped: no such box", "server", id)
 			continue
 		}
-		p.told.Drains = append(p.told.Drains, id)
+		p.overrides.Drains = append(p.overrides.Drains, id)
 	}
-	p.told.Titles = map[string]view.Title{}
-	for name, x := range t.Titles {
+	p.overrides.Titles = map[string]view.Title{}
+	for name, x := range saved.Titles {
 		if x.Name != name || x.HomeCell < 0 || x.HomeCell >= p.Site.Cells || x.CellSpan < 0 || x.CellSpan > p.Site.Cells {
 			p.Log.Warn("title of before dropped: it does not fit the cells", "title", name)
 			continue
 		}
-		p.watch.SetTitle(x)
-		p.told.Titles[name] = x
+		p.monitor.SetTitle(x)
+		p.overrides.Titles[name] = x
 	}
 }
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -16,11 +16,11 @@
 		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "rainpulley_planner_" + name, Help: help, ConstLabels: labels},
 			func() float64 { p.mu.Lock(); defer p.mu.Unlock(); return read() }))
 	}
-	gauge("view_version", "Version of the view that is published; 0: none yet.", nil, func() float64 { return float64(p.now.Version) })
-	gauge("titles", "Titles of the view.", nil, func() float64 { return float64(len(p.now.Titles)) })
+	gauge("view_version", "Version of the view that is published; 0: none yet.", nil, func() float64 { return float64(p.published.Version) })
+	gauge("titles", "Titles of the view.", nil, func() float64 { return float64(len(p.published.Titles)) })
 	for _, state := range []view.State{view.StateReady, view.StateDraining} {
 		gauge("boxes", "Boxes of the view by state.", prometheus.Labels{"state": string(state)}, func() (n float64) {
-			for _, b := range p.now.Boxes {
+			for _, b := range p.published.Boxes {
 				if b.State == state {
 					n++
 				}
@@ -28,20 +28,20 @@
 			return n
 		})
 	}
-	gauge("peaks", "Announcements in the book, cancelled ones too.", nil, func() float64 { return float64(len(p.board.book.List())) })
+	gauge("peaks", "Announcements in the book, cancelled ones too.", nil, func() float64 { return float64(len(p.peakState.book.List())) })
 	gauge("held_kilobytes_per_second", "Room held for peaks.", nil, func() (kb float64) {
-		for _, h := range p.board.ledger.Held() {
+		for _, h := range p.peakState.ledger.Held() {
 			kb += h.Rate
 		}
 		return kb
 	})
-	gauge("plan_seconds", "Time that the last plan took.", nil, func() float64 { return p.board.plan.Took.Seconds() })
-	gauge("plan_worth_per_second", "What the last plan is thought to earn.", nil, func() float64 { return p.board.plan.Value })
-	if m := p.copy.manager; m != nil {
+	gauge("plan_seconds", "Time that the last plan took.", nil, func() float64 { return p.peakState.plan.Took.Seconds() })
+	gauge("plan_worth_per_second", "What the last plan is thought to earn.", nil, func() float64 { return p.peakState.plan.Value })
+	if m := p.copyState.manager; m != nil {
 		gauge("copies_under_way", "Copies that boxes are making.", nil, func() float64 { return float64(m.Jobs()) })
-		gauge("copies_wanted", "Copies beyond those at rest that are decided.", nil, func() float64 { return float64(len(p.copy.board.Copies()) + len(p.copy.extra)) })
-		gauge("copies_commands", "Commands to boxes so far.", nil, func() float64 { return float64(p.copy.sent) })
-		gauge("copies_refused", "Commands that boxes did not take.", nil, func() float64 { return float64(p.copy.failed) })
+		gauge("copies_wanted", "Copies beyond those at rest that are decided.", nil, func() float64 { return float64(len(p.copyState.decisions.Copies()) + len(p.copyState.driftCopies)) })
+		gauge("copies_commands", "Commands to boxes so far.", nil, func() float64 { return float64(p.copyState.commandsSent) })
+		gauge("copies_refused", "Commands that boxes did not take.", nil, func() float64 { return float64(p.copyState.commandsFailed) })
 		gauge("copies_outdated", "1: boxes obey a later planner, this one commands no more.", nil, func() float64 {
 			if m.Outdated() {
 				return 1
--- a/internal/planner/peaks.go
+++ b/internal/planner/peaks.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	planEvery   = time.Second
-	holdLease   = 3 * time.Second
-	usedFor     = 5 * time.Second // an edge's report counts for so long
-	solveBudget = 500 * time.Millisecond
-	mostBody    = 1 << 20
-	countLead   = 2 * time.Minute // arrivals are counted so long before the earliest start
+	planInterval     = time.Second
+	holdLease        = 3 * time.Second
+	usageReportTTL   = 5 * time.Second // an edge's report counts for so long
+	solveBudget      = 500 * time.Millisecond
+	maxBodyBytes     = 1 << 20
+	arrivalCountLead = 2 * time.Minute // arrivals are counted so long before the earliest start
 )
 
 // peakBoard is the planner's side of announced peaks; guarded by Planner.mu.
-type peakBoard struct {
-	book      *peaks.Book
-	ledger    *peaks.Ledger
-	followers map[string]*peaks.Follower // by peak
-	arrived   map[string]float64         // last count of an edge instance's peak and title
-	pending   map[string]float64         // arrivals since the last plan, by peak
-	instance  map[string]string          // of the edge at each position, as last heard
-	told      *view.Holds
-	plan      *peaks.Plan
-	files     map[string]time.Time // announcement files by when they were read
+type peakState struct {
+	book            *peaks.Book
+	ledger          *peaks.Ledger
+	followers       map[string]*peaks.Follower // by peak
+	lastArrivals    map[string]float64         // last count of an edge instance's peak and title
+	pendingArrivals map[string]float64         // arrivals since the last plan, by peak
+	edgeInstances   map[string]string          // of the edge at each position, as last heard
+	publishedHolds  *view.Holds
+	plan            *peaks.Plan
+	fileReadTimes   map[string]time.Time // announcement files by when they were read
 }
 
-func newBoard() peakBoard {
-	return peakBoard{book: peaks.NewBook(), ledger: peaks.NewLedger(), followers: map[string]*peaks.Follower{},
-		arrived: map[string]float64{}, pending: map[string]float64{}, instance: map[string]string{}, plan: &peaks.Plan{}, files: map[string]time.Time{}}
+func newPeakState() peakState {
+	return peakState{book: peaks.NewBook(), ledger: peaks.NewLedger(), followers: map[string]*peaks.Follower{},
+		lastArrivals: map[string]float64{}, pendingArrivals: map[string]float64{}, edgeInstances: map[string]string{}, plan: &peaks.Plan{}, fileReadTimes: map[string]time.Time{}}
 }
 
-func (p *Planner) known() peaks.Known {
+func (p *Planner) knownNames() peaks.Known {
 	k := peaks.Known{Zones: p.Site.Zones, Titles: map[string]bool{}}
 	for _, c := range p.Site.Classes {
 		k.Classes = append(k.Classes, c.Name)
 	}
-	for name := range p.watch.titles {
+	for name := range p.monitor.titles {
 		k.Titles[name] = true
 	}
 	return k
@@ -59,7 +59,7 @@
 func (p *Planner) announce(a peaks.Announcement) (bool, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	changed, err := p.board.book.Announce(a, p.known(), time.Now().UnixMilli())
+	changed, err := p.peakState.book.Announce(a, p.knownNames(), time.Now().UnixMilli())
 	if err != nil || !changed {
 		return changed, err
 	}
@@ -73,38 +73,38 @@
 	if p.State == "" {
 		return nil
 	}
-	return keepFile(p.bookPath(), p.board.book.List())
+	return writeStateFile(p.bookPath(), p.peakState.book.List())
 }
 
 // loadBook reads what an earlier planner was told. What is past is dropped, what is broken refused whole.
 func (p *Planner) loadBook() {
 	var list []peaks.Announcement
-	if p.State == "" || !p.readKept(p.bookPath(), &list) {
+	if p.State == "" || !p.readStateFile(p.bookPath(), &list) {
 		return
 	}
 	for _, a := range list {
-		if _, err := p.board.book.Announce(a, p.known(), time.Now().UnixMilli()); err != nil {
+		if _, err := p.peakState.book.Announce(a, p.knownNames(), time.Now().UnixMilli()); err != nil {
 			p.Log.Warn("announcement of before dropped", "id", a.ID, "error", err)
 		}
 	}
 }
 
-func (p *Planner) peakRoutes(mux *http.ServeMux) {
+func (p *Planner) registerPeakRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /v1/peaks", func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock()
-		out := map[string]any{"peaks": p.board.book.List(), "holds": p.board.ledger.Held(), "accounts": p.board.ledger.Accounts(),
-			"plan": map[string]any{"by": p.board.plan.By, "value": p.board.plan.Value, "took_ms": p.board.plan.Took.Seconds() * 1000}}
+		out := map[string]any{"peaks": p.peakState.book.List(), "holds": p.peakState.ledger.Held(), "accounts": p.peakState.ledger.Accounts(),
+			"plan": map[string]any{"by": p.peakState.plan.By, "value": p.peakState.plan.Value, "took_ms": p.peakState.plan.Took.Seconds() * 1000}}
 		p.mu.Unlock()
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(out)
 	})
 	mux.HandleFunc("PUT /v1/peaks/{id}", p.putPeak)
 	mux.HandleFunc("DELETE /v1/peaks/{id}", p.cancelPeak)
-	mux.HandleFunc("POST /v1/used", p.takeUse)
+	mux.HandleFunc("POST /v1/used", p.handleUsage)
 }
 
 func readJSON(w http.ResponseWriter, r *http.Request, into any) error {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBody))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
 		return fmt.Errorf("body: %w", err)
@@ -122,10 +122,10 @@
 	if err == nil {
 		changed, err = p.announce(a)
 	}
-	p.answerPeak(w, changed, err)
+	p.writePeakResult(w, changed, err)
 }
 
-func (p *Planner) answerPeak(w http.ResponseWriter, changed bool, err error) {
+func (p *Planner) writePeakResult(w http.ResponseWriter, changed bool, err error) {
 	switch {
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -139,24 +139,24 @@
 // cancelPeak cancels with the next version.
 func (p *Planner) cancelPeak(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	a, ok := p.board.book.Get(r.PathValue("id"))
+	a, ok := p.peakState.book.Get(r.PathValue("id"))
 	p.mu.Unlock()
 	if !ok {
 		http.Error(w, "no such peak", http.StatusNotFound)
 		return
 	}
 	if a.Cancelled {
-		p.answerPeak(w, false, nil)
+		p.writePeakResult(w, false, nil)
 		return
 	}
 	a.Version, a.Cancelled = a.Version+1, true
 	changed, err := p.announce(a)
-	p.answerPeak(w, changed, err)
+	p.writePeakResult(w, changed, err)
 }
 
 // takeUse takes an edge's report. Arrivals are counted from one report to the next, so that one that is
 // lost or comes twice counts none twice.
-func (p *Planner) takeUse(w http.ResponseWriter, r *http.Request) {
+func (p *Planner) handleUsage(w http.ResponseWriter, r *http.Request) {
 	var u view.UsageReport
 	if err := readJSON(w, r, &u); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -168,28 +168,28 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b := &p.board
+	b := &p.peakState
 	position, _, _ := strings.Cut(u.Edge, ".")
-	if old := b.instance[position]; old != u.Edge { // restarted: what it took over it reports itself
+	if old := b.edgeInstances[position]; old != u.Edge { // restarted: what it took over it reports itself
 		b.ledger.Drop(old)
-		b.instance[position] = u.Edge
+		b.edgeInstances[position] = u.Edge
 	}
 	if b.ledger.Report(u.Edge, u.Seq, time.Now().UnixMilli(), uses) {
 		for _, x := range u.Arrivals {
 			k := u.Edge + "\x00" + peaks.PeakTitle(x.Peak, x.Title)
-			if last, seen := b.arrived[k]; seen && x.Count > last {
-				b.pending[x.Peak] += x.Count - last
+			if last, seen := b.lastArrivals[k]; seen && x.Count > last {
+				b.pendingArrivals[x.Peak] += x.Count - last
 			}
-			b.arrived[k] = x.Count
+			b.lastArrivals[k] = x.Count
 		}
 	}
-	p.evidence(u.Edge, u.Outcomes, time.Now().UnixMilli())
+	p.recordOutcomes(u.Edge, u.Outcomes, time.Now().UnixMilli())
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // planning works plans out until ctx ends.
-func (p *Planner) planning(ctx context.Context) {
-	t := time.NewTicker(planEvery)
+func (p *Planner) runPlanning(ctx context.Context) {
+	t := time.NewTicker(planInterval)
 	defer t.Stop()
 	solver := peaks.NewSolver(solveBudget)
 	for {
@@ -198,24 +198,24 @@
 			return
 		case <-t.C:
 		}
-		p.readFiles()
+		p.readAnnouncementFiles()
 		p.mu.Lock()
-		f, demands, coming := p.outlook(time.Now().UnixMilli())
+		f, demands, expectedStreams := p.forecast(time.Now().UnixMilli())
 		p.mu.Unlock()
 		plan := &peaks.Plan{}
 		if len(demands) > 0 {
-			plan = p.solve(solver, f, demands)
+			plan = p.planHolds(solver, f, demands)
 		}
 		p.mu.Lock()
-		p.board.plan = plan
-		p.board.ledger.SetPlan(plan.Holds)
-		p.board.ledger.Coming(coming)
-		p.tellHolds()
+		p.peakState.plan = plan
+		p.peakState.ledger.SetPlan(plan.Holds)
+		p.peakState.ledger.Coming(expectedStreams)
+		p.publishHolds()
 		p.mu.Unlock()
 	}
 }
 
-func (p *Planner) solve(s *peaks.Solver, f *peaks.Fleet, demands []peaks.Demand) *peaks.Plan {
+func (p *Planner) planHolds(s *peaks.Solver, f *peaks.Fleet, demands []peaks.Demand) *peaks.Plan {
 	switch p.Holds {
 	case "none":
 		return &peaks.Plan{}
@@ -233,41 +233,41 @@
 }
 
 // outlook is the fleet and what is expected of each peak. p.mu is held.
-func (p *Planner) outlook(now int64) (*peaks.Fleet, []peaks.Demand, map[string]float64) {
-	b := &p.board
+func (p *Planner) forecast(now int64) (*peaks.Fleet, []peaks.Demand, map[string]float64) {
+	b := &p.peakState
 	b.book.Forget(now)
-	b.ledger.Expire(now - usedFor.Milliseconds())
+	b.ledger.Expire(now - usageReportTTL.Milliseconds())
 	var demands []peaks.Demand
-	coming := map[string]float64{}
+	expectedStreams := map[string]float64{}
 	for _, a := range b.book.List() {
-		fo := b.followers[a.ID]
-		if fo == nil {
-			fo = &peaks.Follower{}
-			b.followers[a.ID] = fo
+		follower := b.followers[a.ID]
+		if follower == nil {
+			follower = &peaks.Follower{}
+			b.followers[a.ID] = follower
 		}
-		fo.Saw(now, b.pending[a.ID], &a)
-		e := fo.Expect(now, &a, p.plays(&a))
+		follower.Saw(now, b.pendingArrivals[a.ID], &a)
+		e := follower.Expect(now, &a, p.sessionLength(&a))
 		if e.Rate <= 0 {
 			continue
 		}
 		rate := e.Rate / float64(len(a.Titles))
 		for _, name := range a.Titles {
-			d, secs := p.demand(&a, name, rate, e.Coming)
+			d, secs := p.peakDemand(&a, name, rate, e.Coming)
 			if d.Count > 0 {
 				demands = append(demands, d)
-				coming[peaks.PeakTitle(a.ID, name)] = rate * secs
+				expectedStreams[peaks.PeakTitle(a.ID, name)] = rate * secs
 			}
 		}
 	}
-	clear(b.pending)
-	return p.planFleet(), demands, coming
+	clear(b.pendingArrivals)
+	return p.planFleet(), demands, expectedStreams
 }
 
 // plays is how long a peak's sessions play, by its first title where it does not say.
-func (p *Planner) plays(a *peaks.Announcement) time.Duration {
+func (p *Planner) sessionLength(a *peaks.Announcement) time.Duration {
 	n := a.Session
 	if n <= 0 && len(a.Titles) > 0 {
-		n = p.watch.titles[a.Titles[0]].LengthMs
+		n = p.monitor.titles[a.Titles[0]].LengthMs
 	}
 	if n <= 0 {
 		return time.Minute
@@ -276,24 +276,24 @@
 }
 
 // demand is what a title of a peak needs at once, and for how many seconds viewers still come.
-func (p *Planner) demand(a *peaks.Announcement, name string, rate float64, comes time.Duration) (peaks.Demand, float64) {
-	t, ok := p.watch.titles[name]
+func (p *Planner) peakDemand(a *peaks.Announcement, name string, rate float64, arrivalsFor time.Duration) (peaks.Demand, float64) {
+	t, ok := p.monitor.titles[name]
 	if !ok {
 		return peaks.Demand{}, 0
 	}
 	class := p.Site.Class(a.Class)
-	plays := p.plays(a).Seconds()
+	sessionSeconds := p.sessionLength(a).Seconds()
 	worth := a.Worth
 	if worth <= 0 {
 		worth = p.Site.Classes[class].Worth
 	}
 	zone := p.Site.Zone(a.Zone)
-	return peaks.Demand{Peak: a.ID, Title: name, Class: class, Home: t.HomeCell, Span: t.CellSpan, Worth: worth, Holders: holders(t), Zoned: zone >= 0, Zone: zone,
-		Count: rate * min(plays, float64(a.Length)/1000)}, comes.Seconds()
+	return peaks.Demand{Peak: a.ID, Title: name, Class: class, Home: t.HomeCell, Span: t.CellSpan, Worth: worth, Holders: titleHolders(t), Zoned: zone >= 0, Zone: zone,
+		Count: rate * min(sessionSeconds, float64(a.Length)/1000)}, arrivalsFor.Seconds()
 }
 
 // holders of a title by name; nil where its cells say.
-func holders(t view.Title) []string {
+func titleHolders(t view.Title) []string {
 	if !t.Listed {
 		return nil
 	}
@@ -321,32 +321,32 @@
 		}
 		f.Classes = append(f.Classes, c)
 	}
-	accounts := p.board.ledger.PeakUse()
+	accounts := p.peakState.ledger.PeakUse()
 	sizes := map[string]peaks.Size{}
 	now := time.Now()
-	for _, b := range p.now.Boxes {
+	for _, b := range p.published.Boxes {
 		if b.State != view.StateReady {
 			continue
 		}
-		w := p.watch.boxes[b.ID]
+		w := p.monitor.boxes[b.ID]
 		if w == nil {
 			continue
 		}
-		x := peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Zone: s.Zone(b.Zone), Link: b.Weight * float64(s.Links.PerWeight), Warm: warm(s, b.StartedMs, now)}
+		x := peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Zone: s.Zone(b.Zone), Link: b.Weight * float64(s.Links.PerWeight), Warm: rampShare(s, b.StartedMs, now)}
 		if k := s.Kind(b.Kind); k >= 0 {
 			x.Streams = float64(s.Kinds[k].Streams)
 		}
 		u := accounts[b.ID]
-		x.Busy, x.Playing = max(w.link*x.Link-u.Rate, 0), max(w.streams-u.Streams, 0)
+		x.Busy, x.Playing = max(w.linkUtilization*x.Link-u.Rate, 0), max(w.streams-u.Streams, 0)
 		f.Boxes = append(f.Boxes, x)
-		sizes[b.ID] = peaks.Size{Rate: x.Link, Streams: x.Streams, Busy: w.link * x.Link, Playing: w.streams}
+		sizes[b.ID] = peaks.Size{Rate: x.Link, Streams: x.Streams, Busy: w.linkUtilization * x.Link, Playing: w.streams}
 	}
-	p.board.ledger.Resize(sizes)
+	p.peakState.ledger.Resize(sizes)
 	return f
 }
 
 // warm is the share of its capacity that a started box has reached.
-func warm(s *config.Site, startedMs int64, now time.Time) float64 {
+func rampShare(s *config.Site, startedMs int64, now time.Time) float64 {
 	ramp := s.Rules.Ramp.D()
 	age := now.Sub(time.UnixMilli(startedMs))
 	if startedMs == 0 || ramp <= 0 || age >= ramp {
@@ -356,32 +356,32 @@
 }
 
 // tellHolds makes the holds in force known to the streams. p.mu is held.
-func (p *Planner) tellHolds() {
-	b := &p.board
+func (p *Planner) publishHolds() {
+	b := &p.peakState
 	h := &view.Holds{LeaseMs: holdLease.Milliseconds()}
 	for _, x := range b.ledger.Held() {
 		h.Entries = append(h.Entries, view.Hold{Title: x.Title, Class: p.Site.Classes[x.Class].Name, Box: x.Box, Rate: x.Rate, Streams: x.Streams})
 	}
 	now := time.Now().UnixMilli()
 	for _, a := range b.book.List() {
-		if a.Cancelled || now < a.Start-a.Uncertain-countLead.Milliseconds() || now > a.Start+a.Uncertain+2*a.Length+countLead.Milliseconds() {
+		if a.Cancelled || now < a.Start-a.Uncertain-arrivalCountLead.Milliseconds() || now > a.Start+a.Uncertain+2*a.Length+arrivalCountLead.Milliseconds() {
 			continue
 		}
 		for _, t := range a.Titles {
 			h.CountedTitles = append(h.CountedTitles, view.CountedTitle{Peak: a.ID, Title: t, Class: a.Class})
 		}
 	}
-	if len(h.Entries)+len(h.CountedTitles) == 0 && (b.told == nil || len(b.told.Entries)+len(b.told.CountedTitles) == 0) {
+	if len(h.Entries)+len(h.CountedTitles) == 0 && (b.publishedHolds == nil || len(b.publishedHolds.Entries)+len(b.publishedHolds.CountedTitles) == 0) {
 		return
 	}
-	b.told = h
-	close(p.more)
-	p.more = make(chan struct{})
+	b.publishedHolds = h
+	close(p.updated)
+	p.updated = make(chan struct{})
 }
 
 // readFiles takes announcements from the folder of Jsonnet files, each an object or a list. A file that
 // cannot be read changes nothing, and is read again when it was written again.
-func (p *Planner) readFiles() {
+func (p *Planner) readAnnouncementFiles() {
 	if p.Announcements == "" {
 		return
 	}
@@ -389,13 +389,13 @@
 	slices.Sort(names)
 	for _, name := range names {
 		st, err := os.Stat(name)
-		if err != nil || st.ModTime().Equal(p.board.files[name]) {
+		if err != nil || st.ModTime().Equal(p.peakState.fileReadTimes[name]) {
 			continue
 		}
-		p.board.files[name] = st.ModTime()
+		p.peakState.fileReadTimes[name] = st.ModTime()
 		list, err := ReadAnnouncements(name)
 		if err == nil {
-			err = p.checkAll(list)
+			err = p.validateAnnouncements(list)
 		}
 		if err != nil {
 			p.Log.Error("announcement file not taken", "file", name, "error", err)
@@ -410,11 +410,11 @@
 }
 
 // checkAll finds the first fault of any, before one is taken.
-func (p *Planner) checkAll(list []peaks.Announcement) error {
+func (p *Planner) validateAnnouncements(list []peaks.Announcement) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, a := range list {
-		if err := a.Check(p.known(), time.Now().UnixMilli()); err != nil {
+		if err := a.Check(p.knownNames(), time.Now().UnixMilli()); err != nil {
 			return fmt.Errorf("[%d]: %w", i, err)
 		}
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -38,37 +38,37 @@
 	Options
 	client *http1.Client
 
-	mu     sync.Mutex
-	watch  *Watch
-	now    view.View
-	more   chan struct{} // closed and replaced at each change
-	board  peakBoard
-	told   told
-	copy   copyBoard
-	source sourceBoard
-	work   sync.WaitGroup
-	epoch  uint64 // boxes obey no planner with a lower one
+	mu          sync.Mutex
+	monitor     *Monitor
+	published   view.View
+	updated     chan struct{} // closed and replaced at each change
+	peakState   peakState
+	overrides   overrides
+	copyState   copyState
+	sourceState sourceState
+	wg          sync.WaitGroup
+	epoch       uint64 // boxes obey no planner with a lower one
 
-	checks *checks      // while it runs
-	site   *config.Site // as last reloaded
+	healthChecks *healthChecks // while it runs
+	currentSite  *config.Site  // as last reloaded
 }
 
 // New makes a planner. Its versions begin at the time, so that a restarted one is above its forerunner.
 func New(o Options) *Planner {
-	p := &Planner{Options: o, watch: NewWatch(o.Site.Planner.GoneAfter, uint64(time.Now().UnixMilli())), more: make(chan struct{}),
+	p := &Planner{Options: o, monitor: NewMonitor(o.Site.Planner.GoneAfter, uint64(time.Now().UnixMilli())), updated: make(chan struct{}),
 		client: &http1.Client{Limits: http1.DefaultLimits(), ConnectTimeout: o.Site.Planner.CheckFor.D()}}
 	for _, b := range o.Site.Boxes {
-		p.watch.Add(p.siteBox(b))
+		p.monitor.Add(p.siteBox(b))
 	}
 	for _, t := range o.Site.Titles {
-		p.watch.SetTitle(siteTitle(t))
+		p.monitor.SetTitle(siteTitle(t))
 	}
-	p.board, p.site = newBoard(), o.Site
-	p.epoch, p.copy = uint64(time.Now().UnixMilli()), p.newCopies()
-	p.loadTold()
+	p.peakState, p.currentSite = newPeakState(), o.Site
+	p.epoch, p.copyState = uint64(time.Now().UnixMilli()), p.newCopyState()
+	p.loadOverrides()
 	p.loadBook()
-	for name := range p.watch.titles {
-		p.tellTitle(name)
+	for name := range p.monitor.titles {
+		p.updateManagerTitle(name)
 	}
 	if err := p.openSources(); err != nil {
 		p.Log.Error("sources not opened: the site file stands", "error", err)
@@ -84,29 +84,29 @@
 			return fmt.Errorf("planner: %w", err)
 		}
 	}
-	work := &p.work
+	work := &p.wg
 	p.mu.Lock()
-	p.checks = &checks{ctx: ctx, work: work, stop: map[string]context.CancelFunc{}}
+	p.healthChecks = &healthChecks{ctx: ctx, wg: work, cancelByBox: map[string]context.CancelFunc{}}
 	for i, b := range p.Site.Boxes {
-		p.checkFrom(b.Addr, i)
+		p.startHealthChecks(b.Addr, i)
 	}
 	p.mu.Unlock()
 	work.Add(1)
-	go func() { defer work.Done(); p.planning(ctx) }()
+	go func() { defer work.Done(); p.runPlanning(ctx) }()
 	work.Add(1)
-	go func() { defer work.Done(); p.copying(ctx) }()
+	go func() { defer work.Done(); p.runCopies(ctx) }()
 	work.Add(1)
 	go func() { defer work.Done(); p.watchSources(ctx) }()
 	mux := http.NewServeMux()
-	p.peakRoutes(mux)
+	p.registerPeakRoutes(mux)
 	mux.Handle("GET /metrics", p.metrics())
-	mux.HandleFunc("GET /v1/stream", p.stream)
-	mux.HandleFunc("GET /v1/view", p.whole)
-	mux.HandleFunc("GET /v1/boxes", p.listBoxes)
-	mux.HandleFunc("POST /v1/boxes/{id}/drain", func(w http.ResponseWriter, r *http.Request) { p.drain(w, r, true) })
-	mux.HandleFunc("DELETE /v1/boxes/{id}/drain", func(w http.ResponseWriter, r *http.Request) { p.drain(w, r, false) })
-	mux.HandleFunc("PUT /v1/titles/{name}", p.setTitle)
-	mux.HandleFunc("DELETE /v1/titles/{name}", p.setTitle)
+	mux.HandleFunc("GET /v1/stream", p.streamView)
+	mux.HandleFunc("GET /v1/view", p.serveView)
+	mux.HandleFunc("GET /v1/boxes", p.handleListBoxes)
+	mux.HandleFunc("POST /v1/boxes/{id}/drain", func(w http.ResponseWriter, r *http.Request) { p.handleDrain(w, r, true) })
+	mux.HandleFunc("DELETE /v1/boxes/{id}/drain", func(w http.ResponseWriter, r *http.Request) { p.handleDrain(w, r, false) })
+	mux.HandleFunc("PUT /v1/titles/{name}", p.handleSetTitle)
+	mux.HandleFunc("DELETE /v1/titles/{name}", p.handleSetTitle)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10,
 		BaseContext: func(net.Listener) context.Context { return ctx }}
@@ -128,35 +128,35 @@
 }
 
 // publish makes the watch's view known if it changed. p.mu is held.
-func (p *Planner) publish() {
-	if p.now.Version == 0 && p.source.believer != nil && p.source.judged == nil {
+func (p *Planner) publishView() {
+	if p.published.Version == 0 && p.sourceState.reconciler != nil && p.sourceState.statuses == nil {
 		return // no source has spoken: an empty fleet would be told
 	}
-	if p.now.Version == 0 && (!p.watch.Settled() || p.copy.manager != nil && !p.copy.manager.Known()) {
+	if p.published.Version == 0 && (!p.monitor.AllChecked() || p.copyState.manager != nil && !p.copyState.manager.Known()) {
 		return
 	}
-	v, changed := p.watch.View()
-	if !changed && p.now.Version > 0 {
+	next, changed := p.monitor.View()
+	if !changed && p.published.Version > 0 {
 		return
 	}
-	p.now = v
-	close(p.more)
-	p.more = make(chan struct{})
+	p.published = next
+	close(p.updated)
+	p.updated = make(chan struct{})
 }
 
 // health is what a box says of itself.
-type health struct {
-	State     string `json:"state"`
-	Boot      string `json:"boot"`
-	StartedMs int64  `json:"started_ms"`
-	Titles    uint64 `json:"titles_version"`
+type healthResponse struct {
+	State         string `json:"state"`
+	Boot          string `json:"boot"`
+	StartedMs     int64  `json:"started_ms"`
+	TitlesVersion uint64 `json:"titles_version"`
 }
 
 // check asks one box again and again. Boxes are asked at different parts of the period.
-func (p *Planner) check(ctx context.Context, addr string, number int) {
+func (p *Planner) runHealthChecks(ctx context.Context, addr string, number int) {
 	every := p.Site.Planner.CheckEvery.D()
-	var known uint64
-	var read time.Time
+	var knownVersion uint64
+	var lastRead time.Time
 	misses := 0
 	wait := time.NewTimer(every * time.Duration(number) / time.Duration(max(len(p.Site.Boxes), 64)))
 	defer wait.Stop()
@@ -167,36 +167,36 @@
 		case <-wait.C:
 		}
 		wait.Reset(every)
-		c := p.ask(ctx, addr)
+		c := p.checkHealth(ctx, addr)
 		if ctx.Err() != nil {
 			return
 		}
 		p.mu.Lock()
-		p.watch.Saw(addr, c)
-		p.tellBoxes()
-		before := p.now.Version
-		p.publish()
-		after := p.now.Version
+		p.monitor.RecordCheck(addr, c)
+		p.updateManagerBoxes()
+		before := p.published.Version
+		p.publishView()
+		after := p.published.Version
 		p.mu.Unlock()
 		if after != before {
-			p.Log.Info("view", "version", after, "cause", addr, "answered", c.Answered, "draining", c.Draining, "boot", c.Boot)
+			p.Log.Info("view", "version", after, "cause", addr, "answered", c.Answered, "draining", c.Draining, "boot", c.BootID)
 		}
-		p.readTitles(ctx, addr, c, &known, &read, &misses) // after the state is known: a drain waits for nothing
+		p.refreshTitles(ctx, addr, c, &knownVersion, &lastRead, &misses) // after the state is known: a drain waits for nothing
 	}
 }
 
-func (p *Planner) ask(ctx context.Context, addr string) Check {
+func (p *Planner) checkHealth(ctx context.Context, addr string) HealthCheck {
 	limited, cancel := context.WithTimeout(ctx, p.Site.Planner.CheckFor.D())
 	defer cancel()
 	r, err := p.client.Do(limited, addr, "GET", "/health", nil, nil)
-	var h health
+	var h healthResponse
 	if err != nil || r.Status != 200 || json.Unmarshal(r.Body, &h) != nil {
-		return Check{}
+		return HealthCheck{}
 	}
-	c := Check{Answered: true, Draining: h.State == "draining", Boot: h.Boot, Titles: h.Titles, At: time.Now()}
+	c := HealthCheck{Answered: true, Draining: h.State == "draining", BootID: h.Boot, TitlesVersion: h.TitlesVersion, AnsweredAt: time.Now()}
 	if l := cmsd.Parse(r.Get("cmsd-dynamic")); l != nil {
 		if l.LinkUtilization != nil {
-			c.Link = *l.LinkUtilization
+			c.LinkUtilization = *l.LinkUtilization
 		}
 		if l.Streams != nil {
 			c.Streams = *l.Streams
@@ -209,27 +209,27 @@
 }
 
 const (
-	heartbeat = time.Second
-	sendFor   = 5 * time.Second // an edge that takes nothing for so long is let go
+	heartbeatInterval  = time.Second
+	streamWriteTimeout = 5 * time.Second // an edge that takes nothing for so long is let go
 )
 
 // stream sends the whole view, then each change, and a heartbeat in between.
-func (p *Planner) stream(w http.ResponseWriter, r *http.Request) {
+func (p *Planner) streamView(w http.ResponseWriter, r *http.Request) {
 	out := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	enc := json.NewEncoder(w)
 	var sent view.View
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
+	ticker := time.NewTicker(heartbeatInterval)
+	defer ticker.Stop()
 	for first := true; ; {
 		p.mu.Lock()
-		v, more, holds := p.now, p.more, p.board.told
+		v, updated, holds := p.published, p.updated, p.peakState.publishedHolds
 		p.mu.Unlock()
 		if v.Version == 0 { // nothing settled yet
 			select {
 			case <-r.Context().Done():
 				return
-			case <-more:
+			case <-updated:
 			}
 			continue
 		}
@@ -243,22 +243,22 @@
 		}
 		l.Holds = holds
 		sent, first = v, false
-		_ = out.SetWriteDeadline(time.Now().Add(sendFor))
+		_ = out.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
 		if enc.Encode(l) != nil || out.Flush() != nil {
 			return
 		}
 		select {
 		case <-r.Context().Done():
 			return
-		case <-more:
-		case <-beat.C:
+		case <-updated:
+		case <-ticker.C:
 		}
 	}
 }
 
-func (p *Planner) whole(w http.ResponseWriter, _ *http.Request) {
+func (p *Planner) serveView(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
-	v := p.now
+	v := p.published
 	p.mu.Unlock()
 	if v.Version == 0 {
 		http.Error(w, "the fleet is not checked yet", http.StatusServiceUnavailable)
@@ -268,15 +268,15 @@
 	_ = json.NewEncoder(w).Encode(view.Update{Version: v.Version, Full: true, Boxes: v.Boxes, Titles: v.Titles, NowMs: time.Now().UnixMilli()})
 }
 
-func (p *Planner) drain(w http.ResponseWriter, r *http.Request, on bool) {
+func (p *Planner) handleDrain(w http.ResponseWriter, r *http.Request, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	id := r.PathValue("id")
-	if p.watch.boxes[id] == nil {
+	if p.monitor.boxes[id] == nil {
 		http.Error(w, "no such box", http.StatusNotFound)
 		return
 	}
-	err := p.tell(func(t *told) {
+	err := p.changeOverrides(func(t *overrides) {
 		t.Drains = slices.DeleteFunc(t.Drains, func(d string) bool { return d == id })
 		if on {
 			t.Drains = append(t.Drains, id)
@@ -286,12 +286,12 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	p.watch.Drain(id, on)
-	p.publish()
+	p.monitor.SetDrain(id, on)
+	p.publishView()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (p *Planner) setTitle(w http.ResponseWriter, r *http.Request) {
+func (p *Planner) handleSetTitle(w http.ResponseWriter, r *http.Request) {
 	t := view.Title{Name: r.PathValue("name")}
 	if r.Method == http.MethodPut {
 		d := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096))
@@ -304,13 +304,13 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.tell(func(x *told) { x.Titles[t.Name] = t }); err != nil {
+	if err := p.changeOverrides(func(x *overrides) { x.Titles[t.Name] = t }); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	p.watch.SetTitle(t)
-	p.tellTitle(t.Name)
-	p.holders()
-	p.publish()
+	p.monitor.SetTitle(t)
+	p.updateManagerTitle(t.Name)
+	p.updateHolders()
+	p.publishView()
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/planner/reload.go
+++ b/internal/planner/reload.go
@@ -9,10 +9,10 @@
 )
 
 // checks are the goroutines that ask boxes; guarded by Planner.mu.
-type checks struct {
-	ctx  context.Context
-	work *sync.WaitGroup
-	stop map[string]context.CancelFunc // by box
+type healthChecks struct {
+	ctx         context.Context
+	wg          *sync.WaitGroup
+	cancelByBox map[string]context.CancelFunc // by box
 }
 
 func (p *Planner) siteBox(b config.Box) view.Box {
@@ -24,11 +24,11 @@
 }
 
 // checkFrom begins to ask a box. p.mu is held.
-func (p *Planner) checkFrom(addr string, number int) {
-	ctx, stop := context.WithCancel(p.checks.ctx)
-	p.checks.stop[addr] = stop
-	p.checks.work.Add(1)
-	go func() { defer p.checks.work.Done(); p.check(ctx, addr, number) }()
+func (p *Planner) startHealthChecks(addr string, number int) {
+	ctx, stop := context.WithCancel(p.healthChecks.ctx)
+	p.healthChecks.cancelByBox[addr] = stop
+	p.healthChecks.wg.Add(1)
+	go func() { defer p.healthChecks.wg.Done(); p.runHealthChecks(ctx, addr, number) }()
 }
 
 // Reload takes a site's boxes and titles as they are now. What operators told through the API stays over
@@ -36,11 +36,11 @@
 func (p *Planner) Reload(s *config.Site) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.checks == nil || p.checks.ctx.Err() != nil {
+	if p.healthChecks == nil || p.healthChecks.ctx.Err() != nil {
 		return
 	}
 	old := map[string]config.Box{}
-	for _, b := range p.site.Boxes {
+	for _, b := range p.currentSite.Boxes {
 		old[b.Addr] = b
 	}
 	for i, b := range s.Boxes {
@@ -49,33 +49,33 @@
 		if known && was == b {
 			continue
 		}
-		p.watch.Update(p.siteBox(b))
+		p.monitor.Update(p.siteBox(b))
 		if !known {
-			p.checkFrom(b.Addr, i)
+			p.startHealthChecks(b.Addr, i)
 		}
 	}
 	for addr := range old {
-		p.checks.stop[addr]()
-		delete(p.checks.stop, addr)
-		p.watch.Remove(addr)
+		p.healthChecks.cancelByBox[addr]()
+		delete(p.healthChecks.cancelByBox, addr)
+		p.monitor.Remove(addr)
 	}
-	p.reloadTitles(s.Titles)
+	p.applySiteTitles(s.Titles)
 	fixed := config.Changed(p.Site, s, "boxes", "titles", "playback")
-	p.site = s
-	p.publish()
+	p.currentSite = s
+	p.publishView()
 	p.Log.Info("site reloaded", "boxes", len(s.Boxes), "titles", len(s.Titles), "needs_restart", fixed)
 }
 
 // reloadTitles changes those that the file changed, not those that operators told otherwise.
-func (p *Planner) reloadTitles(titles []config.Title) {
+func (p *Planner) applySiteTitles(titles []config.Title) {
 	old := map[string]config.Title{}
-	for _, t := range p.site.Titles {
+	for _, t := range p.currentSite.Titles {
 		old[t.Name] = t
 	}
 	set := func(t view.Title) {
-		if _, told := p.told.Titles[t.Name]; !told {
-			p.watch.SetTitle(t)
-			p.tellTitle(t.Name)
+		if _, told := p.overrides.Titles[t.Name]; !told {
+			p.monitor.SetTitle(t)
+			p.updateManagerTitle(t.Name)
 		}
 	}
 	for _, t := range titles {
--- a/internal/planner/sources.go
+++ b/internal/planner/sources.go
@@ -12,36 +12,36 @@
 	"strings"
 	"time"
 
-	"rainpulley/internal/belief"
 	"rainpulley/internal/config"
+	"rainpulley/internal/reconcile"
 	"rainpulley/internal/registry"
 	"rainpulley/internal/view"
 	"rainpulley/internal/viewstore"
 )
 
 const (
-	believeEvery = 250 * time.Millisecond
-	fromDisk     = "disk" // the source that stands in until others speak
+	reconcileInterval = 250 * time.Millisecond
+	diskSource        = "disk" // the source that stands in until others speak
 )
 
 // sourceBoard is the planner's side of registries; guarded by Planner.mu. believer is nil where the site file
 // alone tells the fleet.
-type sourceBoard struct {
-	believer *belief.Believer
-	sources  []registry.Source
-	boxes    map[string]registry.Box // as the source that is believed describes them
-	by       map[string]map[string]registry.Box
-	judged   []belief.Judged
-	titles   map[string]bool // that sources told
-	faults   string
-	outcomes map[string]view.Outcome // last counts of an edge instance and box
-	store    *viewstore.Store
-	written  uint64
+type sourceState struct {
+	reconciler     *reconcile.Reconciler
+	sources        []registry.Source
+	boxes          map[string]registry.Box // as the source that is believed describes them
+	boxesBySource  map[string]map[string]registry.Box
+	statuses       []reconcile.Status
+	titleNames     map[string]bool // that sources told
+	lastFaults     string
+	lastOutcomes   map[string]view.Outcome // last counts of an edge instance and box
+	store          *viewstore.Store
+	writtenVersion uint64
 }
 
 // openSources makes the believer for the sources in their order of preference, the last view on disk behind them.
 func (p *Planner) openSources() error {
-	b := &p.source
+	b := &p.sourceState
 	b.sources = p.Sources
 	if len(b.sources) == 0 && p.Site.Consul.Address != "" {
 		c, err := registry.NewConsul(p.Site)
@@ -53,24 +53,24 @@
 	if len(b.sources) == 0 {
 		return nil
 	}
-	rules := belief.Defaults()
-	rules.Fresh = max(rules.Fresh, p.Site.Consul.Wait.D()*5/4+5*time.Second) // between answers of a blocking query nothing is heard
+	rules := reconcile.DefaultRules()
+	rules.SourceTimeout = max(rules.SourceTimeout, p.Site.Consul.Wait.D()*5/4+5*time.Second) // between answers of a blocking query nothing is heard
 	var names []string
 	for _, s := range b.sources {
 		names = append(names, s.Name())
 	}
-	b.believer = belief.New(rules, append(names, fromDisk)...)
-	b.boxes, b.by, b.titles, b.outcomes = map[string]registry.Box{}, map[string]map[string]registry.Box{}, map[string]bool{}, map[string]view.Outcome{}
+	b.reconciler = reconcile.New(rules, append(names, diskSource)...)
+	b.boxes, b.boxesBySource, b.titleNames, b.lastOutcomes = map[string]registry.Box{}, map[string]map[string]registry.Box{}, map[string]bool{}, map[string]view.Outcome{}
 	if p.State != "" {
 		b.store = viewstore.Open(filepath.Join(p.State, "sources.view"))
-		p.readLast()
+		p.restoreSnapshot()
 	}
 	return nil
 }
 
 // readLast takes the last word that was kept, with its age. p is not running yet.
-func (p *Planner) readLast() {
-	v, err := p.source.store.Read()
+func (p *Planner) restoreSnapshot() {
+	v, err := p.sourceState.store.Read()
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
@@ -82,29 +82,29 @@
 		return
 	}
 	p.Log.Info("started from the last word of sources", "file", v.Path, "age", time.Since(v.WrittenAt).Round(time.Second), "boxes", len(s.Boxes))
-	s.Source = fromDisk
-	p.take(s, v.WrittenAt.UnixMilli())
+	s.Source = diskSource
+	p.applySnapshot(s, v.WrittenAt.UnixMilli())
 }
 
 // watchSources follows all sources until ctx ends.
 func (p *Planner) watchSources(ctx context.Context) {
-	if p.source.believer == nil {
+	if p.sourceState.reconciler == nil {
 		return
 	}
-	for _, s := range p.source.sources {
-		p.work.Add(1)
+	for _, s := range p.sourceState.sources {
+		p.wg.Add(1)
 		go func() {
-			defer p.work.Done()
-			s.Watch(ctx, func(x registry.Snapshot) { p.heard(x) }, func(err error) {
+			defer p.wg.Done()
+			s.Watch(ctx, func(x registry.Snapshot) { p.handleSnapshot(x) }, func(err error) {
 				p.Log.Warn("source not heard, its last word ages", "source", s.Name(), "error", err)
 			})
 		}()
 	}
-	t := time.NewTicker(believeEvery)
+	t := time.NewTicker(reconcileInterval)
 	defer t.Stop()
 	for {
 		p.mu.Lock()
-		p.believe(time.Now().UnixMilli())
+		p.reconcileSources(time.Now().UnixMilli())
 		p.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -115,20 +115,20 @@
 }
 
 // heard takes a word, believes at once (a drain must not wait for the next look) and keeps it on disk.
-func (p *Planner) heard(s registry.Snapshot) {
+func (p *Planner) handleSnapshot(s registry.Snapshot) {
 	now := time.Now().UnixMilli()
 	p.mu.Lock()
-	p.take(s, now-s.Age.Milliseconds())
-	p.believe(now)
-	keep := p.source.store != nil && p.source.written != s.Version && len(s.Boxes) > 0
-	p.source.written = s.Version
+	p.applySnapshot(s, now-s.Age.Milliseconds())
+	p.reconcileSources(now)
+	keep := p.sourceState.store != nil && p.sourceState.writtenVersion != s.Version && len(s.Boxes) > 0
+	p.sourceState.writtenVersion = s.Version
 	p.mu.Unlock()
 	if !keep {
 		return
 	}
 	body, err := json.Marshal(s)
 	if err == nil {
-		err = p.source.store.Write(body, time.Now())
+		err = p.sourceState.store.Write(body, time.Now())
 	}
 	if err != nil {
 		p.Log.Error("word of sources not kept", "error", err)
@@ -136,9 +136,9 @@
 }
 
 // take hands a word to the believer. p.mu is held, or p is not running yet.
-func (p *Planner) take(s registry.Snapshot, at int64) {
-	b := &p.source
-	entries := make([]belief.Entry, 0, len(s.Boxes))
+func (p *Planner) applySnapshot(s registry.Snapshot, at int64) {
+	b := &p.sourceState
+	entries := make([]reconcile.Entry, 0, len(s.Boxes))
 	by := make(map[string]registry.Box, len(s.Boxes))
 	for _, x := range s.Boxes {
 		if p.Site.Zone(x.Zone) < 0 || p.Site.Kind(x.Kind) < 0 || x.Cell < 0 || x.Cell >= p.Site.Cells || !(x.Weight > 0) {
@@ -147,51 +147,51 @@
 		entries = append(entries, x.Entry)
 		by[x.ID] = x
 	}
-	b.by[s.Source] = by
-	if err := b.believer.Heard(s.Source, entries, at); err != nil {
+	b.boxesBySource[s.Source] = by
+	if err := b.reconciler.UpdateSource(s.Source, entries, at); err != nil {
 		p.Log.Error("word not taken", "error", err)
 		return
 	}
-	if text := strings.Join(s.Faults, "; "); text != b.faults {
-		b.faults = text
+	if text := strings.Join(s.Faults, "; "); text != b.lastFaults {
+		b.lastFaults = text
 		p.Log.Warn("entries kept out", "source", s.Source, "count", len(s.Faults), "faults", text)
 	}
 	if s.Titles != nil {
-		p.takeTitles(s.Titles)
+		p.applySourceTitles(s.Titles)
 	}
 }
 
 // takeTitles makes a source's titles those of the view, but for what operators told.
-func (p *Planner) takeTitles(titles []view.Title) {
+func (p *Planner) applySourceTitles(titles []view.Title) {
 	set := func(t view.Title) {
-		if _, told := p.told.Titles[t.Name]; !told {
-			p.watch.SetTitle(t)
-			p.tellTitle(t.Name)
+		if _, told := p.overrides.Titles[t.Name]; !told {
+			p.monitor.SetTitle(t)
+			p.updateManagerTitle(t.Name)
 		}
 	}
 	named := map[string]bool{}
 	for _, t := range titles {
 		named[t.Name] = true
-		if old := p.watch.titles[t.Name]; old.HomeCell != t.HomeCell || old.CellSpan != t.CellSpan || old.LengthMs != t.LengthMs {
+		if old := p.monitor.titles[t.Name]; old.HomeCell != t.HomeCell || old.CellSpan != t.CellSpan || old.LengthMs != t.LengthMs {
 			set(t)
 		}
 	}
-	for name := range p.source.titles {
+	for name := range p.sourceState.titleNames {
 		if !named[name] {
 			set(view.Title{Name: name})
 		}
 	}
-	p.source.titles = named
+	p.sourceState.titleNames = named
 }
 
 // believe brings what is believed into the watch: which boxes there are, and which of them get no new work. p.mu
 // is held.
-func (p *Planner) believe(now int64) {
-	b := &p.source
-	b.judged = b.believer.View(now)
+func (p *Planner) reconcileSources(now int64) {
+	b := &p.sourceState
+	b.statuses = b.reconciler.Evaluate(now)
 	there := map[string]bool{}
-	for _, j := range b.judged {
-		x, known := b.by[j.Source][j.ID]
+	for _, j := range b.statuses {
+		x, known := b.boxesBySource[j.Source][j.ID]
 		if !known {
 			if x, known = b.boxes[j.ID]; !known { // named long ago by a source that names it no more
 				continue
@@ -200,50 +200,50 @@
 		there[j.ID] = true
 		w := p.siteBox(config.Box{Addr: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, Weight: x.Weight})
 		if old, ok := b.boxes[j.ID]; !ok || old.Zone != x.Zone || old.Kind != x.Kind || old.Cell != x.Cell || old.Weight != x.Weight {
-			p.watch.Update(w)
+			p.monitor.Update(w)
 		}
 		b.boxes[j.ID] = x
-		p.watch.Believe(j.ID, view.State(j.State), j.Started)
-		if p.checks != nil && p.checks.stop[j.ID] == nil && p.checks.ctx.Err() == nil {
-			p.checkFrom(j.ID, len(there)%64)
+		p.monitor.SetReported(j.ID, view.State(j.State), j.Started)
+		if p.healthChecks != nil && p.healthChecks.cancelByBox[j.ID] == nil && p.healthChecks.ctx.Err() == nil {
+			p.startHealthChecks(j.ID, len(there)%64)
 		}
 	}
 	for id := range b.boxes {
 		if !there[id] {
 			delete(b.boxes, id)
-			if p.checks != nil && p.checks.stop[id] != nil {
-				p.checks.stop[id]()
-				delete(p.checks.stop, id)
+			if p.healthChecks != nil && p.healthChecks.cancelByBox[id] != nil {
+				p.healthChecks.cancelByBox[id]()
+				delete(p.healthChecks.cancelByBox, id)
 			}
-			p.watch.Remove(id)
+			p.monitor.Remove(id)
 		}
 	}
-	p.tellBoxes()
-	p.publish()
+	p.updateManagerBoxes()
+	p.publishView()
 }
 
 // evidence takes what set-ups went through at edges. Counts rise from an edge's start, so that a report that is lost
 // or comes twice counts nothing twice. p.mu is held.
-func (p *Planner) evidence(edge string, list []view.Outcome, now int64) {
-	b := &p.source
-	if b.believer == nil {
+func (p *Planner) recordOutcomes(edge string, list []view.Outcome, now int64) {
+	b := &p.sourceState
+	if b.reconciler == nil {
 		return
 	}
 	for _, o := range list {
 		k := edge + "\x00" + o.Box
-		last := b.outcomes[k]
-		b.outcomes[k] = o
+		last := b.lastOutcomes[k]
+		b.lastOutcomes[k] = o
 		for range min(max(o.Failed-last.Failed, 0), 100) {
-			b.believer.Failed(o.Box, now)
+			b.reconciler.RecordFailure(o.Box, now)
 		}
 		if o.Served > last.Served {
-			b.believer.Served(o.Box, now)
+			b.reconciler.RecordServed(o.Box, now)
 		}
 	}
 }
 
 // BoxLine is a box as `rainpulley boxes` shows it.
-type BoxLine struct {
+type BoxStatus struct {
 	ID     string `json:"id"`
 	State  string `json:"state"`
 	Source string `json:"source"`
@@ -252,34 +252,34 @@
 }
 
 // listBoxes tells each box's state in the view, whose word it is, how old, and why.
-func (p *Planner) listBoxes(w http.ResponseWriter, _ *http.Request) {
+func (p *Planner) handleListBoxes(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	states := map[string]view.State{}
-	for _, x := range p.now.Boxes {
+	for _, x := range p.published.Boxes {
 		states[x.ID] = x.State
 	}
-	var out []BoxLine
-	for id, x := range p.watch.boxes {
-		l := BoxLine{ID: id, State: string(view.StateGone), Source: "site", Reason: "answers its checks"}
+	var out []BoxStatus
+	for id, x := range p.monitor.boxes {
+		l := BoxStatus{ID: id, State: string(view.StateGone), Source: "site", Reason: "answers its checks"}
 		if s, ok := states[id]; ok {
 			l.State = string(s)
 		}
-		if i := slices.IndexFunc(p.source.judged, func(j belief.Judged) bool { return j.ID == id }); i >= 0 {
-			j := p.source.judged[i]
+		if i := slices.IndexFunc(p.sourceState.statuses, func(j reconcile.Status) bool { return j.ID == id }); i >= 0 {
+			j := p.sourceState.statuses[i]
 			l.Source, l.AgeMs, l.Reason = j.Source, j.Age.Milliseconds(), j.Reason
 		}
 		switch {
-		case x.drain:
+		case x.operatorDrain:
 			l.Reason = "drain told by an operator"
-		case x.misses > 0 || !x.known:
-			l.Reason = l.Reason + "; " + strconv.Itoa(x.misses) + " of the planner's checks missed"
+		case x.missedChecks > 0 || !x.answered:
+			l.Reason = l.Reason + "; " + strconv.Itoa(x.missedChecks) + " of the planner's checks missed"
 		case x.box.State == view.StateDraining:
 			l.Reason = "says that it drains"
 		}
 		out = append(out, l)
 	}
 	p.mu.Unlock()
-	slices.SortFunc(out, func(a, b BoxLine) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b BoxStatus) int { return strings.Compare(a.ID, b.ID) })
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{"boxes": out})
 }
--- a/internal/planner/watch.go
+++ b/internal/planner/watch.go
@@ -10,57 +10,57 @@
 )
 
 // Check is what one health check of a box found.
-type Check struct {
-	Answered bool
-	Draining bool
-	Boot     string    // changes when the box's process starts anew
-	Started  time.Time // zero: not told; by the box's clock
-	At       time.Time // when it was answered, by the planner's clock; zero: not known
-	Link     float64   // asked of its link over what it gives, as it reports
-	Streams  float64   // that it runs
-	Titles   uint64    // changes when its titles do
+type HealthCheck struct {
+	Answered        bool
+	Draining        bool
+	BootID          string    // changes when the box's process starts anew
+	Started         time.Time // zero: not told; by the box's clock
+	AnsweredAt      time.Time // when it was answered, by the planner's clock; zero: not known
+	LinkUtilization float64   // asked of its link over what it gives, as it reports
+	Streams         float64   // that it runs
+	TitlesVersion   uint64    // changes when its titles do
 }
 
 // Watch turns checks into the view. It does no I/O and reads no clock: what to believe of checks is
 // settled here. A box is listed once a check was answered; one that misses several in a row is gone; one
 // that answers with another boot has restarted, and its start counts as told by the box.
-type Watch struct {
+type Monitor struct {
 	goneAfter int
-	boxes     map[string]*watched
+	boxes     map[string]*boxState
 	titles    map[string]view.Title
 	version   uint64
-	last      view.View
+	lastView  view.View
 }
 
-type watched struct {
-	box    view.Box
-	known  bool // ever answered
-	misses int
-	boot   string
-	heard  time.Time  // last answer under that boot
-	drain  bool       // told by an operator, whatever the box says
-	belief view.State // what sources are believed to say; "": nobody else speaks of it
+type boxState struct {
+	box           view.Box
+	answered      bool // ever answered
+	missedChecks  int
+	bootID        string
+	lastAnswerAt  time.Time  // last answer under that boot
+	operatorDrain bool       // told by an operator, whatever the box says
+	reportedState view.State // what sources are believed to say; "": nobody else speaks of it
 
-	link, streams float64 // last reported
+	linkUtilization, streams float64 // last reported
 }
 
 // NewWatch begins with nothing known. Versions rise from first, which must be above those of an earlier
 // planner of the same fleet.
-func NewWatch(goneAfter int, first uint64) *Watch {
-	return &Watch{goneAfter: max(goneAfter, 1), boxes: map[string]*watched{}, titles: map[string]view.Title{},
-		version: first, last: view.View{Version: first}}
+func NewMonitor(goneAfter int, first uint64) *Monitor {
+	return &Monitor{goneAfter: max(goneAfter, 1), boxes: map[string]*boxState{}, titles: map[string]view.Title{},
+		version: first, lastView: view.View{Version: first}}
 }
 
 // Add makes a box known; it is not listed before it answers.
-func (w *Watch) Add(b view.Box) {
+func (w *Monitor) Add(b view.Box) {
 	if w.boxes[b.ID] == nil {
 		b.State = view.StateGone
-		w.boxes[b.ID] = &watched{box: b}
+		w.boxes[b.ID] = &boxState{box: b}
 	}
 }
 
 // Update changes what is known of a box from its installation; its state and start stay.
-func (w *Watch) Update(b view.Box) {
+func (w *Monitor) Update(b view.Box) {
 	if o := w.boxes[b.ID]; o != nil {
 		b.State, b.StartedMs = o.box.State, o.box.StartedMs
 		o.box = b
@@ -70,15 +70,15 @@
 }
 
 // Remove forgets a box.
-func (w *Watch) Remove(id string) { delete(w.boxes, id) }
+func (w *Monitor) Remove(id string) { delete(w.boxes, id) }
 
 // Drain marks a box for draining, or ends that.
-func (w *Watch) Drain(id string, on bool) bool {
+func (w *Monitor) SetDrain(id string, on bool) bool {
 	b := w.boxes[id]
 	if b == nil {
 		return false
 	}
-	b.drain = on
+	b.operatorDrain = on
 	if on && b.box.State == view.StateReady {
 		b.box.State = view.StateDraining
 	} else if !on && b.box.State == view.StateDraining {
@@ -88,7 +88,7 @@
 }
 
 // SetTitle adds or changes a title; a span of 0 removes it.
-func (w *Watch) SetTitle(t view.Title) {
+func (w *Monitor) SetTitle(t view.Title) {
 	if t.CellSpan == 0 {
 		delete(w.titles, t.Name)
 		return
@@ -100,27 +100,27 @@
 }
 
 // Saw takes a check.
-func (w *Watch) Saw(id string, c Check) {
+func (w *Monitor) RecordCheck(id string, c HealthCheck) {
 	b := w.boxes[id]
 	if b == nil {
 		return
 	}
 	if !c.Answered {
-		if b.misses++; b.misses >= w.goneAfter {
+		if b.missedChecks++; b.missedChecks >= w.goneAfter {
 			b.box.State = view.StateGone
 		}
 		return
 	}
-	b.misses, b.known, b.link, b.streams = 0, true, c.Link, c.Streams
-	if c.Boot != b.boot || b.box.StartedMs == 0 {
+	b.missedChecks, b.answered, b.linkUtilization, b.streams = 0, true, c.LinkUtilization, c.Streams
+	if c.BootID != b.bootID || b.box.StartedMs == 0 {
 		if !c.Started.IsZero() {
-			b.box.StartedMs = b.began(c).UnixMilli()
+			b.box.StartedMs = b.startTime(c).UnixMilli()
 		}
-		b.boot = c.Boot
+		b.bootID = c.BootID
 	}
-	b.heard = c.At
+	b.lastAnswerAt = c.AnsweredAt
 	b.box.State = view.StateReady
-	if c.Draining || b.drain {
+	if c.Draining || b.operatorDrain {
 		b.box.State = view.StateDraining
 	}
 }
@@ -128,36 +128,36 @@
 // began is when a box's process started, by the planner's clock. The box's own clock may be apart: one that is
 // behind would let a cold box pass for a warm one, and be pushed over. It cannot have started before the
 // last answer under its old boot, nor after this one.
-func (b *watched) began(c Check) time.Time {
+func (b *boxState) startTime(c HealthCheck) time.Time {
 	at := c.Started
-	if b.boot != "" && at.Before(b.heard) {
-		at = b.heard
+	if b.bootID != "" && at.Before(b.lastAnswerAt) {
+		at = b.lastAnswerAt
 	}
-	if !c.At.IsZero() && at.After(c.At) {
-		at = c.At
+	if !c.AnsweredAt.IsZero() && at.After(c.AnsweredAt) {
+		at = c.AnsweredAt
 	}
 	return at
 }
 
 // Believe takes what other sources are believed to say of a box: it gets no better state than that. A start that
 // they tell later than the box's own is believed.
-func (w *Watch) Believe(id string, s view.State, started int64) {
+func (w *Monitor) SetReported(id string, s view.State, started int64) {
 	b := w.boxes[id]
 	if b == nil {
 		return
 	}
-	b.belief = s
+	b.reportedState = s
 	if b.box.StartedMs > 0 && started > b.box.StartedMs {
 		b.box.StartedMs = started
 	}
 }
 
 // state is a box's state in the view: the worse of its own checks and of what is believed of other sources.
-func (b *watched) state() view.State {
+func (b *boxState) effectiveState() view.State {
 	switch {
-	case b.box.State == view.StateGone || b.belief == view.StateGone:
+	case b.box.State == view.StateGone || b.reportedState == view.StateGone:
 		return view.StateGone
-	case b.belief == view.StateDraining:
+	case b.reportedState == view.StateDraining:
 		return view.StateDraining
 	}
 	return b.box.State
@@ -165,9 +165,9 @@
 
 // Settled tells that every box was heard of or missed often enough. Before that the view is not worth
 // publishing: a planner that starts would tell its edges that the whole fleet is gone.
-func (w *Watch) Settled() bool {
+func (w *Monitor) AllChecked() bool {
 	for _, b := range w.boxes {
-		if !b.known && b.misses < w.goneAfter {
+		if !b.answered && b.missedChecks < w.goneAfter {
 			return false
 		}
 	}
@@ -175,9 +175,9 @@
 }
 
 // View is the view as it stands, with a higher version if anything changed since the last call.
-func (w *Watch) View() (v view.View, changed bool) {
+func (w *Monitor) View() (v view.View, changed bool) {
 	for _, b := range w.boxes {
-		if s := b.state(); s != view.StateGone {
+		if s := b.effectiveState(); s != view.StateGone {
 			x := b.box
 			x.State = s
 			v.Boxes = append(v.Boxes, x)
@@ -188,11 +188,11 @@
 	}
 	slices.SortFunc(v.Boxes, func(a, b view.Box) int { return strings.Compare(a.ID, b.ID) })
 	slices.SortFunc(v.Titles, func(a, b view.Title) int { return strings.Compare(a.Name, b.Name) })
-	if slices.Equal(v.Boxes, w.last.Boxes) && slices.EqualFunc(v.Titles, w.last.Titles, view.Title.Equal) {
-		return w.last, false
+	if slices.Equal(v.Boxes, w.lastView.Boxes) && slices.EqualFunc(v.Titles, w.lastView.Titles, view.Title.Equal) {
+		return w.lastView, false
 	}
 	w.version++
 	v.Version = w.version
-	w.last = v
+	w.lastView = v
 	return v, true
 }
--- a/internal/planner/watch_test.go
+++ b/internal/planner/watch_test.go
@@ -11,8 +11,8 @@
 
 func TestWatch(t *testing.T) {
 	start := time.UnixMilli(5000)
-	ok := Check{Answered: true, Boot: "one", Started: start}
-	w := NewWatch(2, 100)
+	ok := HealthCheck{Answered: true, BootID: "one", Started: start}
+	w := NewMonitor(2, 100)
 	w.Add(view.Box{ID: "a"})
 	w.Add(view.Box{ID: "b"})
 	state := func(id string) (view.State, int64) {
@@ -24,45 +24,45 @@
 		}
 		return view.StateGone, 0
 	}
-	w.Saw("a", ok)
-	if w.Settled() {
+	w.RecordCheck("a", ok)
+	if w.AllChecked() {
 		t.Error("settled before b was heard of or missed")
 	}
-	w.Saw("b", Check{})
-	w.Saw("b", Check{})
-	if s, _ := state("a"); !w.Settled() || s != view.StateReady {
+	w.RecordCheck("b", HealthCheck{})
+	w.RecordCheck("b", HealthCheck{})
+	if s, _ := state("a"); !w.AllChecked() || s != view.StateReady {
 		t.Error("not settled, or a not ready")
 	}
-	w.Saw("a", Check{})
+	w.RecordCheck("a", HealthCheck{})
 	if s, _ := state("a"); s != view.StateReady {
 		t.Error("gone after one check missed")
 	}
-	w.Saw("a", Check{})
+	w.RecordCheck("a", HealthCheck{})
 	if s, _ := state("a"); s != view.StateGone {
 		t.Error("not gone after two")
 	}
-	again := Check{Answered: true, Boot: "two", Started: time.UnixMilli(9000)}
-	w.Saw("a", again)
+	again := HealthCheck{Answered: true, BootID: "two", Started: time.UnixMilli(9000)}
+	w.RecordCheck("a", again)
 	if s, at := state("a"); s != view.StateReady || at != 9000 {
 		t.Errorf("back as %s, started %d", s, at)
 	}
 	again.Started = time.UnixMilli(9500) // a clock that was set is no restart
-	w.Saw("a", again)
+	w.RecordCheck("a", again)
 	if _, at := state("a"); at != 9000 {
 		t.Errorf("started %d without a restart", at)
 	}
-	w.Drain("a", true)
-	w.Saw("a", again)
+	w.SetDrain("a", true)
+	w.RecordCheck("a", again)
 	if s, _ := state("a"); s != view.StateDraining {
 		t.Error("an operator's drain was forgotten")
 	}
-	w.Drain("a", false)
+	w.SetDrain("a", false)
 	again.Draining = true
-	w.Saw("a", again)
+	w.RecordCheck("a", again)
 	if s, _ := state("a"); s != view.StateDraining {
 		t.Error("the box's own drain was forgotten")
 	}
-	if w.Drain("nobody", true) {
+	if w.SetDrain("nobody", true) {
 		t.Error("drained nobody")
 	}
 }
@@ -72,11 +72,11 @@
 func TestBoxClockApart(t *testing.T) {
 	at := func(s int) time.Time { return time.UnixMilli(int64(1000 * s)) }
 	for told, want := range map[int]int64{70: 100_000, 100: 100_000, 101: 101_000, 140: 103_000} {
-		w := NewWatch(2, 1)
+		w := NewMonitor(2, 1)
 		w.Add(view.Box{ID: "a"})
-		w.Saw("a", Check{Answered: true, Boot: "one", Started: at(10), At: at(100)})
-		w.Saw("a", Check{})
-		w.Saw("a", Check{Answered: true, Boot: "two", Started: at(told), At: at(103)})
+		w.RecordCheck("a", HealthCheck{Answered: true, BootID: "one", Started: at(10), AnsweredAt: at(100)})
+		w.RecordCheck("a", HealthCheck{})
+		w.RecordCheck("a", HealthCheck{Answered: true, BootID: "two", Started: at(told), AnsweredAt: at(103)})
 		if v, _ := w.View(); v.Boxes[0].StartedMs != want {
 			t.Errorf("told %d s: %d, want %d", told, v.Boxes[0].StartedMs, want)
 		}
@@ -85,7 +85,7 @@
 
 func TestWatchProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := NewWatch(2, 7)
+		w := NewMonitor(2, 7)
 		ids := []string{"a", "b", "c"}
 		for _, id := range ids {
 			w.Add(view.Box{ID: id})
@@ -95,14 +95,14 @@
 			id := rapid.SampledFrom(ids).Draw(t, "id")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				w.Drain(id, rapid.Bool().Draw(t, "on"))
+				w.SetDrain(id, rapid.Bool().Draw(t, "on"))
 			case 1:
 				w.SetTitle(view.Title{Name: "t", CellSpan: rapid.IntRange(0, 2).Draw(t, "span")})
 			default:
-				w.Saw(id, Check{Answered: rapid.Bool().Draw(t, "answered"), Draining: rapid.Bool().Draw(t, "draining"),
-					Boot: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "boot"), Started: time.UnixMilli(rapid.Int64Range(1, 9).Draw(t, "started"))})
+				w.RecordCheck(id, HealthCheck{Answered: rapid.Bool().Draw(t, "answered"), Draining: rapid.Bool().Draw(t, "draining"),
+					BootID: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "boot"), Started: time.UnixMilli(rapid.Int64Range(1, 9).Draw(t, "started"))})
 			}
-			before := w.last
+			before := w.lastView
 			v, changed := w.View()
 			if !changed {
 				if v.Version != follower.Version {
--- a/internal/belief/belief_test.go
+++ b/internal/reconcile/belief_test.go
@@ -1,4 +1,4 @@
-package belief
+package reconcile
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 // fleet is a believer with ten boxes that a catalogue names, and a clock.
 type fleet struct {
-	*Believer
+	*Reconciler
 	now  int64
 	list []Entry
 }
@@ -20,30 +20,30 @@
 type fataler interface{ Fatal(...any) }
 
 func newFleet() *fleet {
-	f := &fleet{Believer: New(Defaults(), "catalogue", "planner", "disk"), now: 1_000_000}
+	f := &fleet{Reconciler: New(DefaultRules(), "catalogue", "planner", "disk"), now: 1_000_000}
 	for i := range 10 {
 		f.list = append(f.list, Entry{ID: fmt.Sprint("b", i), Address: fmt.Sprint("h", i)})
 	}
 	return f
 }
 
-func (f *fleet) say(t fataler, source string) {
-	if err := f.Heard(source, f.list, f.now); err != nil {
+func (f *fleet) report(t fataler, source string) {
+	if err := f.UpdateSource(source, f.list, f.now); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (f *fleet) pass(t fataler, d time.Duration) {
+func (f *fleet) advance(t fataler, d time.Duration) {
 	for range int(d / time.Second) {
 		f.now += 1000
-		f.say(t, "catalogue")
-		f.View(f.now)
+		f.report(t, "catalogue")
+		f.Evaluate(f.now)
 	}
 }
 
-func (f *fleet) is(t *testing.T, id string, want State, reason string) {
+func (f *fleet) expect(t *testing.T, id string, want State, reason string) {
 	t.Helper()
-	for _, j := range f.View(f.now) {
+	for _, j := range f.Evaluate(f.now) {
 		if j.ID == id {
 			if j.State != want || !strings.Contains(j.Reason, reason) {
 				t.Errorf("%s: %s (%s), want %s (%s)", id, j.State, j.Reason, want, reason)
@@ -60,142 +60,142 @@
 	for name, c := range map[string]func(t *testing.T, f *fleet){
 		"check fails, nothing served": func(t *testing.T, f *fleet) {
 			f.list[0].Health = Critical
-			f.pass(t, time.Second)
-			f.is(t, "b0", Gone, "check fails")
+			f.advance(t, time.Second)
+			f.expect(t, "b0", Gone, "check fails")
 		},
 		"check fails, sessions are served": func(t *testing.T, f *fleet) {
 			f.list[0].Health = Critical
-			f.pass(t, time.Second)
-			f.Served("b0", f.now)
-			f.is(t, "b0", Ready, "sessions are served")
-			f.pass(t, 25*time.Second)
-			f.Served("b0", f.now)
-			f.is(t, "b0", Gone, "check fails") // not for ever
+			f.advance(t, time.Second)
+			f.RecordServed("b0", f.now)
+			f.expect(t, "b0", Ready, "sessions are served")
+			f.advance(t, 25*time.Second)
+			f.RecordServed("b0", f.now)
+			f.expect(t, "b0", Gone, "check fails") // not for ever
 		},
 		"check passes, sessions fail": func(t *testing.T, f *fleet) {
 			for range 3 {
-				f.Failed("b0", f.now)
+				f.RecordFailure("b0", f.now)
 			}
-			f.is(t, "b0", Ready, "")
-			f.Failed("b0", f.now)
-			f.is(t, "b0", Draining, "4 set-ups failed")
-			f.pass(t, 3*time.Second)
-			f.is(t, "b0", Ready, "") // a trial
-			f.Failed("b0", f.now)
-			f.pass(t, 3*time.Second)
-			f.is(t, "b0", Draining, "") // rests longer
-			f.pass(t, 2*time.Second)
-			f.Served("b0", f.now)
-			f.is(t, "b0", Ready, "named and passing")
+			f.expect(t, "b0", Ready, "")
+			f.RecordFailure("b0", f.now)
+			f.expect(t, "b0", Draining, "4 set-ups failed")
+			f.advance(t, 3*time.Second)
+			f.expect(t, "b0", Ready, "") // a trial
+			f.RecordFailure("b0", f.now)
+			f.advance(t, 3*time.Second)
+			f.expect(t, "b0", Draining, "") // rests longer
+			f.advance(t, 2*time.Second)
+			f.RecordServed("b0", f.now)
+			f.expect(t, "b0", Ready, "named and passing")
 		},
 		"warning": func(t *testing.T, f *fleet) {
 			f.list[0].Health = Warning
-			f.pass(t, time.Second)
-			f.is(t, "b0", Draining, "warns")
+			f.advance(t, time.Second)
+			f.expect(t, "b0", Draining, "warns")
 		},
 		"flapping": func(t *testing.T, f *fleet) {
 			for range 6 {
 				f.list[0].Health = Critical - f.list[0].Health
-				f.pass(t, time.Second)
+				f.advance(t, time.Second)
 			}
-			f.is(t, "b0", Draining, "flaps")
-			f.pass(t, time.Minute)
-			f.is(t, "b0", Ready, "")
+			f.expect(t, "b0", Draining, "flaps")
+			f.advance(t, time.Minute)
+			f.expect(t, "b0", Ready, "")
 		},
 		"vanished": func(t *testing.T, f *fleet) {
 			f.list = f.list[1:]
-			f.pass(t, time.Second)
-			f.is(t, "b0", Ready, "missing")
-			f.pass(t, 6*time.Second)
-			f.is(t, "b0", Gone, "no longer named")
+			f.advance(t, time.Second)
+			f.expect(t, "b0", Ready, "missing")
+			f.advance(t, 6*time.Second)
+			f.expect(t, "b0", Gone, "no longer named")
 		},
 		"an empty list after a full one": func(t *testing.T, f *fleet) {
 			f.list = nil
-			f.pass(t, 30*time.Second)
-			f.is(t, "b3", Ready, "kept: checks took away 10 of 10")
-			if f.Suspect() == 0 {
+			f.advance(t, 30*time.Second)
+			f.expect(t, "b3", Ready, "kept: checks took away 10 of 10")
+			if f.MassFailureSince() == 0 {
 				t.Error("the checks are not suspect")
 			}
 		},
 		"half the fleet critical within seconds": func(t *testing.T, f *fleet) {
 			for i := range 5 {
 				f.list[i].Health = Critical
-				f.pass(t, time.Second)
+				f.advance(t, time.Second)
 			}
-			f.is(t, "b2", Ready, "kept")
-			f.Failed("b2", f.now)
-			f.Failed("b2", f.now)
-			f.Failed("b2", f.now)
-			f.Failed("b2", f.now)
-			f.is(t, "b2", Gone, "check fails") // its sessions say so too
+			f.expect(t, "b2", Ready, "kept")
+			f.RecordFailure("b2", f.now)
+			f.RecordFailure("b2", f.now)
+			f.RecordFailure("b2", f.now)
+			f.RecordFailure("b2", f.now)
+			f.expect(t, "b2", Gone, "check fails") // its sessions say so too
 			f.list[1].Drain = true
-			f.pass(t, time.Second)
-			f.is(t, "b1", Draining, "drain told")
+			f.advance(t, time.Second)
+			f.expect(t, "b1", Draining, "drain told")
 			for i := range 5 {
 				f.list[i].Health = Passing
 			}
-			f.pass(t, time.Second)
-			f.is(t, "b0", Ready, "named and passing")
-			if f.Suspect() != 0 {
+			f.advance(t, time.Second)
+			f.expect(t, "b0", Ready, "named and passing")
+			if f.MassFailureSince() != 0 {
 				t.Error("the checks stay suspect")
 			}
 		},
 		"boxes that fall one by one": func(t *testing.T, f *fleet) {
 			for i := range 6 {
 				f.list[i].Health = Critical
-				f.pass(t, 20*time.Second)
+				f.advance(t, 20*time.Second)
 			}
-			f.is(t, "b5", Gone, "check fails")
-			f.is(t, "b0", Gone, "check fails")
+			f.expect(t, "b5", Gone, "check fails")
+			f.expect(t, "b0", Gone, "check fails")
 		},
 		"two sources disagree on a drain": func(t *testing.T, f *fleet) {
 			f.list[0].Drain = true
-			f.say(t, "planner")
+			f.report(t, "planner")
 			f.list[0].Drain = false
-			f.pass(t, 5*time.Second)
-			f.is(t, "b0", Draining, "drain told by planner")
-			f.say(t, "planner")
-			f.is(t, "b0", Ready, "")
+			f.advance(t, 5*time.Second)
+			f.expect(t, "b0", Draining, "drain told by planner")
+			f.report(t, "planner")
+			f.expect(t, "b0", Ready, "")
 		},
 		"the catalogue is lost": func(t *testing.T, f *fleet) {
 			f.list[0].Drain = true
-			f.say(t, "catalogue")
+			f.report(t, "catalogue")
 			f.list[0].Drain = false
 			f.now += 60_000
-			f.say(t, "planner")
-			v := f.View(f.now)
+			f.report(t, "planner")
+			v := f.Evaluate(f.now)
 			if v[1].Source != "planner" || v[1].Age != 0 {
 				t.Errorf("%+v", v[1])
 			}
-			f.is(t, "b0", Draining, "drain told by catalogue")
+			f.expect(t, "b0", Draining, "drain told by catalogue")
 			f.now += 60_000
-			if v = f.View(f.now); v[1].Source != "planner" || v[1].Age != time.Minute || len(v) != 10 {
+			if v = f.Evaluate(f.now); v[1].Source != "planner" || v[1].Age != time.Minute || len(v) != 10 {
 				t.Errorf("nobody fresh: %+v", v)
 			}
 		},
 		"started anew on the same address": func(t *testing.T, f *fleet) {
 			f.list[0].Started = 5000
-			f.pass(t, time.Second)
+			f.advance(t, time.Second)
 			f.list[0].Started = 4000 // an older word
-			f.pass(t, time.Second)
-			if v := f.View(f.now); v[0].Started != 5000 {
+			f.advance(t, time.Second)
+			if v := f.Evaluate(f.now); v[0].Started != 5000 {
 				t.Errorf("started %d", v[0].Started)
 			}
 			f.list[0].Address, f.list[0].Started = "elsewhere", 4500
-			f.pass(t, time.Second)
-			if v := f.View(f.now); v[0].Started != 4500 || v[0].Address != "elsewhere" {
+			f.advance(t, time.Second)
+			if v := f.Evaluate(f.now); v[0].Started != 4500 || v[0].Address != "elsewhere" {
 				t.Errorf("%+v", v[0])
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet()
-			f.pass(t, 3*time.Second)
+			f.advance(t, 3*time.Second)
 			c(t, f)
 		})
 	}
 	f := newFleet()
-	if f.View(f.now) != nil || f.Heard("nobody", nil, 1) == nil {
+	if f.Evaluate(f.now) != nil || f.UpdateSource("nobody", nil, 1) == nil {
 		t.Error("believes what nobody said")
 	}
 }
@@ -205,7 +205,7 @@
 func TestBeliefProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
-		f.pass(t, 12*time.Second)
+		f.advance(t, 12*time.Second)
 		drains := map[string]map[string]bool{"catalogue": {}, "planner": {}, "disk": {}}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			f.now += rapid.Int64Range(0, 4000).Draw(t, "ms")
@@ -213,20 +213,20 @@
 			id := fmt.Sprint("b", i)
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				f.Failed(id, f.now)
+				f.RecordFailure(id, f.now)
 			case 1:
-				f.Served(id, f.now)
+				f.RecordServed(id, f.now)
 			case 2:
 				f.list[i].Health = Health(rapid.IntRange(0, 2).Draw(t, "health"))
 			case 3:
 				f.list[i].Drain = rapid.Bool().Draw(t, "drain")
 			}
 			source := rapid.SampledFrom([]string{"catalogue", "planner", "disk"}).Draw(t, "source")
-			f.say(t, source)
+			f.report(t, source)
 			for _, e := range f.list {
 				drains[source][e.ID] = e.Drain
 			}
-			for _, j := range f.View(f.now) {
+			for _, j := range f.Evaluate(f.now) {
 				told := drains["catalogue"][j.ID] || drains["planner"][j.ID] || drains["disk"][j.ID]
 				if told && j.State == Ready {
 					t.Fatalf("%s is ready (%s), a drain was told", j.ID, j.Reason)
@@ -237,7 +237,7 @@
 			}
 		}
 		ready := func() (n int) {
-			for _, j := range f.View(f.now) {
+			for _, j := range f.Evaluate(f.now) {
 				if j.State == Ready {
 					n++
 				}
@@ -249,8 +249,8 @@
 			f.list[i].Health, f.list[i].Drain = Critical, false
 		}
 		f.now += 100
-		f.say(t, "catalogue")
-		if after := ready(); before >= f.MassFewer+2 && after < before/2 && f.lead(f.now).name == "catalogue" {
+		f.report(t, "catalogue")
+		if after := ready(); before >= f.MassFailureMinBoxes+2 && after < before/2 && f.leadingSource(f.now).name == "catalogue" {
 			t.Fatalf("checks took %d of %d boxes at once", before-after, before)
 		}
 	})
--- a/internal/registry/consul.go
+++ b/internal/registry/consul.go
@@ -23,11 +23,11 @@
 }
 
 const (
-	retryFirst   = 200 * time.Millisecond
-	retryMost    = 15 * time.Second
-	leastBetween = 100 * time.Millisecond // between answers of one query: a catalogue in uproar is not asked as fast as it answers
-	answerMargin = 5 * time.Second        // beyond the wait, which the server lengthens by up to a sixteenth
-	mostEntries  = 20000
+	minRetryDelay      = 200 * time.Millisecond
+	maxRetryDelay      = 15 * time.Second
+	minQueryInterval   = 100 * time.Millisecond // between answers of one query: a catalogue in uproar is not asked as fast as it answers
+	queryTimeoutMargin = 5 * time.Second        // beyond the wait, which the server lengthens by up to a sixteenth
+	maxEntries         = 20000
 )
 
 // NewConsul makes a client; nothing is asked yet.
@@ -48,7 +48,7 @@
 func (c *Consul) Name() string { return "consul" }
 
 // options of one blocking query.
-func (c *Consul) options(ctx context.Context, index uint64) *api.QueryOptions {
+func (c *Consul) queryOptions(ctx context.Context, index uint64) *api.QueryOptions {
 	q := &api.QueryOptions{WaitIndex: index, WaitTime: c.Config.Wait.D(), Filter: c.Config.Filter}
 	switch c.Config.Consistency {
 	case "stale":
@@ -80,17 +80,17 @@
 	work.Add(1)
 	go func() {
 		defer work.Done()
-		c.follow(ctx, "boxes", fault, func(q *api.QueryOptions) (*api.QueryMeta, func(), error) {
+		c.runBlockingQuery(ctx, "boxes", fault, func(q *api.QueryOptions) (*api.QueryMeta, func(), error) {
 			list, meta, err := c.client.Health().Service(c.Config.Service, "", false, q)
-			if err == nil && len(list) > mostEntries {
-				err = fmt.Errorf("%d entries, %d at most", len(list), mostEntries)
+			if err == nil && len(list) > maxEntries {
+				err = fmt.Errorf("%d entries, %d at most", len(list), maxEntries)
 			}
 			if err != nil {
 				return meta, nil, err
 			}
 			return meta, func() {
 				change(0, func() {
-					now.Boxes, parts[0] = boxes(c.Site, list)
+					now.Boxes, parts[0] = parseBoxes(c.Site, list)
 					now.Version, now.Age = max(now.Version+1, meta.LastIndex), meta.LastContact
 				})
 			}, nil
@@ -100,14 +100,14 @@
 		work.Add(1)
 		go func() {
 			defer work.Done()
-			c.follow(ctx, "titles", fault, func(q *api.QueryOptions) (*api.QueryMeta, func(), error) {
+			c.runBlockingQuery(ctx, "titles", fault, func(q *api.QueryOptions) (*api.QueryMeta, func(), error) {
 				q.Filter = "" // the key-value store knows no filters
 				list, meta, err := c.client.KV().List(c.Config.Titles, q)
 				if err != nil {
 					return meta, nil, err
 				}
 				return meta, func() {
-					change(1, func() { now.Titles, parts[1] = titles(c.Site, c.Config.Titles, list) })
+					change(1, func() { now.Titles, parts[1] = parseTitles(c.Site, c.Config.Titles, list) })
 				}, nil
 			})
 		}()
@@ -119,26 +119,26 @@
 // is reset, and never waits from 0 on; a wait is lengthened by the server by up to a sixteenth. Every answer is
 // taken, also one at the same index: its age is news. Errors wait longer each time, by a random part, so that
 // fronts do not come back to a restarted catalogue together.
-func (c *Consul) follow(ctx context.Context, what string, fault func(error), ask func(*api.QueryOptions) (*api.QueryMeta, func(), error)) {
-	index, wait := uint64(0), retryFirst
+func (c *Consul) runBlockingQuery(ctx context.Context, what string, fault func(error), ask func(*api.QueryOptions) (*api.QueryMeta, func(), error)) {
+	index, wait := uint64(0), minRetryDelay
 	for ctx.Err() == nil {
-		limited, cancel := context.WithTimeout(ctx, c.Config.Wait.D()*17/16+answerMargin)
-		meta, take, err := ask(c.options(limited, index))
+		limited, cancel := context.WithTimeout(ctx, c.Config.Wait.D()*17/16+queryTimeoutMargin)
+		meta, take, err := ask(c.queryOptions(limited, index))
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
-		pause := leastBetween
+		pause := minQueryInterval
 		if err == nil && !meta.KnownLeader && c.Config.Consistency != "stale" {
 			err = errors.New("the server knows no leader")
 		}
 		if err != nil {
 			fault(fmt.Errorf("registry: consul: %s: %w", what, err))
 			pause = wait/2 + rand.N(wait)
-			wait = min(2*wait, retryMost)
+			wait = min(2*wait, maxRetryDelay)
 			index = 0 // a whole answer at once, when it is back
 		} else {
-			wait = retryFirst
+			wait = minRetryDelay
 			if meta.LastIndex < index {
 				index = 0
 			} else {
--- a/internal/registry/consul_test.go
+++ b/internal/registry/consul_test.go
@@ -13,27 +13,27 @@
 
 	"go.uber.org/goleak"
 
-	"rainpulley/internal/belief"
 	"rainpulley/internal/config"
+	"rainpulley/internal/reconcile"
 	"rainpulley/internal/standin"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // rig is a catalogue of three boxes and a title, and one that watches it.
-type rig struct {
-	t    *testing.T
-	cat  *standin.Catalogue
-	site *config.Site
-	mu   sync.Mutex
-	last Snapshot
-	n    int
-	errs []string
+type fixture struct {
+	t         *testing.T
+	catalogue *standin.Catalogue
+	site      *config.Site
+	mu        sync.Mutex
+	last      Snapshot
+	snapshots int
+	errs      []string
 }
 
-func newRig(t *testing.T, change func(*config.Site)) *rig {
-	r := &rig{t: t, cat: standin.NewCatalogue(), site: &config.Site{Zones: []string{"east"}, Kinds: []config.Kind{{Name: "two-core", Streams: 9}}, Cells: 20, Racks: 2}}
-	addr, err := r.cat.Start("127.0.0.1:0")
+func newFixture(t *testing.T, change func(*config.Site)) *fixture {
+	r := &fixture{t: t, catalogue: standin.NewCatalogue(), site: &config.Site{Zones: []string{"east"}, Kinds: []config.Kind{{Name: "two-core", Streams: 9}}, Cells: 20, Racks: 2}}
+	addr, err := r.catalogue.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,22 +42,22 @@
 	if change != nil {
 		change(r.site)
 	}
-	r.cat.Change(func(s map[string]*standin.Service, k map[string]string) {
+	r.catalogue.Change(func(s map[string]*standin.Service, k map[string]string) {
 		for i := range 3 {
-			s[fmt.Sprint("box", i)] = service(i)
+			s[fmt.Sprint("box", i)] = boxService(i)
 		}
 		k["clips/"], k["clips/one"] = "", `{"home":1,"span":3,"length_ms":60000}`
 	})
-	t.Cleanup(r.cat.Stop)
+	t.Cleanup(r.catalogue.Stop)
 	return r
 }
 
-func service(i int) *standin.Service {
+func boxService(i int) *standin.Service {
 	return &standin.Service{ID: fmt.Sprint("box", i), Name: "clip-box", Address: "127.0.0.1", Port: 9000 + i, Checks: map[string]string{"alive": "passing"},
 		Meta: map[string]string{MetaZone: "east", MetaKind: "two-core", MetaCell: fmt.Sprint(i), MetaWeight: "2.5", MetaStarted: "1700000000000"}}
 }
 
-func (r *rig) watch() {
+func (r *fixture) watch() {
 	c, err := NewConsul(r.site)
 	if err != nil {
 		r.t.Fatal(err)
@@ -66,13 +66,13 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		c.Watch(ctx, func(s Snapshot) { r.mu.Lock(); r.last, r.n = s, r.n+1; r.mu.Unlock() },
+		c.Watch(ctx, func(s Snapshot) { r.mu.Lock(); r.last, r.snapshots = s, r.snapshots+1; r.mu.Unlock() },
 			func(err error) { r.mu.Lock(); r.errs = append(r.errs, err.Error()); r.mu.Unlock() })
 	}()
 	r.t.Cleanup(func() { stop(); <-over })
 }
 
-func (r *rig) until(what string, ok func(s Snapshot) bool) {
+func (r *fixture) waitFor(what string, ok func(s Snapshot) bool) {
 	r.t.Helper()
 	for range 2000 {
 		r.mu.Lock()
@@ -86,43 +86,43 @@
 	r.t.Fatalf("in vain: %s; last %+v, errors %v", what, r.last, r.errs)
 }
 
-func (r *rig) change(i int, do func(s *standin.Service)) {
-	r.cat.Change(func(s map[string]*standin.Service, _ map[string]string) { do(s[fmt.Sprint("box", i)]) })
+func (r *fixture) change(i int, do func(s *standin.Service)) {
+	r.catalogue.Change(func(s map[string]*standin.Service, _ map[string]string) { do(s[fmt.Sprint("box", i)]) })
 }
 
 // Boxes and titles are read by the official client, and every change is told: health, maintenance, registration anew.
 func TestConsulTells(t *testing.T) {
-	r := newRig(t, nil)
+	r := newFixture(t, nil)
 	r.watch()
-	r.until("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 && len(s.Titles) == 1 })
+	r.waitFor("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 && len(s.Titles) == 1 })
 	if b := r.last.Boxes[1]; b.ID != "127.0.0.1:9001" || b.Cell != 1 || b.Weight != 2.5 || b.Zone != "east" || b.Started != 1700000000000 || r.last.Titles[0].CellSpan != 3 {
 		t.Errorf("%+v", r.last)
 	}
 	r.change(0, func(s *standin.Service) { s.Checks["alive"] = "critical" })
 	r.change(1, func(s *standin.Service) { s.Checks["_service_maintenance:box1"] = "critical" })
 	r.change(2, func(s *standin.Service) { s.Checks["alive"], s.Meta[MetaDrain] = "warning", "true" })
-	r.until("states", func(s Snapshot) bool {
-		return s.Boxes[0].Health == belief.Critical && !s.Boxes[0].Drain && s.Boxes[1].Drain && s.Boxes[1].Health == belief.Passing &&
-			s.Boxes[2].Drain && s.Boxes[2].Health == belief.Warning
+	r.waitFor("states", func(s Snapshot) bool {
+		return s.Boxes[0].Health == reconcile.Critical && !s.Boxes[0].Drain && s.Boxes[1].Drain && s.Boxes[1].Health == reconcile.Passing &&
+			s.Boxes[2].Drain && s.Boxes[2].Health == reconcile.Warning
 	})
 	r.change(0, func(s *standin.Service) { s.Port, s.Meta[MetaStarted] = 9100, "1700000005000" })
-	r.until("a new address under the same id", func(s Snapshot) bool { return s.Boxes[2].ID == "127.0.0.1:9100" && s.Boxes[2].Started == 1700000005000 })
-	r.cat.Change(func(s map[string]*standin.Service, k map[string]string) { delete(s, "box1"); delete(k, "clips/one") })
-	r.until("what is gone", func(s Snapshot) bool { return len(s.Boxes) == 2 && len(s.Titles) == 0 })
+	r.waitFor("a new address under the same id", func(s Snapshot) bool { return s.Boxes[2].ID == "127.0.0.1:9100" && s.Boxes[2].Started == 1700000005000 })
+	r.catalogue.Change(func(s map[string]*standin.Service, k map[string]string) { delete(s, "box1"); delete(k, "clips/one") })
+	r.waitFor("what is gone", func(s Snapshot) bool { return len(s.Boxes) == 2 && len(s.Titles) == 0 })
 }
 
 // A broken entry or key is named and kept out, and hurts no other.
 func TestBrokenEntries(t *testing.T) {
-	r := newRig(t, nil)
+	r := newFixture(t, nil)
 	breaks := map[string]func(s *standin.Service){
 		MetaZone: func(s *standin.Service) { s.Meta[MetaZone] = "nowhere" }, MetaKind: func(s *standin.Service) { delete(s.Meta, MetaKind) },
 		MetaCell: func(s *standin.Service) { s.Meta[MetaCell] = "20" }, MetaWeight: func(s *standin.Service) { s.Meta[MetaWeight] = "NaN" },
 		MetaStarted: func(s *standin.Service) { s.Meta[MetaStarted] = "9223372036854775807" }, "address": func(s *standin.Service) { s.Port = 0 },
 	}
-	r.cat.Change(func(s map[string]*standin.Service, k map[string]string) {
+	r.catalogue.Change(func(s map[string]*standin.Service, k map[string]string) {
 		i := 3
 		for name, do := range breaks {
-			s["bad-"+name] = service(i)
+			s["bad-"+name] = boxService(i)
 			s["bad-"+name].ID = "bad-" + name
 			do(s["bad-"+name])
 			i++
@@ -130,7 +130,7 @@
 		k["clips/half"], k["clips/wide"], k["clips/a b"], k["clips/x"] = `{"home":1,`, `{"home":1,"span":99}`, `{"home":1,"span":1}`, `{"home":0,"span":1,"holders":["h"]}`
 	})
 	r.watch()
-	r.until("the good ones", func(s Snapshot) bool {
+	r.waitFor("the good ones", func(s Snapshot) bool {
 		return len(s.Boxes) == 3 && len(s.Titles) == 1 && len(s.Faults) == len(breaks)+4
 	})
 	all := strings.Join(r.last.Faults, "\n")
@@ -152,62 +152,62 @@
 		"no leader": {NoLeader: true}, "not found": {Status: 404}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, func(s *config.Site) { s.Consul.Titles = "" })
+			r := newFixture(t, func(s *config.Site) { s.Consul.Titles = "" })
 			r.watch()
-			r.until("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 })
-			r.cat.Set(f)
+			r.waitFor("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 })
+			r.catalogue.Set(f)
 			if f.Hang { // what waits is answered by the trouble; a new query hangs until its time is over
 				time.Sleep(300 * time.Millisecond)
 			} else {
-				r.until("an error", func(Snapshot) bool { return len(r.errs) > 1 })
+				r.waitFor("an error", func(Snapshot) bool { return len(r.errs) > 1 })
 			}
 			r.change(0, func(s *standin.Service) { s.Meta[MetaDrain] = "true" })
 			if len(r.last.Boxes) != 3 || r.last.Boxes[0].Drain {
 				t.Errorf("delivered %+v", r.last.Boxes)
 			}
-			r.cat.Set(standin.CatalogueFault{})
-			r.until("the drain", func(s Snapshot) bool { return s.Boxes[0].Drain })
+			r.catalogue.Set(standin.CatalogueFault{})
+			r.waitFor("the drain", func(s Snapshot) bool { return s.Boxes[0].Drain })
 		})
 	}
 	t.Run("refused and back", func(t *testing.T) {
 		t.Parallel()
-		r := newRig(t, nil)
+		r := newFixture(t, nil)
 		r.watch()
-		r.until("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 })
-		r.cat.Stop()
-		r.until("an error", func(Snapshot) bool { return len(r.errs) > 1 })
+		r.waitFor("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 })
+		r.catalogue.Stop()
+		r.waitFor("an error", func(Snapshot) bool { return len(r.errs) > 1 })
 		r.change(1, func(s *standin.Service) { s.Meta[MetaDrain] = "true" })
-		if _, err := r.cat.Start(r.site.Consul.Address); err != nil {
+		if _, err := r.catalogue.Start(r.site.Consul.Address); err != nil {
 			t.Fatal(err)
 		}
-		r.until("the drain", func(s Snapshot) bool { return s.Boxes[1].Drain })
+		r.waitFor("the drain", func(s Snapshot) bool { return s.Boxes[1].Drain })
 	})
 	t.Run("index goes back during a drain", func(t *testing.T) {
 		t.Parallel()
-		r := newRig(t, nil)
+		r := newFixture(t, nil)
 		r.watch()
-		r.until("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 })
-		r.cat.Set(standin.CatalogueFault{Back: 50})
+		r.waitFor("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 })
+		r.catalogue.Set(standin.CatalogueFault{Back: 50})
 		r.change(1, func(s *standin.Service) { s.Meta[MetaDrain] = "true" })
 		begin := time.Now()
-		r.until("the drain", func(s Snapshot) bool { return s.Boxes[1].Drain })
+		r.waitFor("the drain", func(s Snapshot) bool { return s.Boxes[1].Drain })
 		if took := time.Since(begin); took > time.Second {
 			t.Errorf("told after %v", took)
 		}
 	})
 	t.Run("a slow trickle", func(t *testing.T) {
 		t.Parallel()
-		r := newRig(t, nil)
-		r.cat.Set(standin.CatalogueFault{Trickle: 2 * time.Millisecond})
+		r := newFixture(t, nil)
+		r.catalogue.Set(standin.CatalogueFault{Trickle: 2 * time.Millisecond})
 		r.watch()
-		r.until("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 && len(s.Titles) == 1 })
+		r.waitFor("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 && len(s.Titles) == 1 })
 	})
 	t.Run("a stale reader says so", func(t *testing.T) {
 		t.Parallel()
-		r := newRig(t, func(s *config.Site) { s.Consul.Consistency = "stale" })
-		r.cat.Set(standin.CatalogueFault{Contact: 7 * time.Second})
+		r := newFixture(t, func(s *config.Site) { s.Consul.Consistency = "stale" })
+		r.catalogue.Set(standin.CatalogueFault{Contact: 7 * time.Second})
 		r.watch()
-		r.until("all of it, aged", func(s Snapshot) bool { return len(s.Boxes) == 3 && s.Age == 7*time.Second })
+		r.waitFor("all of it, aged", func(s Snapshot) bool { return len(s.Boxes) == 3 && s.Age == 7*time.Second })
 	})
 	t.Run("the token is revoked", func(t *testing.T) {
 		t.Parallel()
@@ -215,12 +215,12 @@
 		if err := os.WriteFile(file, []byte("good"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		r := newRig(t, func(s *config.Site) { s.Consul.TokenFile = file })
-		r.cat.Token("good")
+		r := newFixture(t, func(s *config.Site) { s.Consul.TokenFile = file })
+		r.catalogue.Token("good")
 		r.watch()
-		r.until("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 })
-		r.cat.Token("other")
-		r.until("an error", func(Snapshot) bool {
+		r.waitFor("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 })
+		r.catalogue.Token("other")
+		r.waitFor("an error", func(Snapshot) bool {
 			return slices.ContainsFunc(r.errs, func(e string) bool { return strings.Contains(e, "403") })
 		})
 		if len(r.last.Boxes) != 3 {
@@ -231,7 +231,7 @@
 
 // Many watchers come back from an outage apart, and none leaks.
 func TestThunderingReturn(t *testing.T) {
-	r := newRig(t, func(s *config.Site) { s.Consul.Titles = "" })
+	r := newFixture(t, func(s *config.Site) { s.Consul.Titles = "" })
 	ctx, stop := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	var mu sync.Mutex
@@ -260,16 +260,16 @@
 			return n == 100
 		}
 	}
-	r.until("all watch", all(3))
-	r.cat.Stop()
+	r.waitFor("all watch", all(3))
+	r.catalogue.Stop()
 	time.Sleep(time.Second)
-	r.cat.Change(func(s map[string]*standin.Service, _ map[string]string) { delete(s, "box2") })
-	before, _ := r.cat.Asked()
-	if _, err := r.cat.Start(r.site.Consul.Address); err != nil {
+	r.catalogue.Change(func(s map[string]*standin.Service, _ map[string]string) { delete(s, "box2") })
+	before, _ := r.catalogue.Asked()
+	if _, err := r.catalogue.Start(r.site.Consul.Address); err != nil {
 		t.Fatal(err)
 	}
-	r.until("all heard", all(2))
-	after, _ := r.cat.Asked()
+	r.waitFor("all heard", all(2))
+	after, _ := r.catalogue.Asked()
 	most := 0
 	for _, at := range after[len(before):] {
 		n := 0
@@ -290,7 +290,7 @@
 
 // A program registers, stays passing, comes back to a catalogue that forgot it, and leaves in order.
 func TestRegister(t *testing.T) {
-	r := newRig(t, nil)
+	r := newFixture(t, nil)
 	c, err := NewConsul(r.site)
 	if err != nil {
 		t.Fatal(err)
@@ -302,19 +302,19 @@
 		c.Register(ctx, "edge-0", "rainpulley-edge", "127.0.0.1", 8000, func(error) {})
 	}()
 	passing := func(Snapshot) bool {
-		s, ok := r.cat.Service("edge-0")
+		s, ok := r.catalogue.Service("edge-0")
 		return ok && s.Checks["service:edge-0"] == "passing" && s.Port == 8000
 	}
-	r.until("registered", passing)
+	r.waitFor("registered", passing)
 	time.Sleep(1500 * time.Millisecond) // beyond its TTL
 	if !passing(Snapshot{}) {
 		t.Error("not kept passing")
 	}
-	r.cat.Change(func(s map[string]*standin.Service, _ map[string]string) { delete(s, "edge-0") })
-	r.until("registered again", passing)
+	r.catalogue.Change(func(s map[string]*standin.Service, _ map[string]string) { delete(s, "edge-0") })
+	r.waitFor("registered again", passing)
 	stop()
 	<-over
-	if _, ok := r.cat.Service("edge-0"); ok {
+	if _, ok := r.catalogue.Service("edge-0"); ok {
 		t.Error("still registered")
 	}
 }
--- a/internal/registry/mapping.go
+++ b/internal/registry/mapping.go
@@ -12,8 +12,8 @@
 
 	"github.com/hashicorp/consul/api"
 
-	"rainpulley/internal/belief"
 	"rainpulley/internal/config"
+	"rainpulley/internal/reconcile"
 	"rainpulley/internal/timeconv"
 	"rainpulley/internal/view"
 )
@@ -36,10 +36,10 @@
 
 // boxes maps service entries. One that does not fit the site is kept out and named; it hurts no other. Of two
 // entries with one address, the one with the later start stands.
-func boxes(site *config.Site, entries []*api.ServiceEntry) (out []Box, faults []string) {
+func parseBoxes(site *config.Site, entries []*api.ServiceEntry) (out []Box, faults []string) {
 	by := map[string]Box{}
 	for _, e := range entries {
-		b, err := box(site, e)
+		b, err := parseBox(site, e)
 		if err != nil {
 			faults = append(faults, err.Error())
 			continue
@@ -60,7 +60,7 @@
 	return out, faults
 }
 
-func box(site *config.Site, e *api.ServiceEntry) (Box, error) {
+func parseBox(site *config.Site, e *api.ServiceEntry) (Box, error) {
 	if e == nil || e.Service == nil {
 		return Box{}, fmt.Errorf("entry without a service")
 	}
@@ -76,7 +76,7 @@
 		return bad("address", "no host or port")
 	}
 	meta := e.Service.Meta
-	b := Box{Entry: belief.Entry{ID: id, Address: id}, Zone: meta[MetaZone], Kind: meta[MetaKind], Weight: 1}
+	b := Box{Entry: reconcile.Entry{ID: id, Address: id}, Zone: meta[MetaZone], Kind: meta[MetaKind], Weight: 1}
 	if site.Zone(b.Zone) < 0 {
 		return bad(MetaZone, "%q is no zone of the site", b.Zone)
 	}
@@ -98,30 +98,30 @@
 		}
 	}
 	b.Drain = meta[MetaDrain] == "true"
-	b.Health = health(e.Checks, &b.Drain)
+	b.Health = worstHealth(e.Checks, &b.Drain)
 	return b, nil
 }
 
 // health is the worst of an entry's checks. Maintenance is a drain and no failure: what plays goes on.
-func health(checks api.HealthChecks, drain *bool) belief.Health {
-	worst := belief.Passing
+func worstHealth(checks api.HealthChecks, drain *bool) reconcile.Health {
+	worst := reconcile.Passing
 	for _, c := range checks {
 		switch {
 		case c.CheckID == nodeMaintenance || strings.HasPrefix(c.CheckID, serviceMaintenance):
 			*drain = true
 		case c.Status == api.HealthCritical:
-			worst = max(worst, belief.Critical)
+			worst = max(worst, reconcile.Critical)
 		case c.Status == api.HealthWarning:
-			worst = max(worst, belief.Warning)
+			worst = max(worst, reconcile.Warning)
 		case c.Status != api.HealthPassing: // a word that this program does not know says nothing good
-			worst = max(worst, belief.Warning)
+			worst = max(worst, reconcile.Warning)
 		}
 	}
 	return worst
 }
 
 // titles maps keys under the prefix: each is a title's name, its value {"home","span","length_ms"}.
-func titles(site *config.Site, prefix string, pairs api.KVPairs) (out []view.Title, faults []string) {
+func parseTitles(site *config.Site, prefix string, pairs api.KVPairs) (out []view.Title, faults []string) {
 	out = []view.Title{}
 	for _, p := range pairs {
 		name := strings.TrimPrefix(p.Key, prefix)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -7,14 +7,14 @@
 	"context"
 	"time"
 
-	"rainpulley/internal/belief"
 	"rainpulley/internal/config"
+	"rainpulley/internal/reconcile"
 	"rainpulley/internal/view"
 )
 
 // Box is one box as a source describes it.
 type Box struct {
-	belief.Entry
+	reconcile.Entry
 	Zone, Kind string
 	Cell       int
 	Weight     float64
@@ -39,8 +39,8 @@
 
 // Static is the site file's word. It is delivered again and again, as it does not age.
 type Static struct {
-	Site  func() *config.Site
-	Every time.Duration
+	Site     func() *config.Site
+	Interval time.Duration
 }
 
 // Name of the source.
@@ -48,13 +48,13 @@
 
 // Watch delivers.
 func (s *Static) Watch(ctx context.Context, deliver func(Snapshot), _ func(error)) {
-	t := time.NewTicker(s.Every)
+	t := time.NewTicker(s.Interval)
 	defer t.Stop()
 	for n := uint64(1); ; n++ {
 		site := s.Site()
 		out := Snapshot{Source: s.Name(), Version: n}
 		for _, b := range site.Boxes {
-			out.Boxes = append(out.Boxes, Box{Entry: belief.Entry{ID: b.Addr, Address: b.Addr}, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, Weight: b.Weight})
+			out.Boxes = append(out.Boxes, Box{Entry: reconcile.Entry{ID: b.Addr, Address: b.Addr}, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, Weight: b.Weight})
 		}
 		deliver(out)
 		select {
