--- a/internal/planner/copies.go
+++ b/internal/planner/copies.go
@@ -41,13 +41,13 @@
 }
 
 func (p *Planner) newCopyState() copyState {
-	c := p.Site.Copies
-	b := copyState{decisions: mapping.NewBoard(), drift: mapping.NewDrift(driftHalfLife), titleSizes: map[string]float64{}}
-	if c.Managed {
-		b.manager = copies.New(copies.Rules{Least: c.Least, AtOnce: c.AtOnce, Share: c.Share,
-			Grace: c.Grace.D(), Patience: c.Patience.D(), Backoff: c.Backoff.D()})
+	settings := p.Site.Copies
+	state := copyState{decisions: mapping.NewBoard(), drift: mapping.NewDrift(driftHalfLife), titleSizes: map[string]float64{}}
+	if settings.Managed {
+		state.manager = copies.New(copies.Rules{Least: settings.Least, AtOnce: settings.AtOnce, Share: settings.Share,
+			Grace: settings.Grace.D(), Patience: settings.Patience.D(), Backoff: settings.Backoff.D()})
 	}
-	return b
+	return state
 }
 
 // titleList is a box's answer to GET /titles. Sizes in kB.
@@ -71,48 +71,48 @@
 // readTitles asks a box what it holds, where that may have changed. One that has no such list (404) holds
 // what its cells say; one that gives none at all when the planner starts counts as holding nothing, or it
 // would keep the list of all others from being published.
-func (p *Planner) refreshTitles(ctx context.Context, addr string, c HealthCheck, knownVersion *uint64, lastRead *time.Time, misses *int) {
-	if p.copyState.manager == nil || !c.Answered || *knownVersion == c.TitlesVersion+1 && time.Since(*lastRead) < titleListInterval {
+func (p *Planner) refreshTitles(ctx context.Context, addr string, check HealthCheck, knownVersion *uint64, lastRead *time.Time, misses *int) {
+	if p.copyState.manager == nil || !check.Answered || *knownVersion == check.TitlesVersion+1 && time.Since(*lastRead) < titleListInterval {
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, p.Site.Planner.CheckFor.D())
+	requestCtx, cancel := context.WithTimeout(ctx, p.Site.Planner.CheckFor.D())
 	defer cancel()
-	r, err := p.client.Do(limited, addr, "GET", "/titles", nil, nil)
-	var l titleList
+	r, err := p.client.Do(requestCtx, addr, "GET", "/titles", nil, nil)
+	var list titleList
 	switch {
 	case err == nil && r.Status == 404:
-		l = p.titlesFromCells(addr)
-	case err != nil || r.Status != 200 || json.Unmarshal(r.Body, &l) != nil:
+		list = p.titlesFromCells(addr)
+	case err != nil || r.Status != 200 || json.Unmarshal(r.Body, &list) != nil:
 		if *misses++; *misses < p.Site.Planner.GoneAfter || *knownVersion > 0 {
 			return
 		}
 		p.Log.Warn("box does not tell its titles: it counts as having none", "server", addr, "error", err)
 	}
-	*knownVersion, *lastRead, *misses = l.Version+1, time.Now(), 0
+	*knownVersion, *lastRead, *misses = list.Version+1, time.Now(), 0
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	inv := copies.Inventory{Boot: l.Boot, Free: l.Free, Copies: map[string]copies.Copy{}}
-	for _, t := range l.Titles {
-		inv.Copies[t.Name] = copies.Copy{Whole: t.Whole, Copying: t.Copying, Done: t.Done, Size: t.Size, Playing: t.Playing, Error: t.Error}
+	inventory := copies.Inventory{Boot: list.Boot, Free: list.Free, Copies: map[string]copies.Copy{}}
+	for _, t := range list.Titles {
+		inventory.Copies[t.Name] = copies.Copy{Whole: t.Whole, Copying: t.Copying, Done: t.Done, Size: t.Size, Playing: t.Playing, Error: t.Error}
 		if t.Size > 0 && p.copyState.titleSizes[t.Name] != t.Size {
 			p.copyState.titleSizes[t.Name] = t.Size
 			p.updateManagerTitle(t.Name)
 		}
 	}
 	p.updateManagerBoxes()
-	p.copyState.manager.Saw(addr, inv, time.Now().UnixMilli())
+	p.copyState.manager.Saw(addr, inventory, time.Now().UnixMilli())
 	p.updateHolders()
 }
 
-func (p *Planner) titlesFromCells(addr string) (l titleList) {
+func (p *Planner) titlesFromCells(addr string) (list titleList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, t := range p.monitor.titles {
 		if slices.Contains(p.baseBoxes(t), addr) {
-			l.Titles = append(l.Titles, titleEntry{Name: t.Name, Whole: true})
+			list.Titles = append(list.Titles, titleEntry{Name: t.Name, Whole: true})
 		}
 	}
-	return l
+	return list
 }
 
 // base are the boxes where a title lies at rest. p.mu is held.
@@ -128,16 +128,16 @@
 
 // tellTitle brings a title's size and place at rest to the manager. p.mu is held.
 func (p *Planner) updateManagerTitle(name string) {
-	m := p.copyState.manager
-	if m == nil {
+	manager := p.copyState.manager
+	if manager == nil {
 		return
 	}
 	t, ok := p.monitor.titles[name]
 	if !ok {
-		m.RemoveTitle(name)
+		manager.RemoveTitle(name)
 		return
 	}
-	m.SetTitle(copies.Title{Name: name, Size: p.copyState.titleSizes[name], Base: p.baseBoxes(t)})
+	manager.SetTitle(copies.Title{Name: name, Size: p.copyState.titleSizes[name], Base: p.baseBoxes(t)})
 }
 
 // tellBoxes brings the watch's boxes to the manager. p.mu is held.
@@ -157,12 +157,12 @@
 
 // holders brings who holds what into the view. p.mu is held.
 func (p *Planner) updateHolders() {
-	m := p.copyState.manager
-	if m == nil || !m.Known() {
+	manager := p.copyState.manager
+	if manager == nil || !manager.Known() {
 		return
 	}
 	for name, t := range p.monitor.titles {
-		if holders := m.Holders(name); !t.Listed || !slices.Equal(t.Holders, holders) {
+		if holders := manager.Holders(name); !t.Listed || !slices.Equal(t.Holders, holders) {
 			t.Listed, t.Holders = true, holders
 			p.monitor.titles[name] = t
 		}
@@ -175,21 +175,21 @@
 	if p.copyState.manager == nil {
 		return
 	}
-	t := time.NewTicker(copyInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(copyInterval)
+	defer ticker.Stop()
 	slots := make(chan struct{}, maxConcurrentCommands)
-	var work sync.WaitGroup
-	defer work.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 		p.mu.Lock()
-		settled := p.published.Version > 0
+		viewPublished := p.published.Version > 0
 		p.mu.Unlock()
-		if !settled { // before all boxes are known, and hours decided, a planner that restarts would give back what
+		if !viewPublished { // before all boxes are known, and hours decided, a planner that restarts would give back what
 			continue // its forerunner had made for them
 		}
 		p.chooseCopies()
@@ -197,15 +197,15 @@
 		now := time.Now().UnixMilli()
 		p.updateManagerBoxes()
 		p.updateWantedCopies(now)
-		list := p.copyState.manager.Step(now)
-		p.copyState.commandsSent += len(list)
+		commands := p.copyState.manager.Step(now)
+		p.copyState.commandsSent += len(commands)
 		p.updateHolders() // what is told no more is known before anything is dropped
 		p.mu.Unlock()
-		for _, c := range list {
-			work.Add(1)
+		for _, c := range commands {
+			wg.Add(1)
 			slots <- struct{}{}
 			go func() {
-				defer func() { <-slots; work.Done() }()
+				defer func() { <-slots; wg.Done() }()
 				p.sendCopyCommand(ctx, c)
 			}()
 		}
@@ -214,16 +214,16 @@
 
 // command tells a box to fetch or drop, and takes its answer.
 func (p *Planner) sendCopyCommand(ctx context.Context, c copies.Command) {
-	limited, cancel := context.WithTimeout(ctx, copyCommandTimeout)
+	requestCtx, cancel := context.WithTimeout(ctx, copyCommandTimeout)
 	defer cancel()
-	q, method := url.Values{"epoch": {strconv.FormatUint(p.epoch, 10)}}, "DELETE"
+	query, method := url.Values{"epoch": {strconv.FormatUint(p.epoch, 10)}}, "DELETE"
 	if c.Kind == copies.Fetch {
 		method = "PUT"
-		q.Set("from", c.From)
-		q.Set("rate", strconv.FormatFloat(c.Rate, 'f', 3, 64))
-		q.Set("size", strconv.FormatFloat(c.Size, 'f', 0, 64))
+		query.Set("from", c.From)
+		query.Set("rate", strconv.FormatFloat(c.Rate, 'f', 3, 64))
+		query.Set("size", strconv.FormatFloat(c.Size, 'f', 0, 64))
 	}
-	r, err := p.client.Do(limited, c.Box, method, "/titles/"+c.Title+"?"+q.Encode(), nil, nil)
+	r, err := p.client.Do(requestCtx, c.Box, method, "/titles/"+c.Title+"?"+query.Encode(), nil, nil)
 	answer := copies.Failed
 	switch {
 	case err != nil:
@@ -250,22 +250,22 @@
 
 // tellWants tells the manager which copies are wanted beyond those at rest. p.mu is held.
 func (p *Planner) updateWantedCopies(now int64) {
-	b := &p.copyState
-	b.decisions.Keep(func(id string) bool {
+	state := &p.copyState
+	state.decisions.Keep(func(id string) bool {
 		a, ok := p.peakState.book.Get(id)
 		return ok && p.needsCopies(&a, now)
 	})
-	if now-b.lastDriftAt >= driftInterval.Milliseconds() {
-		b.lastDriftAt = now
+	if now-state.lastDriftAt >= driftInterval.Milliseconds() {
+		state.lastDriftAt = now
 		if p.Copies != "none" {
-			b.driftCopies = p.planDriftCopies(now)
+			state.driftCopies = p.planDriftCopies(now)
 		}
 	}
 	var keys []copies.Key
-	for _, c := range slices.Concat(b.decisions.Copies(), b.driftCopies) {
+	for _, c := range slices.Concat(state.decisions.Copies(), state.driftCopies) {
 		keys = append(keys, copies.Key{Title: c.Title, Box: c.Box})
 	}
-	b.manager.Want(keys)
+	state.manager.Want(keys)
 }
 
 // copiesFor tells that copies for an hour should lie now: from ahead of it until its last viewers are through,
@@ -275,34 +275,34 @@
 		now > a.Start+a.Uncertain+a.Length+p.sessionLength(a).Milliseconds() {
 		return false
 	}
-	f := p.peakState.followers[a.ID]
-	return now < a.Start || f == nil || f.Begun() || f.Expect(now, a, p.sessionLength(a)).Rate > 0
+	follower := p.peakState.followers[a.ID]
+	return now < a.Start || follower == nil || follower.Begun() || follower.Expect(now, a, p.sessionLength(a)).Rate > 0
 }
 
 // driftCopies follows popularity by what boxes say plays. p.mu is held.
 func (p *Planner) planDriftCopies(now int64) []mapping.Copy {
 	playing := p.copyState.manager.Playing()
 	p.copyState.drift.Saw(now, playing)
-	f := p.planFleet()
-	boxes, disk := p.mappingBoxes(f)
-	top, worth := f.Ladder[len(f.Ladder)-1], 0.0
-	for _, c := range f.Classes {
-		worth += c.Worth / float64(len(f.Classes))
+	fleet := p.planFleet()
+	boxes, disk := p.mappingBoxes(fleet)
+	topRate, meanWorth := fleet.Ladder[len(fleet.Ladder)-1], 0.0
+	for _, c := range fleet.Classes {
+		meanWorth += c.Worth / float64(len(fleet.Classes))
 	}
 	var titles []mapping.Hour
 	for name := range p.monitor.titles {
-		titles = append(titles, mapping.Hour{Title: name, Size: p.copyState.titleSizes[name], Rate: top, Worth: worth, Plays: driftHorizon.Seconds(),
+		titles = append(titles, mapping.Hour{Title: name, Size: p.copyState.titleSizes[name], Rate: topRate, Worth: meanWorth, Plays: driftHorizon.Seconds(),
 			Zone: -1, Holders: p.baseBoxes(p.monitor.titles[name])})
 	}
 	slices.SortFunc(titles, func(a, b mapping.Hour) int { return strings.Compare(a.Title, b.Title) })
-	return p.copyState.drift.Copies(boxes, disk, titles, p.copyBounds(f, driftHorizon.Seconds()))
+	return p.copyState.drift.Copies(boxes, disk, titles, p.copyBounds(fleet, driftHorizon.Seconds()))
 }
 
-func (p *Planner) mappingBoxes(f *peaks.Fleet) (boxes []mapping.Box, disk map[string]float64) {
+func (p *Planner) mappingBoxes(fleet *peaks.Fleet) (boxes []mapping.Box, disk map[string]float64) {
 	disk = map[string]float64{}
-	for _, b := range f.Boxes {
-		w := p.monitor.boxes[b.ID]
-		boxes = append(boxes, mapping.Box{ID: b.ID, Zone: p.Site.Zone(w.box.Zone), Rack: b.Rack, Cell: b.Cell, Link: b.Link, Busy: b.Busy,
+	for _, b := range fleet.Boxes {
+		state := p.monitor.boxes[b.ID]
+		boxes = append(boxes, mapping.Box{ID: b.ID, Zone: p.Site.Zone(state.box.Zone), Rack: b.Rack, Cell: b.Cell, Link: b.Link, Busy: b.Busy,
 			Streams: max(b.Streams-b.Playing, 0)})
 		disk[b.ID] = p.copyState.manager.Free(b.ID)
 	}
@@ -311,13 +311,13 @@
 
 // copyBounds reckons with copies as lower effort: one goes as fast as its share of the links and what viewers
 // leave of them allow, and takes nothing from them but what CopyPrice says.
-func (p *Planner) copyBounds(f *peaks.Fleet, within float64) mapping.Bounds {
-	c := p.Site.Copies
-	each := 0.0
-	for _, b := range f.Boxes {
-		each += max(min(c.Share*b.Link, b.Link-b.Busy), 0) / float64(len(f.Boxes)*max(c.AtOnce, 1))
+func (p *Planner) copyBounds(fleet *peaks.Fleet, within float64) mapping.Bounds {
+	settings := p.Site.Copies
+	ratePerCopy := 0.0
+	for _, b := range fleet.Boxes {
+		ratePerCopy += max(min(settings.Share*b.Link, b.Link-b.Busy), 0) / float64(len(fleet.Boxes)*max(settings.AtOnce, 1))
 	}
-	return mapping.Bounds{Fill: peaks.Fill, Price: f.CopyPrice(), Copies: c.Most, Each: each, Within: copyTimeMargin * within}
+	return mapping.Bounds{Fill: peaks.Fill, Price: fleet.CopyPrice(), Copies: settings.Most, Each: ratePerCopy, Within: copyTimeMargin * within}
 }
 
 // chooseCopies decides for the hours that are open. The program is solved without the lock.
@@ -325,10 +325,10 @@
 	p.mu.Lock()
 	now := time.Now().UnixMilli()
 	p.updateManagerBoxes()
-	count := 0
+	readyCount := 0
 	for _, b := range p.monitor.boxes {
 		if b.effectiveState() == view.StateReady {
-			count++
+			readyCount++
 		}
 	}
 	ready := func(id string) bool {
@@ -336,7 +336,7 @@
 	}
 	var open []peaks.Announcement
 	for _, a := range p.peakState.book.List() {
-		if p.needsCopies(&a, now) && p.copyState.decisions.Open(a.ID, a.Version, count, ready) && p.copyState.manager.Known() {
+		if p.needsCopies(&a, now) && p.copyState.decisions.Open(a.ID, a.Version, readyCount, ready) && p.copyState.manager.Known() {
 			open = append(open, a)
 		}
 	}
@@ -344,26 +344,26 @@
 		p.mu.Unlock()
 		return
 	}
-	f := p.planFleet()
-	boxes, disk := p.mappingBoxes(f)
+	fleet := p.planFleet()
+	boxes, disk := p.mappingBoxes(fleet)
 	var demands []peaks.Demand
 	var hours []mapping.Hour
-	soonest := open[0].Start
+	earliestStart := open[0].Start
 	for _, a := range open {
-		soonest = min(soonest, a.Start)
+		earliestStart = min(earliestStart, a.Start)
 		for _, name := range a.Titles {
-			if d, h, ok := p.copyDemand(&a, name, f, ready); ok {
+			if d, h, ok := p.copyDemand(&a, name, fleet, ready); ok {
 				demands, hours = append(demands, d), append(hours, h)
 			}
 		}
 	}
-	bounds := p.copyBounds(f, float64(max(soonest-now, 0))/1000)
+	bounds := p.copyBounds(fleet, float64(max(earliestStart-now, 0))/1000)
 	p.mu.Unlock()
-	choice := mapping.Choose(f, demands, hours, boxes, disk, bounds, p.Copies, time.Now, solveBudget)
+	choice := mapping.Choose(fleet, demands, hours, boxes, disk, bounds, p.Copies, time.Now, solveBudget)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range open {
-		p.copyState.decisions.Decide(a.ID, a.Version, count, ready, choice.Copies)
+		p.copyState.decisions.Decide(a.ID, a.Version, readyCount, ready, choice.Copies)
 	}
 	p.copyState.lastChoice = choice
 	p.Log.Info("copies chosen", "hours", len(open), "copies", len(choice.Copies), "by", choice.By, "worth_without", choice.None,
@@ -371,7 +371,7 @@
 }
 
 // hour is what a title of an hour will ask, with the copies that are decided already as holders. p.mu is held.
-func (p *Planner) copyDemand(a *peaks.Announcement, name string, f *peaks.Fleet, ready func(string) bool) (peaks.Demand, mapping.Hour, bool) {
+func (p *Planner) copyDemand(a *peaks.Announcement, name string, fleet *peaks.Fleet, ready func(string) bool) (peaks.Demand, mapping.Hour, bool) {
 	d, _ := p.peakDemand(a, name, a.Rate/float64(len(a.Titles)), time.Duration(a.Length)*time.Millisecond)
 	if d.Count <= 0 {
 		return d, mapping.Hour{}, false
@@ -383,10 +383,10 @@
 	}
 	slices.Sort(d.Holders)
 	d.Holders = slices.Compact(d.Holders)
-	d.Count = f.Wanted(&d)
-	rung := f.EvenRung(&d)
-	k := f.Classes[d.Class]
-	return d, mapping.Hour{Peak: a.ID, Title: name, Size: p.copyState.titleSizes[name], Rate: d.Count * f.Ladder[rung] * k.Factor, Streams: d.Count,
-		Worth: d.Count * d.Worth * f.Worths[rung], Plays: float64(a.Length)/1000 + p.sessionLength(a).Seconds(), Zone: p.Site.Zone(a.Zone),
+	d.Count = fleet.Wanted(&d)
+	rung := fleet.EvenRung(&d)
+	class := fleet.Classes[d.Class]
+	return d, mapping.Hour{Peak: a.ID, Title: name, Size: p.copyState.titleSizes[name], Rate: d.Count * fleet.Ladder[rung] * class.Factor, Streams: d.Count,
+		Worth: d.Count * d.Worth * fleet.Worths[rung], Plays: float64(a.Length)/1000 + p.sessionLength(a).Seconds(), Zone: p.Site.Zone(a.Zone),
 		Holders: d.Holders}, true
 }
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -11,9 +11,9 @@
 
 // metrics serves the planner's state in Prometheus' text format.
 func (p *Planner) metrics() http.Handler {
-	r := prometheus.NewRegistry()
+	registry := prometheus.NewRegistry()
 	gauge := func(name, help string, labels prometheus.Labels, read func() float64) {
-		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "rainpulley_planner_" + name, Help: help, ConstLabels: labels},
+		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "rainpulley_planner_" + name, Help: help, ConstLabels: labels},
 			func() float64 { p.mu.Lock(); defer p.mu.Unlock(); return read() }))
 	}
 	gauge("view_version", "Version of the view that is published; 0: none yet.", nil, func() float64 { return float64(p.published.Version) })
@@ -37,17 +37,17 @@
 	})
 	gauge("plan_seconds", "Time that the last plan took.", nil, func() float64 { return p.peakState.plan.Took.Seconds() })
 	gauge("plan_worth_per_second", "What the last plan is thought to earn.", nil, func() float64 { return p.peakState.plan.Value })
-	if m := p.copyState.manager; m != nil {
-		gauge("copies_under_way", "Copies that boxes are making.", nil, func() float64 { return float64(m.Jobs()) })
+	if manager := p.copyState.manager; manager != nil {
+		gauge("copies_under_way", "Copies that boxes are making.", nil, func() float64 { return float64(manager.Jobs()) })
 		gauge("copies_wanted", "Copies beyond those at rest that are decided.", nil, func() float64 { return float64(len(p.copyState.decisions.Copies()) + len(p.copyState.driftCopies)) })
 		gauge("copies_commands", "Commands to boxes so far.", nil, func() float64 { return float64(p.copyState.commandsSent) })
 		gauge("copies_refused", "Commands that boxes did not take.", nil, func() float64 { return float64(p.copyState.commandsFailed) })
 		gauge("copies_outdated", "1: boxes obey a later planner, this one commands no more.", nil, func() float64 {
-			if m.Outdated() {
+			if manager.Outdated() {
 				return 1
 			}
 			return 0
 		})
 	}
-	return promhttp.HandlerFor(r, promhttp.HandlerOpts{})
+	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 }
--- a/internal/planner/peaks.go
+++ b/internal/planner/peaks.go
@@ -45,14 +45,14 @@
 }
 
 func (p *Planner) knownNames() peaks.Known {
-	k := peaks.Known{Zones: p.Site.Zones, Titles: map[string]bool{}}
+	known := peaks.Known{Zones: p.Site.Zones, Titles: map[string]bool{}}
 	for _, c := range p.Site.Classes {
-		k.Classes = append(k.Classes, c.Name)
+		known.Classes = append(known.Classes, c.Name)
 	}
 	for name := range p.monitor.titles {
-		k.Titles[name] = true
+		known.Titles[name] = true
 	}
-	return k
+	return known
 }
 
 // announce takes one announcement and keeps the book on disk before it says so.
@@ -92,11 +92,11 @@
 func (p *Planner) registerPeakRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /v1/peaks", func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock()
-		out := map[string]any{"peaks": p.peakState.book.List(), "holds": p.peakState.ledger.Held(), "accounts": p.peakState.ledger.Accounts(),
+		response := map[string]any{"peaks": p.peakState.book.List(), "holds": p.peakState.ledger.Held(), "accounts": p.peakState.ledger.Accounts(),
 			"plan": map[string]any{"by": p.peakState.plan.By, "value": p.peakState.plan.Value, "took_ms": p.peakState.plan.Took.Seconds() * 1000}}
 		p.mu.Unlock()
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(out)
+		_ = json.NewEncoder(w).Encode(response)
 	})
 	mux.HandleFunc("PUT /v1/peaks/{id}", p.putPeak)
 	mux.HandleFunc("DELETE /v1/peaks/{id}", p.cancelPeak)
@@ -104,9 +104,9 @@
 }
 
 func readJSON(w http.ResponseWriter, r *http.Request, into any) error {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
 		return fmt.Errorf("body: %w", err)
 	}
 	return nil
@@ -157,54 +157,54 @@
 // takeUse takes an edge's report. Arrivals are counted from one report to the next, so that one that is
 // lost or comes twice counts none twice.
 func (p *Planner) handleUsage(w http.ResponseWriter, r *http.Request) {
-	var u view.UsageReport
-	if err := readJSON(w, r, &u); err != nil {
+	var report view.UsageReport
+	if err := readJSON(w, r, &report); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	uses := make([]peaks.Use, 0, len(u.Usage))
-	for _, x := range u.Usage {
+	uses := make([]peaks.Use, 0, len(report.Usage))
+	for _, x := range report.Usage {
 		uses = append(uses, peaks.Use{Key: peaks.Key{Peak: x.Peak, Title: x.Title, Box: x.Box}, Rate: x.Rate, Streams: x.Streams})
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b := &p.peakState
-	position, _, _ := strings.Cut(u.Edge, ".")
-	if old := b.edgeInstances[position]; old != u.Edge { // restarted: what it took over it reports itself
-		b.ledger.Drop(old)
-		b.edgeInstances[position] = u.Edge
-	}
-	if b.ledger.Report(u.Edge, u.Seq, time.Now().UnixMilli(), uses) {
-		for _, x := range u.Arrivals {
-			k := u.Edge + "\x00" + peaks.PeakTitle(x.Peak, x.Title)
-			if last, seen := b.lastArrivals[k]; seen && x.Count > last {
-				b.pendingArrivals[x.Peak] += x.Count - last
+	state := &p.peakState
+	position, _, _ := strings.Cut(report.Edge, ".")
+	if old := state.edgeInstances[position]; old != report.Edge { // restarted: what it took over it reports itself
+		state.ledger.Drop(old)
+		state.edgeInstances[position] = report.Edge
+	}
+	if state.ledger.Report(report.Edge, report.Seq, time.Now().UnixMilli(), uses) {
+		for _, x := range report.Arrivals {
+			k := report.Edge + "\x00" + peaks.PeakTitle(x.Peak, x.Title)
+			if last, seen := state.lastArrivals[k]; seen && x.Count > last {
+				state.pendingArrivals[x.Peak] += x.Count - last
 			}
-			b.lastArrivals[k] = x.Count
+			state.lastArrivals[k] = x.Count
 		}
 	}
-	p.recordOutcomes(u.Edge, u.Outcomes, time.Now().UnixMilli())
+	p.recordOutcomes(report.Edge, report.Outcomes, time.Now().UnixMilli())
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // planning works plans out until ctx ends.
 func (p *Planner) runPlanning(ctx context.Context) {
-	t := time.NewTicker(planInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(planInterval)
+	defer ticker.Stop()
 	solver := peaks.NewSolver(solveBudget)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 		p.readAnnouncementFiles()
 		p.mu.Lock()
-		f, demands, expectedStreams := p.forecast(time.Now().UnixMilli())
+		fleet, demands, expectedStreams := p.forecast(time.Now().UnixMilli())
 		p.mu.Unlock()
 		plan := &peaks.Plan{}
 		if len(demands) > 0 {
-			plan = p.planHolds(solver, f, demands)
+			plan = p.planHolds(solver, fleet, demands)
 		}
 		p.mu.Lock()
 		p.peakState.plan = plan
@@ -215,64 +215,64 @@
 	}
 }
 
-func (p *Planner) planHolds(s *peaks.Solver, f *peaks.Fleet, demands []peaks.Demand) *peaks.Plan {
+func (p *Planner) planHolds(solver *peaks.Solver, fleet *peaks.Fleet, demands []peaks.Demand) *peaks.Plan {
 	switch p.Holds {
 	case "none":
 		return &peaks.Plan{}
 	case "greedy":
-		return peaks.Greedy(f, demands)
+		return peaks.Greedy(fleet, demands)
 	}
-	plan, err := s.Plan(f, demands)
+	plan, err := solver.Plan(fleet, demands)
 	if err != nil {
 		p.Log.Warn("greedy plan stands in", "error", err)
 	}
 	if p.Holds == "all" {
 		return plan
 	}
-	return peaks.Paying(f, demands, plan)
+	return peaks.Paying(fleet, demands, plan)
 }
 
 // outlook is the fleet and what is expected of each peak. p.mu is held.
 func (p *Planner) forecast(now int64) (*peaks.Fleet, []peaks.Demand, map[string]float64) {
-	b := &p.peakState
-	b.book.Forget(now)
-	b.ledger.Expire(now - usageReportTTL.Milliseconds())
+	state := &p.peakState
+	state.book.Forget(now)
+	state.ledger.Expire(now - usageReportTTL.Milliseconds())
 	var demands []peaks.Demand
 	expectedStreams := map[string]float64{}
-	for _, a := range b.book.List() {
-		follower := b.followers[a.ID]
+	for _, a := range state.book.List() {
+		follower := state.followers[a.ID]
 		if follower == nil {
 			follower = &peaks.Follower{}
-			b.followers[a.ID] = follower
+			state.followers[a.ID] = follower
 		}
-		follower.Saw(now, b.pendingArrivals[a.ID], &a)
-		e := follower.Expect(now, &a, p.sessionLength(&a))
-		if e.Rate <= 0 {
+		follower.Saw(now, state.pendingArrivals[a.ID], &a)
+		expected := follower.Expect(now, &a, p.sessionLength(&a))
+		if expected.Rate <= 0 {
 			continue
 		}
-		rate := e.Rate / float64(len(a.Titles))
+		rate := expected.Rate / float64(len(a.Titles))
 		for _, name := range a.Titles {
-			d, secs := p.peakDemand(&a, name, rate, e.Coming)
+			d, arrivalSeconds := p.peakDemand(&a, name, rate, expected.Coming)
 			if d.Count > 0 {
 				demands = append(demands, d)
-				expectedStreams[peaks.PeakTitle(a.ID, name)] = rate * secs
+				expectedStreams[peaks.PeakTitle(a.ID, name)] = rate * arrivalSeconds
 			}
 		}
 	}
-	clear(b.pendingArrivals)
+	clear(state.pendingArrivals)
 	return p.planFleet(), demands, expectedStreams
 }
 
 // plays is how long a peak's sessions play, by its first title where it does not say.
 func (p *Planner) sessionLength(a *peaks.Announcement) time.Duration {
-	n := a.Session
-	if n <= 0 && len(a.Titles) > 0 {
-		n = p.monitor.titles[a.Titles[0]].LengthMs
+	lengthMs := a.Session
+	if lengthMs <= 0 && len(a.Titles) > 0 {
+		lengthMs = p.monitor.titles[a.Titles[0]].LengthMs
 	}
-	if n <= 0 {
+	if lengthMs <= 0 {
 		return time.Minute
 	}
-	return timeconv.Milliseconds(n)
+	return timeconv.Milliseconds(lengthMs)
 }
 
 // demand is what a title of a peak needs at once, and for how many seconds viewers still come.
@@ -303,46 +303,46 @@
 // planFleet is the fleet as the watch sees it; what boxes carry beside peaks is what they report less
 // what edges report for peaks. p.mu is held.
 func (p *Planner) planFleet() *peaks.Fleet {
-	s := p.Site
-	f := &peaks.Fleet{Uplinks: make([]float64, s.Racks), Cells: s.Cells, Edges: len(s.Edges), ZonePrice: s.Prices.Zone}
-	for i := range f.Uplinks {
-		f.Uplinks[i] = float64(s.Links.Uplink)
+	site := p.Site
+	fleet := &peaks.Fleet{Uplinks: make([]float64, site.Racks), Cells: site.Cells, Edges: len(site.Edges), ZonePrice: site.Prices.Zone}
+	for i := range fleet.Uplinks {
+		fleet.Uplinks[i] = float64(site.Links.Uplink)
 	}
-	for _, r := range s.Ladder {
-		f.Ladder, f.Worths = append(f.Ladder, float64(r.Rate)), append(f.Worths, r.Worth)
+	for _, r := range site.Ladder {
+		fleet.Ladder, fleet.Worths = append(fleet.Ladder, float64(r.Rate)), append(fleet.Worths, r.Worth)
 	}
-	for _, k := range s.Classes {
-		c := peaks.Class{Factor: k.RateFactor, Floor: k.Floor, Top: len(s.Ladder) - 1, Worth: k.Worth, Seats: k.Seats}
+	for _, k := range site.Classes {
+		c := peaks.Class{Factor: k.RateFactor, Floor: k.Floor, Top: len(site.Ladder) - 1, Worth: k.Worth, Seats: k.Seats}
 		if c.Factor <= 0 {
 			c.Factor = 1
 		}
 		if k.Top != nil {
 			c.Top = *k.Top
 		}
-		f.Classes = append(f.Classes, c)
+		fleet.Classes = append(fleet.Classes, c)
 	}
-	accounts := p.peakState.ledger.PeakUse()
+	peakUse := p.peakState.ledger.PeakUse()
 	sizes := map[string]peaks.Size{}
 	now := time.Now()
 	for _, b := range p.published.Boxes {
 		if b.State != view.StateReady {
 			continue
 		}
-		w := p.monitor.boxes[b.ID]
-		if w == nil {
+		state := p.monitor.boxes[b.ID]
+		if state == nil {
 			continue
 		}
-		x := peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Zone: s.Zone(b.Zone), Link: b.Weight * float64(s.Links.PerWeight), Warm: rampShare(s, b.StartedMs, now)}
-		if k := s.Kind(b.Kind); k >= 0 {
-			x.Streams = float64(s.Kinds[k].Streams)
+		x := peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Zone: site.Zone(b.Zone), Link: b.Weight * float64(site.Links.PerWeight), Warm: rampShare(site, b.StartedMs, now)}
+		if k := site.Kind(b.Kind); k >= 0 {
+			x.Streams = float64(site.Kinds[k].Streams)
 		}
-		u := accounts[b.ID]
-		x.Busy, x.Playing = max(w.linkUtilization*x.Link-u.Rate, 0), max(w.streams-u.Streams, 0)
-		f.Boxes = append(f.Boxes, x)
-		sizes[b.ID] = peaks.Size{Rate: x.Link, Streams: x.Streams, Busy: w.linkUtilization * x.Link, Playing: w.streams}
+		used := peakUse[b.ID]
+		x.Busy, x.Playing = max(state.linkUtilization*x.Link-used.Rate, 0), max(state.streams-used.Streams, 0)
+		fleet.Boxes = append(fleet.Boxes, x)
+		sizes[b.ID] = peaks.Size{Rate: x.Link, Streams: x.Streams, Busy: state.linkUtilization * x.Link, Playing: state.streams}
 	}
 	p.peakState.ledger.Resize(sizes)
-	return f
+	return fleet
 }
 
 // warm is the share of its capacity that a started box has reached.
@@ -357,24 +357,24 @@
 
 // tellHolds makes the holds in force known to the streams. p.mu is held.
 func (p *Planner) publishHolds() {
-	b := &p.peakState
-	h := &view.Holds{LeaseMs: holdLease.Milliseconds()}
-	for _, x := range b.ledger.Held() {
-		h.Entries = append(h.Entries, view.Hold{Title: x.Title, Class: p.Site.Classes[x.Class].Name, Box: x.Box, Rate: x.Rate, Streams: x.Streams})
+	state := &p.peakState
+	holds := &view.Holds{LeaseMs: holdLease.Milliseconds()}
+	for _, x := range state.ledger.Held() {
+		holds.Entries = append(holds.Entries, view.Hold{Title: x.Title, Class: p.Site.Classes[x.Class].Name, Box: x.Box, Rate: x.Rate, Streams: x.Streams})
 	}
 	now := time.Now().UnixMilli()
-	for _, a := range b.book.List() {
+	for _, a := range state.book.List() {
 		if a.Cancelled || now < a.Start-a.Uncertain-arrivalCountLead.Milliseconds() || now > a.Start+a.Uncertain+2*a.Length+arrivalCountLead.Milliseconds() {
 			continue
 		}
 		for _, t := range a.Titles {
-			h.CountedTitles = append(h.CountedTitles, view.CountedTitle{Peak: a.ID, Title: t, Class: a.Class})
+			holds.CountedTitles = append(holds.CountedTitles, view.CountedTitle{Peak: a.ID, Title: t, Class: a.Class})
 		}
 	}
-	if len(h.Entries)+len(h.CountedTitles) == 0 && (b.publishedHolds == nil || len(b.publishedHolds.Entries)+len(b.publishedHolds.CountedTitles) == 0) {
+	if len(holds.Entries)+len(holds.CountedTitles) == 0 && (state.publishedHolds == nil || len(state.publishedHolds.Entries)+len(state.publishedHolds.CountedTitles) == 0) {
 		return
 	}
-	b.publishedHolds = h
+	state.publishedHolds = holds
 	close(p.updated)
 	p.updated = make(chan struct{})
 }
@@ -388,11 +388,11 @@
 	names, _ := filepath.Glob(filepath.Join(p.Announcements, "*.jsonnet"))
 	slices.Sort(names)
 	for _, name := range names {
-		st, err := os.Stat(name)
-		if err != nil || st.ModTime().Equal(p.peakState.fileReadTimes[name]) {
+		info, err := os.Stat(name)
+		if err != nil || info.ModTime().Equal(p.peakState.fileReadTimes[name]) {
 			continue
 		}
-		p.peakState.fileReadTimes[name] = st.ModTime()
+		p.peakState.fileReadTimes[name] = info.ModTime()
 		list, err := ReadAnnouncements(name)
 		if err == nil {
 			err = p.validateAnnouncements(list)
@@ -427,12 +427,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("planner: %w", err)
 	}
-	var f struct {
+	var file struct {
 		Peaks []peaks.Announcement `json:"peaks"`
 	}
 	if strings.TrimSpace(string(text)) == "" {
 		return nil, fmt.Errorf("planner: %s is empty", name)
 	}
-	err = config.Evaluate(name, string(text), map[string]string{"now_ms": fmt.Sprint(time.Now().UnixMilli())}, &f)
-	return f.Peaks, err
+	err = config.Evaluate(name, string(text), map[string]string{"now_ms": fmt.Sprint(time.Now().UnixMilli())}, &file)
+	return file.Peaks, err
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -84,19 +84,19 @@
 			return fmt.Errorf("planner: %w", err)
 		}
 	}
-	work := &p.wg
+	wg := &p.wg
 	p.mu.Lock()
-	p.healthChecks = &healthChecks{ctx: ctx, wg: work, cancelByBox: map[string]context.CancelFunc{}}
+	p.healthChecks = &healthChecks{ctx: ctx, wg: wg, cancelByBox: map[string]context.CancelFunc{}}
 	for i, b := range p.Site.Boxes {
 		p.startHealthChecks(b.Addr, i)
 	}
 	p.mu.Unlock()
-	work.Add(1)
-	go func() { defer work.Done(); p.runPlanning(ctx) }()
-	work.Add(1)
-	go func() { defer work.Done(); p.runCopies(ctx) }()
-	work.Add(1)
-	go func() { defer work.Done(); p.watchSources(ctx) }()
+	wg.Add(1)
+	go func() { defer wg.Done(); p.runPlanning(ctx) }()
+	wg.Add(1)
+	go func() { defer wg.Done(); p.runCopies(ctx) }()
+	wg.Add(1)
+	go func() { defer wg.Done(); p.watchSources(ctx) }()
 	mux := http.NewServeMux()
 	p.registerPeakRoutes(mux)
 	mux.Handle("GET /metrics", p.metrics())
@@ -108,19 +108,19 @@
 	mux.HandleFunc("PUT /v1/titles/{name}", p.handleSetTitle)
 	mux.HandleFunc("DELETE /v1/titles/{name}", p.handleSetTitle)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
-	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10,
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10,
 		BaseContext: func(net.Listener) context.Context { return ctx }}
 	stop := context.AfterFunc(ctx, func() {
-		limited, cancel := context.WithTimeout(context.Background(), time.Second)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		if s.Shutdown(limited) != nil {
-			_ = s.Close()
+		if server.Shutdown(shutdownCtx) != nil {
+			_ = server.Close()
 		}
 	})
 	defer stop()
 	p.Log.Info("planner serves", "address", p.Listener.Addr().String(), "boxes", len(p.Site.Boxes), "titles", len(p.Site.Titles))
-	err := s.Serve(p.Listener)
-	work.Wait()
+	err := server.Serve(p.Listener)
+	wg.Wait()
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -135,8 +135,8 @@
 	if p.published.Version == 0 && (!p.monitor.AllChecked() || p.copyState.manager != nil && !p.copyState.manager.Known()) {
 		return
 	}
-	next, changed := p.monitor.View()
-	if !changed && p.published.Version > 0 {
+	next, viewChanged := p.monitor.View()
+	if !viewChanged && p.published.Version > 0 {
 		return
 	}
 	p.published = next
@@ -154,58 +154,58 @@
 
 // check asks one box again and again. Boxes are asked at different parts of the period.
 func (p *Planner) runHealthChecks(ctx context.Context, addr string, number int) {
-	every := p.Site.Planner.CheckEvery.D()
+	interval := p.Site.Planner.CheckEvery.D()
 	var knownVersion uint64
 	var lastRead time.Time
 	misses := 0
-	wait := time.NewTimer(every * time.Duration(number) / time.Duration(max(len(p.Site.Boxes), 64)))
-	defer wait.Stop()
+	timer := time.NewTimer(interval * time.Duration(number) / time.Duration(max(len(p.Site.Boxes), 64)))
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-wait.C:
+		case <-timer.C:
 		}
-		wait.Reset(every)
-		c := p.checkHealth(ctx, addr)
+		timer.Reset(interval)
+		check := p.checkHealth(ctx, addr)
 		if ctx.Err() != nil {
 			return
 		}
 		p.mu.Lock()
-		p.monitor.RecordCheck(addr, c)
+		p.monitor.RecordCheck(addr, check)
 		p.updateManagerBoxes()
 		before := p.published.Version
 		p.publishView()
 		after := p.published.Version
 		p.mu.Unlock()
 		if after != before {
-			p.Log.Info("view", "version", after, "cause", addr, "answered", c.Answered, "draining", c.Draining, "boot", c.BootID)
+			p.Log.Info("view", "version", after, "cause", addr, "answered", check.Answered, "draining", check.Draining, "boot", check.BootID)
 		}
-		p.refreshTitles(ctx, addr, c, &knownVersion, &lastRead, &misses) // after the state is known: a drain waits for nothing
+		p.refreshTitles(ctx, addr, check, &knownVersion, &lastRead, &misses) // after the state is known: a drain waits for nothing
 	}
 }
 
 func (p *Planner) checkHealth(ctx context.Context, addr string) HealthCheck {
-	limited, cancel := context.WithTimeout(ctx, p.Site.Planner.CheckFor.D())
+	requestCtx, cancel := context.WithTimeout(ctx, p.Site.Planner.CheckFor.D())
 	defer cancel()
-	r, err := p.client.Do(limited, addr, "GET", "/health", nil, nil)
-	var h healthResponse
-	if err != nil || r.Status != 200 || json.Unmarshal(r.Body, &h) != nil {
+	r, err := p.client.Do(requestCtx, addr, "GET", "/health", nil, nil)
+	var health healthResponse
+	if err != nil || r.Status != 200 || json.Unmarshal(r.Body, &health) != nil {
 		return HealthCheck{}
 	}
-	c := HealthCheck{Answered: true, Draining: h.State == "draining", BootID: h.Boot, TitlesVersion: h.TitlesVersion, AnsweredAt: time.Now()}
-	if l := cmsd.Parse(r.Get("cmsd-dynamic")); l != nil {
-		if l.LinkUtilization != nil {
-			c.LinkUtilization = *l.LinkUtilization
+	check := HealthCheck{Answered: true, Draining: health.State == "draining", BootID: health.Boot, TitlesVersion: health.TitlesVersion, AnsweredAt: time.Now()}
+	if load := cmsd.Parse(r.Get("cmsd-dynamic")); load != nil {
+		if load.LinkUtilization != nil {
+			check.LinkUtilization = *load.LinkUtilization
 		}
-		if l.Streams != nil {
-			c.Streams = *l.Streams
+		if load.Streams != nil {
+			check.Streams = *load.Streams
 		}
 	}
-	if h.StartedMs > 0 && h.StartedMs <= timeconv.MaxUnixMilli {
-		c.Started = time.UnixMilli(h.StartedMs)
+	if health.StartedMs > 0 && health.StartedMs <= timeconv.MaxUnixMilli {
+		check.Started = time.UnixMilli(health.StartedMs)
 	}
-	return c
+	return check
 }
 
 const (
@@ -215,9 +215,9 @@
 
 // stream sends the whole view, then each change, and a heartbeat in between.
 func (p *Planner) streamView(w http.ResponseWriter, r *http.Request) {
-	out := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	enc := json.NewEncoder(w)
+	encoder := json.NewEncoder(w)
 	var sent view.View
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -233,18 +233,18 @@
 			}
 			continue
 		}
-		l := view.Update{Version: v.Version}
+		line := view.Update{Version: v.Version}
 		switch {
 		case first:
-			l = view.Update{Version: v.Version, Full: true, Boxes: v.Boxes, Titles: v.Titles, NowMs: time.Now().UnixMilli()}
+			line = view.Update{Version: v.Version, Full: true, Boxes: v.Boxes, Titles: v.Titles, NowMs: time.Now().UnixMilli()}
 		case v.Version != sent.Version:
-			l = view.Diff(sent, v)
-			l.NowMs = time.Now().UnixMilli()
+			line = view.Diff(sent, v)
+			line.NowMs = time.Now().UnixMilli()
 		}
-		l.Holds = holds
+		line.Holds = holds
 		sent, first = v, false
-		_ = out.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
-		if enc.Encode(l) != nil || out.Flush() != nil {
+		_ = controller.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
+		if encoder.Encode(line) != nil || controller.Flush() != nil {
 			return
 		}
 		select {
@@ -294,9 +294,9 @@
 func (p *Planner) handleSetTitle(w http.ResponseWriter, r *http.Request) {
 	t := view.Title{Name: r.PathValue("name")}
 	if r.Method == http.MethodPut {
-		d := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096))
-		d.DisallowUnknownFields()
-		if err := d.Decode(&t); err != nil || t.Name != r.PathValue("name") || t.HomeCell < 0 || t.HomeCell >= p.Site.Cells ||
+		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(&t); err != nil || t.Name != r.PathValue("name") || t.HomeCell < 0 || t.HomeCell >= p.Site.Cells ||
 			t.CellSpan < 1 || t.CellSpan > p.Site.Cells || t.LengthMs < 0 || t.LengthMs > timeconv.MaxDuration.Milliseconds() {
 			http.Error(w, "want {\"name\",\"home\",\"span\",\"length_ms\"} that fit the cells", http.StatusBadRequest)
 			return
--- a/internal/planner/reload.go
+++ b/internal/planner/reload.go
@@ -33,7 +33,7 @@
 
 // Reload takes a site's boxes and titles as they are now. What operators told through the API stays over
 // the file; all else of the site is settled when the planner starts, and a change of it is named.
-func (p *Planner) Reload(s *config.Site) {
+func (p *Planner) Reload(site *config.Site) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.healthChecks == nil || p.healthChecks.ctx.Err() != nil {
@@ -43,10 +43,10 @@
 	for _, b := range p.currentSite.Boxes {
 		old[b.Addr] = b
 	}
-	for i, b := range s.Boxes {
-		was, known := old[b.Addr]
+	for i, b := range site.Boxes {
+		previous, known := old[b.Addr]
 		delete(old, b.Addr)
-		if known && was == b {
+		if known && previous == b {
 			continue
 		}
 		p.monitor.Update(p.siteBox(b))
@@ -59,11 +59,11 @@
 		delete(p.healthChecks.cancelByBox, addr)
 		p.monitor.Remove(addr)
 	}
-	p.applySiteTitles(s.Titles)
-	fixed := config.Changed(p.Site, s, "boxes", "titles", "playback")
-	p.currentSite = s
+	p.applySiteTitles(site.Titles)
+	fixed := config.Changed(p.Site, site, "boxes", "titles", "playback")
+	p.currentSite = site
 	p.publishView()
-	p.Log.Info("site reloaded", "boxes", len(s.Boxes), "titles", len(s.Titles), "needs_restart", fixed)
+	p.Log.Info("site reloaded", "boxes", len(site.Boxes), "titles", len(site.Titles), "needs_restart", fixed)
 }
 
 // reloadTitles changes those that the file changed, not those that operators told otherwise.
@@ -73,13 +73,13 @@
 		old[t.Name] = t
 	}
 	set := func(t view.Title) {
-		if _, told := p.overrides.Titles[t.Name]; !told {
+		if _, overridden := p.overrides.Titles[t.Name]; !overridden {
 			p.monitor.SetTitle(t)
 			p.updateManagerTitle(t.Name)
 		}
 	}
 	for _, t := range titles {
-		if was, known := old[t.Name]; !known || was != t {
+		if previous, known := old[t.Name]; !known || previous != t {
 			set(siteTitle(t))
 		}
 		delete(old, t.Name)
--- a/internal/planner/sources.go
+++ b/internal/planner/sources.go
@@ -41,28 +41,28 @@
 
 // openSources makes the believer for the sources in their order of preference, the last view on disk behind them.
 func (p *Planner) openSources() error {
-	b := &p.sourceState
-	b.sources = p.Sources
-	if len(b.sources) == 0 && p.Site.Consul.Address != "" {
-		c, err := registry.NewConsul(p.Site)
+	state := &p.sourceState
+	state.sources = p.Sources
+	if len(state.sources) == 0 && p.Site.Consul.Address != "" {
+		consul, err := registry.NewConsul(p.Site)
 		if err != nil {
 			return err
 		}
-		b.sources = append(b.sources, c)
+		state.sources = append(state.sources, consul)
 	}
-	if len(b.sources) == 0 {
+	if len(state.sources) == 0 {
 		return nil
 	}
 	rules := reconcile.DefaultRules()
 	rules.SourceTimeout = max(rules.SourceTimeout, p.Site.Consul.Wait.D()*5/4+5*time.Second) // between answers of a blocking query nothing is heard
 	var names []string
-	for _, s := range b.sources {
+	for _, s := range state.sources {
 		names = append(names, s.Name())
 	}
-	b.reconciler = reconcile.New(rules, append(names, diskSource)...)
-	b.boxes, b.boxesBySource, b.titleNames, b.lastOutcomes = map[string]registry.Box{}, map[string]map[string]registry.Box{}, map[string]bool{}, map[string]view.Outcome{}
+	state.reconciler = reconcile.New(rules, append(names, diskSource)...)
+	state.boxes, state.boxesBySource, state.titleNames, state.lastOutcomes = map[string]registry.Box{}, map[string]map[string]registry.Box{}, map[string]bool{}, map[string]view.Outcome{}
 	if p.State != "" {
-		b.store = viewstore.Open(filepath.Join(p.State, "sources.view"))
+		state.store = viewstore.Open(filepath.Join(p.State, "sources.view"))
 		p.restoreSnapshot()
 	}
 	return nil
@@ -100,8 +100,8 @@
 			})
 		}()
 	}
-	t := time.NewTicker(reconcileInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(reconcileInterval)
+	defer ticker.Stop()
 	for {
 		p.mu.Lock()
 		p.reconcileSources(time.Now().UnixMilli())
@@ -109,7 +109,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 	}
 }
@@ -120,10 +120,10 @@
 	p.mu.Lock()
 	p.applySnapshot(s, now-s.Age.Milliseconds())
 	p.reconcileSources(now)
-	keep := p.sourceState.store != nil && p.sourceState.writtenVersion != s.Version && len(s.Boxes) > 0
+	save := p.sourceState.store != nil && p.sourceState.writtenVersion != s.Version && len(s.Boxes) > 0
 	p.sourceState.writtenVersion = s.Version
 	p.mu.Unlock()
-	if !keep {
+	if !save {
 		return
 	}
 	body, err := json.Marshal(s)
@@ -137,24 +137,24 @@
 
 // take hands a word to the believer. p.mu is held, or p is not running yet.
 func (p *Planner) applySnapshot(s registry.Snapshot, at int64) {
-	b := &p.sourceState
+	state := &p.sourceState
 	entries := make([]reconcile.Entry, 0, len(s.Boxes))
-	by := make(map[string]registry.Box, len(s.Boxes))
+	byID := make(map[string]registry.Box, len(s.Boxes))
 	for _, x := range s.Boxes {
 		if p.Site.Zone(x.Zone) < 0 || p.Site.Kind(x.Kind) < 0 || x.Cell < 0 || x.Cell >= p.Site.Cells || !(x.Weight > 0) {
 			continue // of another site: from disk, where it was never checked
 		}
 		entries = append(entries, x.Entry)
-		by[x.ID] = x
+		byID[x.ID] = x
 	}
-	b.boxesBySource[s.Source] = by
-	if err := b.reconciler.UpdateSource(s.Source, entries, at); err != nil {
+	state.boxesBySource[s.Source] = byID
+	if err := state.reconciler.UpdateSource(s.Source, entries, at); err != nil {
 		p.Log.Error("word not taken", "error", err)
 		return
 	}
-	if text := strings.Join(s.Faults, "; "); text != b.lastFaults {
-		b.lastFaults = text
-		p.Log.Warn("entries kept out", "source", s.Source, "count", len(s.Faults), "faults", text)
+	if faults := strings.Join(s.Faults, "; "); faults != state.lastFaults {
+		state.lastFaults = faults
+		p.Log.Warn("entries kept out", "source", s.Source, "count", len(s.Faults), "faults", faults)
 	}
 	if s.Titles != nil {
 		p.applySourceTitles(s.Titles)
@@ -164,53 +164,53 @@
 // takeTitles makes a source's titles those of the view, but for what operators told.
 func (p *Planner) applySourceTitles(titles []view.Title) {
 	set := func(t view.Title) {
-		if _, told := p.overrides.Titles[t.Name]; !told {
+		if _, overridden := p.overrides.Titles[t.Name]; !overridden {
 			p.monitor.SetTitle(t)
 			p.updateManagerTitle(t.Name)
 		}
 	}
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, t := range titles {
-		named[t.Name] = true
+		listed[t.Name] = true
 		if old := p.monitor.titles[t.Name]; old.HomeCell != t.HomeCell || old.CellSpan != t.CellSpan || old.LengthMs != t.LengthMs {
 			set(t)
 		}
 	}
 	for name := range p.sourceState.titleNames {
-		if !named[name] {
+		if !listed[name] {
 			set(view.Title{Name: name})
 		}
 	}
-	p.sourceState.titleNames = named
+	p.sourceState.titleNames = listed
 }
 
 // believe brings what is believed into the watch: which boxes there are, and which of them get no new work. p.mu
 // is held.
 func (p *Planner) reconcileSources(now int64) {
-	b := &p.sourceState
-	b.statuses = b.reconciler.Evaluate(now)
-	there := map[string]bool{}
-	for _, j := range b.statuses {
-		x, known := b.boxesBySource[j.Source][j.ID]
+	state := &p.sourceState
+	state.statuses = state.reconciler.Evaluate(now)
+	present := map[string]bool{}
+	for _, status := range state.statuses {
+		x, known := state.boxesBySource[status.Source][status.ID]
 		if !known {
-			if x, known = b.boxes[j.ID]; !known { // named long ago by a source that names it no more
+			if x, known = state.boxes[status.ID]; !known { // named long ago by a source that names it no more
 				continue
 			}
 		}
-		there[j.ID] = true
-		w := p.siteBox(config.Box{Addr: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, Weight: x.Weight})
-		if old, ok := b.boxes[j.ID]; !ok || old.Zone != x.Zone || old.Kind != x.Kind || old.Cell != x.Cell || old.Weight != x.Weight {
-			p.monitor.Update(w)
+		present[status.ID] = true
+		described := p.siteBox(config.Box{Addr: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, Weight: x.Weight})
+		if old, ok := state.boxes[status.ID]; !ok || old.Zone != x.Zone || old.Kind != x.Kind || old.Cell != x.Cell || old.Weight != x.Weight {
+			p.monitor.Update(described)
 		}
-		b.boxes[j.ID] = x
-		p.monitor.SetReported(j.ID, view.State(j.State), j.Started)
-		if p.healthChecks != nil && p.healthChecks.cancelByBox[j.ID] == nil && p.healthChecks.ctx.Err() == nil {
-			p.startHealthChecks(j.ID, len(there)%64)
+		state.boxes[status.ID] = x
+		p.monitor.SetReported(status.ID, view.State(status.State), status.Started)
+		if p.healthChecks != nil && p.healthChecks.cancelByBox[status.ID] == nil && p.healthChecks.ctx.Err() == nil {
+			p.startHealthChecks(status.ID, len(present)%64)
 		}
 	}
-	for id := range b.boxes {
-		if !there[id] {
-			delete(b.boxes, id)
+	for id := range state.boxes {
+		if !present[id] {
+			delete(state.boxes, id)
 			if p.healthChecks != nil && p.healthChecks.cancelByBox[id] != nil {
 				p.healthChecks.cancelByBox[id]()
 				delete(p.healthChecks.cancelByBox, id)
@@ -225,19 +225,19 @@
 // evidence takes what set-ups went through at edges. Counts rise from an edge's start, so that a report that is lost
 // or comes twice counts nothing twice. p.mu is held.
 func (p *Planner) recordOutcomes(edge string, list []view.Outcome, now int64) {
-	b := &p.sourceState
-	if b.reconciler == nil {
+	state := &p.sourceState
+	if state.reconciler == nil {
 		return
 	}
 	for _, o := range list {
-		k := edge + "\x00" + o.Box
-		last := b.lastOutcomes[k]
-		b.lastOutcomes[k] = o
+		key := edge + "\x00" + o.Box
+		last := state.lastOutcomes[key]
+		state.lastOutcomes[key] = o
 		for range min(max(o.Failed-last.Failed, 0), 100) {
-			b.reconciler.RecordFailure(o.Box, now)
+			state.reconciler.RecordFailure(o.Box, now)
 		}
 		if o.Served > last.Served {
-			b.reconciler.RecordServed(o.Box, now)
+			state.reconciler.RecordServed(o.Box, now)
 		}
 	}
 }
@@ -260,23 +260,23 @@
 	}
 	var out []BoxStatus
 	for id, x := range p.monitor.boxes {
-		l := BoxStatus{ID: id, State: string(view.StateGone), Source: "site", Reason: "answers its checks"}
+		status := BoxStatus{ID: id, State: string(view.StateGone), Source: "site", Reason: "answers its checks"}
 		if s, ok := states[id]; ok {
-			l.State = string(s)
+			status.State = string(s)
 		}
-		if i := slices.IndexFunc(p.sourceState.statuses, func(j reconcile.Status) bool { return j.ID == id }); i >= 0 {
-			j := p.sourceState.statuses[i]
-			l.Source, l.AgeMs, l.Reason = j.Source, j.Age.Milliseconds(), j.Reason
+		if i := slices.IndexFunc(p.sourceState.statuses, func(judged reconcile.Status) bool { return judged.ID == id }); i >= 0 {
+			judged := p.sourceState.statuses[i]
+			status.Source, status.AgeMs, status.Reason = judged.Source, judged.Age.Milliseconds(), judged.Reason
 		}
 		switch {
 		case x.operatorDrain:
-			l.Reason = "drain told by an operator"
+			status.Reason = "drain told by an operator"
 		case x.missedChecks > 0 || !x.answered:
-			l.Reason = l.Reason + "; " + strconv.Itoa(x.missedChecks) + " of the planner's checks missed"
+			status.Reason = status.Reason + "; " + strconv.Itoa(x.missedChecks) + " of the planner's checks missed"
 		case x.box.State == view.StateDraining:
-			l.Reason = "says that it drains"
+			status.Reason = "says that it drains"
 		}
-		out = append(out, l)
+		out = append(out, status)
 	}
 	p.mu.Unlock()
 	slices.SortFunc(out, func(a, b BoxStatus) int { return strings.Compare(a.ID, b.ID) })
--- a/internal/planner/watch.go
+++ b/internal/planner/watch.go
@@ -61,9 +61,9 @@
 
 // Update changes what is known of a box from its installation; its state and start stay.
 func (w *Monitor) Update(b view.Box) {
-	if o := w.boxes[b.ID]; o != nil {
-		b.State, b.StartedMs = o.box.State, o.box.StartedMs
-		o.box = b
+	if old := w.boxes[b.ID]; old != nil {
+		b.State, b.StartedMs = old.box.State, old.box.StartedMs
+		old.box = b
 		return
 	}
 	w.Add(b)
@@ -129,14 +129,14 @@
 // behind would let a cold box pass for a warm one, and be pushed over. It cannot have started before the
 // last answer under its old boot, nor after this one.
 func (b *boxState) startTime(c HealthCheck) time.Time {
-	at := c.Started
-	if b.bootID != "" && at.Before(b.lastAnswerAt) {
-		at = b.lastAnswerAt
+	started := c.Started
+	if b.bootID != "" && started.Before(b.lastAnswerAt) {
+		started = b.lastAnswerAt
 	}
-	if !c.AnsweredAt.IsZero() && at.After(c.AnsweredAt) {
-		at = c.AnsweredAt
+	if !c.AnsweredAt.IsZero() && started.After(c.AnsweredAt) {
+		started = c.AnsweredAt
 	}
-	return at
+	return started
 }
 
 // Believe takes what other sources are believed to say of a box: it gets no better state than that. A start that
@@ -177,9 +177,9 @@
 // View is the view as it stands, with a higher version if anything changed since the last call.
 func (w *Monitor) View() (v view.View, changed bool) {
 	for _, b := range w.boxes {
-		if s := b.effectiveState(); s != view.StateGone {
+		if state := b.effectiveState(); state != view.StateGone {
 			x := b.box
-			x.State = s
+			x.State = state
 			v.Boxes = append(v.Boxes, x)
 		}
 	}
--- a/internal/reconcile/belief.go
+++ b/internal/reconcile/belief.go
@@ -109,41 +109,41 @@
 }
 
 // New makes one for sources in their order of preference.
-func New(r Rules, names ...string) *Reconciler {
-	b := &Reconciler{Rules: r, boxes: map[string]*boxHistory{}}
+func New(rules Rules, names ...string) *Reconciler {
+	reconciler := &Reconciler{Rules: rules, boxes: map[string]*boxHistory{}}
 	for _, n := range names {
-		b.sources = append(b.sources, &source{name: n, entries: map[string]reportedEntry{}, drainedSince: map[string]int64{}})
+		reconciler.sources = append(reconciler.sources, &source{name: n, entries: map[string]reportedEntry{}, drainedSince: map[string]int64{}})
 	}
-	return b
+	return reconciler
 }
 
-func (b *Reconciler) source(name string) *source {
-	i := slices.IndexFunc(b.sources, func(s *source) bool { return s.name == name })
+func (r *Reconciler) source(name string) *source {
+	i := slices.IndexFunc(r.sources, func(s *source) bool { return s.name == name })
 	if i < 0 {
 		return nil
 	}
-	return b.sources[i]
+	return r.sources[i]
 }
 
-func (b *Reconciler) history(id string) *boxHistory {
-	if b.boxes[id] == nil {
-		b.boxes[id] = &boxHistory{}
+func (r *Reconciler) history(id string) *boxHistory {
+	if r.boxes[id] == nil {
+		r.boxes[id] = &boxHistory{}
 	}
-	return b.boxes[id]
+	return r.boxes[id]
 }
 
 // Heard takes a source's whole word on the fleet.
-func (b *Reconciler) UpdateSource(name string, list []Entry, now int64) error {
-	s := b.source(name)
+func (r *Reconciler) UpdateSource(name string, list []Entry, now int64) error {
+	s := r.source(name)
 	if s == nil {
 		return fmt.Errorf("belief: no source %q", name)
 	}
 	s.lastListAt = now
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, e := range list {
-		named[e.ID] = true
-		old, had := s.entries[e.ID]
-		if had && old.Address == e.Address && e.Started < old.Started {
+		listed[e.ID] = true
+		old, known := s.entries[e.ID]
+		if known && old.Address == e.Address && e.Started < old.Started {
 			e.Started = old.Started // a start does not go back: an older word, or a clock that was set
 		}
 		s.entries[e.ID] = reportedEntry{Entry: e, listedAt: now}
@@ -154,16 +154,16 @@
 		} else {
 			delete(s.drainedSince, e.ID)
 		}
-		b.recordHealth(e, now)
+		r.recordHealth(e, now)
 	}
 	for id, t := range s.entries {
-		if named[id] {
+		if listed[id] {
 			continue
 		}
 		if t.missingSince == 0 {
 			t.missingSince = now
 			s.entries[id] = t
-		} else if now-t.missingSince > 10*b.MissingGrace.Milliseconds() {
+		} else if now-t.missingSince > 10*r.MissingGrace.Milliseconds() {
 			delete(s.entries, id)
 			delete(s.drainedSince, id)
 		}
@@ -172,102 +172,102 @@
 }
 
 // checked notes a change of a box's health.
-func (b *Reconciler) recordHealth(e Entry, now int64) {
-	x := b.history(e.ID)
-	if x.hasHealth && x.health != e.Health {
-		x.healthChanges = append(x.healthChanges, now)
+func (r *Reconciler) recordHealth(e Entry, now int64) {
+	history := r.history(e.ID)
+	if history.hasHealth && history.health != e.Health {
+		history.healthChanges = append(history.healthChanges, now)
 	}
-	x.healthChanges = slices.DeleteFunc(x.healthChanges, func(at int64) bool { return now-at > b.FlapWindow.Milliseconds() })
-	x.health, x.hasHealth = e.Health, true
+	history.healthChanges = slices.DeleteFunc(history.healthChanges, func(at int64) bool { return now-at > r.FlapWindow.Milliseconds() })
+	history.health, history.hasHealth = e.Health, true
 	switch {
 	case e.Health != Critical:
-		x.criticalSince = 0
-	case x.criticalSince == 0:
-		x.criticalSince = now
+		history.criticalSince = 0
+	case history.criticalSince == 0:
+		history.criticalSince = now
 	}
 }
 
 // Served and Failed are what set-ups went through at a box, at any edge. A refusal for want of room is neither.
-func (b *Reconciler) RecordServed(id string, now int64) {
-	x := b.history(id)
-	x.failures, x.lastServedAt, x.cooldowns, x.cooldownUntil = 0, now, 0, 0
+func (r *Reconciler) RecordServed(id string, now int64) {
+	history := r.history(id)
+	history.failures, history.lastServedAt, history.cooldowns, history.cooldownUntil = 0, now, 0, 0
 }
 
 // Failed is a set-up that failed, or was not answered.
-func (b *Reconciler) RecordFailure(id string, now int64) {
-	x := b.history(id)
-	if x.failures++; x.failures >= b.FailureThreshold && now >= x.cooldownUntil {
-		x.cooldownUntil = now + b.Cooldown.Milliseconds()<<min(x.cooldowns, 3)
-		x.cooldowns++
+func (r *Reconciler) RecordFailure(id string, now int64) {
+	history := r.history(id)
+	if history.failures++; history.failures >= r.FailureThreshold && now >= history.cooldownUntil {
+		history.cooldownUntil = now + r.Cooldown.Milliseconds()<<min(history.cooldowns, 3)
+		history.cooldowns++
 	}
 }
 
 // lead is the source whose word on the fleet stands: the most preferred that is fresh, else the freshest.
-func (b *Reconciler) leadingSource(now int64) *source {
-	var best *source
-	for _, s := range b.sources {
+func (r *Reconciler) leadingSource(now int64) *source {
+	var latest *source
+	for _, s := range r.sources {
 		if s.lastListAt == 0 {
 			continue
 		}
-		if now-s.lastListAt <= b.SourceTimeout.Milliseconds() {
+		if now-s.lastListAt <= r.SourceTimeout.Milliseconds() {
 			return s
 		}
-		if best == nil || s.lastListAt > best.lastListAt {
-			best = s
+		if latest == nil || s.lastListAt > latest.lastListAt {
+			latest = s
 		}
 	}
-	return best
+	return latest
 }
 
 // View is what is believed now, by id. Calling it settles what the next call compares with.
-func (b *Reconciler) Evaluate(now int64) []Status {
-	s := b.leadingSource(now)
+func (r *Reconciler) Evaluate(now int64) []Status {
+	s := r.leadingSource(now)
 	if s == nil {
 		return nil
 	}
-	var out []Status
-	for id, t := range s.entries {
-		j := Status{Entry: t.Entry, Source: s.name, Age: time.Duration(now-t.listedAt) * time.Millisecond}
-		j.State, j.Reason = b.evaluateBox(id, &t, s, now)
-		j.unavailableSince = max(b.history(id).criticalSince, t.missingSince)
-		out = append(out, j)
+	var statuses []Status
+	for id, entry := range s.entries {
+		status := Status{Entry: entry.Entry, Source: s.name, Age: time.Duration(now-entry.listedAt) * time.Millisecond}
+		status.State, status.Reason = r.evaluateBox(id, &entry, s, now)
+		status.unavailableSince = max(r.history(id).criticalSince, entry.missingSince)
+		statuses = append(statuses, status)
 	}
-	slices.SortFunc(out, func(x, y Status) int { return cmp.Compare(x.ID, y.ID) })
-	return b.suppressMassFailure(out, now)
+	slices.SortFunc(statuses, func(x, y Status) int { return cmp.Compare(x.ID, y.ID) })
+	return r.suppressMassFailure(statuses, now)
 }
 
 // drained tells who told of a drain that was not taken back. Any source's drain counts, whoever leads: its
 // word was given to keep work off.
-func (b *Reconciler) drainReportedBy(id string) (who string, since int64) {
-	for _, s := range b.sources {
+func (r *Reconciler) drainReportedBy(id string) (sourceName string, since int64) {
+	for _, s := range r.sources {
 		if at := s.drainedSince[id]; at > 0 && (since == 0 || at < since) {
-			who, since = s.name, at
+			sourceName, since = s.name, at
 		}
 	}
-	return who, since
+	return sourceName, since
 }
 
-func (b *Reconciler) evaluateBox(id string, t *reportedEntry, s *source, now int64) (State, string) {
-	x := b.history(id)
-	if who, since := b.drainReportedBy(id); since > 0 {
-		return Draining, "drain told by " + who
+func (r *Reconciler) evaluateBox(id string, entry *reportedEntry, s *source, now int64) (State, string) {
+	history := r.history(id)
+	if sourceName, since := r.drainReportedBy(id); since > 0 {
+		return Draining, "drain told by " + sourceName
 	}
-	if t.missingSince > 0 && now-t.missingSince > b.MissingGrace.Milliseconds() {
+	if entry.missingSince > 0 && now-entry.missingSince > r.MissingGrace.Milliseconds() {
 		return Gone, "no longer named by " + s.name
 	}
-	served := x.lastServedAt > 0 && now-x.lastServedAt <= b.ServedGrace.Milliseconds() && x.failures == 0
+	served := history.lastServedAt > 0 && now-history.lastServedAt <= r.ServedGrace.Milliseconds() && history.failures == 0
 	switch {
-	case t.Health == Critical && served && now-x.criticalSince <= b.ServedGrace.Milliseconds():
+	case entry.Health == Critical && served && now-history.criticalSince <= r.ServedGrace.Milliseconds():
 		return Ready, "check fails, sessions are served"
-	case t.Health == Critical:
+	case entry.Health == Critical:
 		return Gone, "check fails"
-	case len(x.healthChanges) >= b.FlapThreshold:
-		return Draining, fmt.Sprintf("flaps: %d changes of health in %v", len(x.healthChanges), b.FlapWindow)
-	case x.failures >= b.FailureThreshold && now < x.cooldownUntil:
-		return Draining, fmt.Sprintf("check passes, %d set-ups failed in a row", x.failures)
-	case t.Health == Warning:
+	case len(history.healthChanges) >= r.FlapThreshold:
+		return Draining, fmt.Sprintf("flaps: %d changes of health in %v", len(history.healthChanges), r.FlapWindow)
+	case history.failures >= r.FailureThreshold && now < history.cooldownUntil:
+		return Draining, fmt.Sprintf("check passes, %d set-ups failed in a row", history.failures)
+	case entry.Health == Warning:
 		return Draining, "check warns"
-	case t.missingSince > 0:
+	case entry.missingSince > 0:
 		return Ready, "missing from the last list"
 	}
 	return Ready, "named and passing"
@@ -276,53 +276,53 @@
 // massFailure keeps the last good view where checks alone take away too much at once: it is likelier that the
 // health system failed than so many boxes at one moment. Drains, and boxes of which set-ups fail too, are taken
 // away all the same. It ends when most of what was kept is seen ready again, or its sessions fail.
-func (b *Reconciler) suppressMassFailure(out []Status, now int64) []Status {
-	kept, fell := 0, 0
-	for i := range out {
-		x := b.history(out[i].ID)
-		if !x.wasReady {
+func (r *Reconciler) suppressMassFailure(statuses []Status, now int64) []Status {
+	readyBefore, removed := 0, 0
+	for i := range statuses {
+		history := r.history(statuses[i].ID)
+		if !history.wasReady {
 			continue
 		}
-		kept++
-		if b.removedByChecks(&out[i], x) {
-			fell++
+		readyBefore++
+		if r.removedByChecks(&statuses[i], history) {
+			removed++
 		}
 	}
-	suspect := kept >= b.MassFailureMinBoxes && float64(fell) > b.MassFailureShare*float64(kept)
+	suspect := readyBefore >= r.MassFailureMinBoxes && float64(removed) > r.MassFailureShare*float64(readyBefore)
 	switch {
-	case suspect && b.massFailureSince == 0:
-		b.massFailureSince = now
+	case suspect && r.massFailureSince == 0:
+		r.massFailureSince = now
 	case !suspect:
-		b.massFailureSince = 0
+		r.massFailureSince = 0
 	}
-	for i := range out {
-		j, x := &out[i], b.history(out[i].ID)
-		if b.massFailureSince > 0 && x.wasReady && b.removedByChecks(j, x) {
-			j.State, j.Reason = Ready, fmt.Sprintf("kept: checks took away %d of %d boxes at once (%s)", fell, kept, j.Reason)
+	for i := range statuses {
+		status, history := &statuses[i], r.history(statuses[i].ID)
+		if r.massFailureSince > 0 && history.wasReady && r.removedByChecks(status, history) {
+			status.State, status.Reason = Ready, fmt.Sprintf("kept: checks took away %d of %d boxes at once (%s)", removed, readyBefore, status.Reason)
 			continue
 		}
-		if b.massFailureSince == 0 {
-			b.updateWasReady(j, x, now)
+		if r.massFailureSince == 0 {
+			r.updateWasReady(status, history, now)
 		}
 	}
-	return out
+	return statuses
 }
 
 // byChecks tells a box that is taken away by the word of checks or lists alone.
-func (b *Reconciler) removedByChecks(j *Status, x *boxHistory) bool {
-	return j.State == Gone && x.failures < b.FailureThreshold
+func (r *Reconciler) removedByChecks(status *Status, history *boxHistory) bool {
+	return status.State == Gone && history.failures < r.FailureThreshold
 }
 
 // settle takes what is believed as good. A box that fell is forgotten as good only after the span within which
 // a mass failure shows: the first of many to fall must count with the last.
-func (b *Reconciler) updateWasReady(j *Status, x *boxHistory, now int64) {
+func (r *Reconciler) updateWasReady(status *Status, history *boxHistory, now int64) {
 	switch {
-	case j.State == Ready:
-		x.wasReady = true
-	case j.State == Draining, now-j.unavailableSince > b.MassFailureWindow.Milliseconds()+b.MissingGrace.Milliseconds():
-		x.wasReady = false
+	case status.State == Ready:
+		history.wasReady = true
+	case status.State == Draining, now-status.unavailableSince > r.MassFailureWindow.Milliseconds()+r.MissingGrace.Milliseconds():
+		history.wasReady = false
 	}
 }
 
 // Suspect tells since when the checks are not believed; 0: they are.
-func (b *Reconciler) MassFailureSince() int64 { return b.massFailureSince }
+func (r *Reconciler) MassFailureSince() int64 { return r.massFailureSince }
--- a/internal/registry/mapping.go
+++ b/internal/registry/mapping.go
@@ -37,22 +37,22 @@
 // boxes maps service entries. One that does not fit the site is kept out and named; it hurts no other. Of two
 // entries with one address, the one with the later start stands.
 func parseBoxes(site *config.Site, entries []*api.ServiceEntry) (out []Box, faults []string) {
-	by := map[string]Box{}
+	byID := map[string]Box{}
 	for _, e := range entries {
 		b, err := parseBox(site, e)
 		if err != nil {
 			faults = append(faults, err.Error())
 			continue
 		}
-		if old, twice := by[b.ID]; twice {
+		if old, duplicate := byID[b.ID]; duplicate {
 			faults = append(faults, fmt.Sprintf("%s: two entries", b.ID))
 			if old.Started > b.Started {
 				continue
 			}
 		}
-		by[b.ID] = b
+		byID[b.ID] = b
 	}
-	for _, b := range by {
+	for _, b := range byID {
 		out = append(out, b)
 	}
 	slices.SortFunc(out, func(a, b Box) int { return cmp.Compare(a.ID, b.ID) })
@@ -69,32 +69,32 @@
 		host = e.Node.Address
 	}
 	id := net.JoinHostPort(host, strconv.Itoa(e.Service.Port))
-	bad := func(key, format string, a ...any) (Box, error) {
+	invalid := func(key, format string, a ...any) (Box, error) {
 		return Box{}, fmt.Errorf("service %q at %s: %s: %s", e.Service.ID, id, key, fmt.Sprintf(format, a...))
 	}
 	if host == "" || e.Service.Port < 1 || e.Service.Port > 65535 {
-		return bad("address", "no host or port")
+		return invalid("address", "no host or port")
 	}
 	meta := e.Service.Meta
 	b := Box{Entry: reconcile.Entry{ID: id, Address: id}, Zone: meta[MetaZone], Kind: meta[MetaKind], Weight: 1}
 	if site.Zone(b.Zone) < 0 {
-		return bad(MetaZone, "%q is no zone of the site", b.Zone)
+		return invalid(MetaZone, "%q is no zone of the site", b.Zone)
 	}
 	if site.Kind(b.Kind) < 0 {
-		return bad(MetaKind, "%q is no kind of the site", b.Kind)
+		return invalid(MetaKind, "%q is no kind of the site", b.Kind)
 	}
 	var err error
 	if b.Cell, err = strconv.Atoi(meta[MetaCell]); err != nil || b.Cell < 0 || b.Cell >= site.Cells {
-		return bad(MetaCell, "%q: 0 to %d", meta[MetaCell], site.Cells-1)
+		return invalid(MetaCell, "%q: 0 to %d", meta[MetaCell], site.Cells-1)
 	}
-	if w, told := meta[MetaWeight]; told {
+	if w, given := meta[MetaWeight]; given {
 		if b.Weight, err = strconv.ParseFloat(w, 64); err != nil || !(b.Weight > 0) || math.IsInf(b.Weight, 0) {
-			return bad(MetaWeight, "%q: a number above 0", w)
+			return invalid(MetaWeight, "%q: a number above 0", w)
 		}
 	}
-	if s, told := meta[MetaStarted]; told {
+	if s, given := meta[MetaStarted]; given {
 		if b.Started, err = strconv.ParseInt(s, 10, 64); err != nil || b.Started < 0 || b.Started > timeconv.MaxUnixMilli {
-			return bad(MetaStarted, "%q: Unix milliseconds", s)
+			return invalid(MetaStarted, "%q: Unix milliseconds", s)
 		}
 	}
 	b.Drain = meta[MetaDrain] == "true"
@@ -123,15 +123,15 @@
 // titles maps keys under the prefix: each is a title's name, its value {"home","span","length_ms"}.
 func parseTitles(site *config.Site, prefix string, pairs api.KVPairs) (out []view.Title, faults []string) {
 	out = []view.Title{}
-	for _, p := range pairs {
-		name := strings.TrimPrefix(p.Key, prefix)
+	for _, pair := range pairs {
+		name := strings.TrimPrefix(pair.Key, prefix)
 		if name == "" { // the folder itself
 			continue
 		}
 		t := view.Title{Name: name}
-		d := json.NewDecoder(strings.NewReader(string(p.Value)))
-		d.DisallowUnknownFields()
-		err := d.Decode(&t)
+		decoder := json.NewDecoder(strings.NewReader(string(pair.Value)))
+		decoder.DisallowUnknownFields()
+		err := decoder.Decode(&t)
 		switch {
 		case err != nil:
 		case t.Name != name || !config.Segment(name):
@@ -144,7 +144,7 @@
 			err = fmt.Errorf("holders are not for the catalogue to say")
 		}
 		if err != nil {
-			faults = append(faults, fmt.Sprintf("key %s: %v", p.Key, err))
+			faults = append(faults, fmt.Sprintf("key %s: %v", pair.Key, err))
 			continue
 		}
 		out = append(out, t)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -48,19 +48,19 @@
 
 // Watch delivers.
 func (s *Static) Watch(ctx context.Context, deliver func(Snapshot), _ func(error)) {
-	t := time.NewTicker(s.Interval)
-	defer t.Stop()
+	ticker := time.NewTicker(s.Interval)
+	defer ticker.Stop()
 	for n := uint64(1); ; n++ {
 		site := s.Site()
-		out := Snapshot{Source: s.Name(), Version: n}
+		snapshot := Snapshot{Source: s.Name(), Version: n}
 		for _, b := range site.Boxes {
-			out.Boxes = append(out.Boxes, Box{Entry: reconcile.Entry{ID: b.Addr, Address: b.Addr}, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, Weight: b.Weight})
+			snapshot.Boxes = append(snapshot.Boxes, Box{Entry: reconcile.Entry{ID: b.Addr, Address: b.Addr}, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, Weight: b.Weight})
 		}
-		deliver(out)
+		deliver(snapshot)
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 	}
 }
