--- a/internal/planner/copies.go
+++ b/internal/planner/copies.go
@@ -116,14 +116,14 @@
 }
 
 // base are the boxes where a title lies at rest. p.mu is held.
-func (p *Planner) baseBoxes(t view.Title) (out []string) {
+func (p *Planner) baseBoxes(t view.Title) (ids []string) {
 	for id, state := range p.monitor.boxes {
 		if n := p.Site.Cells; t.CellSpan > 0 && ((state.box.Cell-t.HomeCell)%n+n)%n < t.CellSpan {
-			out = append(out, id)
+			ids = append(ids, id)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(ids)
+	return ids
 }
 
 // tellTitle brings a title's size and place at rest to the manager. p.mu is held.
@@ -145,14 +145,14 @@
 	if p.copyState.manager == nil {
 		return
 	}
-	var list []copies.Box
+	var boxes []copies.Box
 	for id, b := range p.monitor.boxes {
 		if b.effectiveState() != view.StateGone {
 			link := b.box.Weight * float64(p.Site.Links.PerWeight)
-			list = append(list, copies.Box{ID: id, Ready: b.effectiveState() == view.StateReady, Link: link, Busy: b.linkUtilization * link})
+			boxes = append(boxes, copies.Box{ID: id, Ready: b.effectiveState() == view.StateReady, Link: link, Busy: b.linkUtilization * link})
 		}
 	}
-	p.copyState.manager.SetBoxes(list)
+	p.copyState.manager.SetBoxes(boxes)
 }
 
 // holders brings who holds what into the view. p.mu is held.
--- a/internal/planner/keep.go
+++ b/internal/planner/keep.go
@@ -86,12 +86,12 @@
 		p.overrides.Drains = append(p.overrides.Drains, id)
 	}
 	p.overrides.Titles = map[string]view.Title{}
-	for name, x := range saved.Titles {
-		if x.Name != name || x.HomeCell < 0 || x.HomeCell >= p.Site.Cells || x.CellSpan < 0 || x.CellSpan > p.Site.Cells {
+	for name, title := range saved.Titles {
+		if title.Name != name || title.HomeCell < 0 || title.HomeCell >= p.Site.Cells || title.CellSpan < 0 || title.CellSpan > p.Site.Cells {
 			p.Log.Warn("title of before dropped: it does not fit the cells", "title", name)
 			continue
 		}
-		p.monitor.SetTitle(x)
-		p.overrides.Titles[name] = x
+		p.monitor.SetTitle(title)
+		p.overrides.Titles[name] = title
 	}
 }
--- a/internal/planner/peaks.go
+++ b/internal/planner/peaks.go
@@ -200,7 +200,7 @@
 		}
 		p.readAnnouncementFiles()
 		p.mu.Lock()
-		fleet, demands, expectedStreams := p.forecast(time.Now().UnixMilli())
+		fleet, demands, expectedSessions := p.forecast(time.Now().UnixMilli())
 		p.mu.Unlock()
 		plan := &peaks.Plan{}
 		if len(demands) > 0 {
@@ -209,7 +209,7 @@
 		p.mu.Lock()
 		p.peakState.plan = plan
 		p.peakState.ledger.SetPlan(plan.Holds)
-		p.peakState.ledger.Coming(expectedStreams)
+		p.peakState.ledger.Coming(expectedSessions)
 		p.publishHolds()
 		p.mu.Unlock()
 	}
@@ -238,7 +238,7 @@
 	state.book.Forget(now)
 	state.ledger.Expire(now - usageReportTTL.Milliseconds())
 	var demands []peaks.Demand
-	expectedStreams := map[string]float64{}
+	expectedSessions := map[string]float64{}
 	for _, a := range state.book.List() {
 		follower := state.followers[a.ID]
 		if follower == nil {
@@ -255,12 +255,12 @@
 			d, arrivalSeconds := p.peakDemand(&a, name, rate, expected.Coming)
 			if d.Count > 0 {
 				demands = append(demands, d)
-				expectedStreams[peaks.PeakTitle(a.ID, name)] = rate * arrivalSeconds
+				expectedSessions[peaks.PeakTitle(a.ID, name)] = rate * arrivalSeconds
 			}
 		}
 	}
 	clear(state.pendingArrivals)
-	return p.planFleet(), demands, expectedStreams
+	return p.planFleet(), demands, expectedSessions
 }
 
 // plays is how long a peak's sessions play, by its first title where it does not say.
@@ -332,27 +332,27 @@
 		if state == nil {
 			continue
 		}
-		x := peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Zone: site.Zone(b.Zone), Link: b.Weight * float64(site.Links.PerWeight), Warm: rampShare(site, b.StartedMs, now)}
+		box := peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Zone: site.Zone(b.Zone), Link: b.Weight * float64(site.Links.PerWeight), Warm: rampShare(site, b.StartedMs, now)}
 		if k := site.Kind(b.Kind); k >= 0 {
-			x.Streams = float64(site.Kinds[k].Streams)
+			box.Streams = float64(site.Kinds[k].Streams)
 		}
 		used := peakUse[b.ID]
-		x.Busy, x.Playing = max(state.linkUtilization*x.Link-used.Rate, 0), max(state.streams-used.Streams, 0)
-		fleet.Boxes = append(fleet.Boxes, x)
-		sizes[b.ID] = peaks.Size{Rate: x.Link, Streams: x.Streams, Busy: state.linkUtilization * x.Link, Playing: state.streams}
+		box.Busy, box.Playing = max(state.linkUtilization*box.Link-used.Rate, 0), max(state.streams-used.Streams, 0)
+		fleet.Boxes = append(fleet.Boxes, box)
+		sizes[b.ID] = peaks.Size{Rate: box.Link, Streams: box.Streams, Busy: state.linkUtilization * box.Link, Playing: state.streams}
 	}
 	p.peakState.ledger.Resize(sizes)
 	return fleet
 }
 
 // warm is the share of its capacity that a started box has reached.
-func rampShare(s *config.Site, startedMs int64, now time.Time) float64 {
-	ramp := s.Rules.Ramp.D()
+func rampShare(site *config.Site, startedMs int64, now time.Time) float64 {
+	ramp := site.Rules.Ramp.D()
 	age := now.Sub(time.UnixMilli(startedMs))
 	if startedMs == 0 || ramp <= 0 || age >= ramp {
 		return 1
 	}
-	return s.Rules.StartShare + (1-s.Rules.StartShare)*max(age.Seconds(), 0)/ramp.Seconds()
+	return site.Rules.StartShare + (1-site.Rules.StartShare)*max(age.Seconds(), 0)/ramp.Seconds()
 }
 
 // tellHolds makes the holds in force known to the streams. p.mu is held.
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -276,10 +276,10 @@
 		http.Error(w, "no such box", http.StatusNotFound)
 		return
 	}
-	err := p.changeOverrides(func(t *overrides) {
-		t.Drains = slices.DeleteFunc(t.Drains, func(d string) bool { return d == id })
+	err := p.changeOverrides(func(next *overrides) {
+		next.Drains = slices.DeleteFunc(next.Drains, func(d string) bool { return d == id })
 		if on {
-			t.Drains = append(t.Drains, id)
+			next.Drains = append(next.Drains, id)
 		}
 	})
 	if err != nil {
@@ -304,7 +304,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.changeOverrides(func(x *overrides) { x.Titles[t.Name] = t }); err != nil {
+	if err := p.changeOverrides(func(next *overrides) { next.Titles[t.Name] = t }); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
--- a/internal/planner/reload.go
+++ b/internal/planner/reload.go
@@ -25,8 +25,8 @@
 
 // checkFrom begins to ask a box. p.mu is held.
 func (p *Planner) startHealthChecks(addr string, number int) {
-	ctx, stop := context.WithCancel(p.healthChecks.ctx)
-	p.healthChecks.cancelByBox[addr] = stop
+	ctx, cancel := context.WithCancel(p.healthChecks.ctx)
+	p.healthChecks.cancelByBox[addr] = cancel
 	p.healthChecks.wg.Add(1)
 	go func() { defer p.healthChecks.wg.Done(); p.runHealthChecks(ctx, addr, number) }()
 }
@@ -60,10 +60,10 @@
 		p.monitor.Remove(addr)
 	}
 	p.applySiteTitles(site.Titles)
-	fixed := config.Changed(p.Site, site, "boxes", "titles", "playback")
+	needsRestart := config.Changed(p.Site, site, "boxes", "titles", "playback")
 	p.currentSite = site
 	p.publishView()
-	p.Log.Info("site reloaded", "boxes", len(site.Boxes), "titles", len(site.Titles), "needs_restart", fixed)
+	p.Log.Info("site reloaded", "boxes", len(site.Boxes), "titles", len(site.Titles), "needs_restart", needsRestart)
 }
 
 // reloadTitles changes those that the file changed, not those that operators told otherwise.
--- a/internal/planner/sources.go
+++ b/internal/planner/sources.go
@@ -70,20 +70,20 @@
 
 // readLast takes the last word that was kept, with its age. p is not running yet.
 func (p *Planner) restoreSnapshot() {
-	v, err := p.sourceState.store.Read()
+	saved, err := p.sourceState.store.Read()
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
 	if err != nil {
 		p.Log.Error("last word of sources not used", "error", err)
 	}
-	var s registry.Snapshot
-	if v == nil || json.Unmarshal(v.Body, &s) != nil {
+	var snapshot registry.Snapshot
+	if saved == nil || json.Unmarshal(saved.Body, &snapshot) != nil {
 		return
 	}
-	p.Log.Info("started from the last word of sources", "file", v.Path, "age", time.Since(v.WrittenAt).Round(time.Second), "boxes", len(s.Boxes))
-	s.Source = diskSource
-	p.applySnapshot(s, v.WrittenAt.UnixMilli())
+	p.Log.Info("started from the last word of sources", "file", saved.Path, "age", time.Since(saved.WrittenAt).Round(time.Second), "boxes", len(snapshot.Boxes))
+	snapshot.Source = diskSource
+	p.applySnapshot(snapshot, saved.WrittenAt.UnixMilli())
 }
 
 // watchSources follows all sources until ctx ends.
@@ -115,18 +115,18 @@
 }
 
 // heard takes a word, believes at once (a drain must not wait for the next look) and keeps it on disk.
-func (p *Planner) handleSnapshot(s registry.Snapshot) {
+func (p *Planner) handleSnapshot(snapshot registry.Snapshot) {
 	now := time.Now().UnixMilli()
 	p.mu.Lock()
-	p.applySnapshot(s, now-s.Age.Milliseconds())
+	p.applySnapshot(snapshot, now-snapshot.Age.Milliseconds())
 	p.reconcileSources(now)
-	save := p.sourceState.store != nil && p.sourceState.writtenVersion != s.Version && len(s.Boxes) > 0
-	p.sourceState.writtenVersion = s.Version
+	save := p.sourceState.store != nil && p.sourceState.writtenVersion != snapshot.Version && len(snapshot.Boxes) > 0
+	p.sourceState.writtenVersion = snapshot.Version
 	p.mu.Unlock()
 	if !save {
 		return
 	}
-	body, err := json.Marshal(s)
+	body, err := json.Marshal(snapshot)
 	if err == nil {
 		err = p.sourceState.store.Write(body, time.Now())
 	}
@@ -136,28 +136,28 @@
 }
 
 // take hands a word to the believer. p.mu is held, or p is not running yet.
-func (p *Planner) applySnapshot(s registry.Snapshot, at int64) {
+func (p *Planner) applySnapshot(snapshot registry.Snapshot, at int64) {
 	state := &p.sourceState
-	entries := make([]reconcile.Entry, 0, len(s.Boxes))
-	byID := make(map[string]registry.Box, len(s.Boxes))
-	for _, x := range s.Boxes {
-		if p.Site.Zone(x.Zone) < 0 || p.Site.Kind(x.Kind) < 0 || x.Cell < 0 || x.Cell >= p.Site.Cells || !(x.Weight > 0) {
+	entries := make([]reconcile.Entry, 0, len(snapshot.Boxes))
+	byID := make(map[string]registry.Box, len(snapshot.Boxes))
+	for _, box := range snapshot.Boxes {
+		if p.Site.Zone(box.Zone) < 0 || p.Site.Kind(box.Kind) < 0 || box.Cell < 0 || box.Cell >= p.Site.Cells || !(box.Weight > 0) {
 			continue // of another site: from disk, where it was never checked
 		}
-		entries = append(entries, x.Entry)
-		byID[x.ID] = x
+		entries = append(entries, box.Entry)
+		byID[box.ID] = box
 	}
-	state.boxesBySource[s.Source] = byID
-	if err := state.reconciler.UpdateSource(s.Source, entries, at); err != nil {
+	state.boxesBySource[snapshot.Source] = byID
+	if err := state.reconciler.UpdateSource(snapshot.Source, entries, at); err != nil {
 		p.Log.Error("word not taken", "error", err)
 		return
 	}
-	if faults := strings.Join(s.Faults, "; "); faults != state.lastFaults {
+	if faults := strings.Join(snapshot.Faults, "; "); faults != state.lastFaults {
 		state.lastFaults = faults
-		p.Log.Warn("entries kept out", "source", s.Source, "count", len(s.Faults), "faults", faults)
+		p.Log.Warn("entries kept out", "source", snapshot.Source, "count", len(snapshot.Faults), "faults", faults)
 	}
-	if s.Titles != nil {
-		p.applySourceTitles(s.Titles)
+	if snapshot.Titles != nil {
+		p.applySourceTitles(snapshot.Titles)
 	}
 }
 
@@ -191,18 +191,18 @@
 	state.statuses = state.reconciler.Evaluate(now)
 	present := map[string]bool{}
 	for _, status := range state.statuses {
-		x, known := state.boxesBySource[status.Source][status.ID]
+		box, known := state.boxesBySource[status.Source][status.ID]
 		if !known {
-			if x, known = state.boxes[status.ID]; !known { // named long ago by a source that names it no more
+			if box, known = state.boxes[status.ID]; !known { // named long ago by a source that names it no more
 				continue
 			}
 		}
 		present[status.ID] = true
-		described := p.siteBox(config.Box{Addr: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, Weight: x.Weight})
-		if old, ok := state.boxes[status.ID]; !ok || old.Zone != x.Zone || old.Kind != x.Kind || old.Cell != x.Cell || old.Weight != x.Weight {
+		described := p.siteBox(config.Box{Addr: box.ID, Zone: box.Zone, Kind: box.Kind, Cell: box.Cell, Weight: box.Weight})
+		if old, ok := state.boxes[status.ID]; !ok || old.Zone != box.Zone || old.Kind != box.Kind || old.Cell != box.Cell || old.Weight != box.Weight {
 			p.monitor.Update(described)
 		}
-		state.boxes[status.ID] = x
+		state.boxes[status.ID] = box
 		p.monitor.SetReported(status.ID, view.State(status.State), status.Started)
 		if p.healthChecks != nil && p.healthChecks.cancelByBox[status.ID] == nil && p.healthChecks.ctx.Err() == nil {
 			p.startHealthChecks(status.ID, len(present)%64)
@@ -258,15 +258,15 @@
 	for _, x := range p.published.Boxes {
 		states[x.ID] = x.State
 	}
-	var out []BoxStatus
+	var list []BoxStatus
 	for id, x := range p.monitor.boxes {
 		status := BoxStatus{ID: id, State: string(view.StateGone), Source: "site", Reason: "answers its checks"}
 		if s, ok := states[id]; ok {
 			status.State = string(s)
 		}
-		if i := slices.IndexFunc(p.sourceState.statuses, func(judged reconcile.Status) bool { return judged.ID == id }); i >= 0 {
-			judged := p.sourceState.statuses[i]
-			status.Source, status.AgeMs, status.Reason = judged.Source, judged.Age.Milliseconds(), judged.Reason
+		if i := slices.IndexFunc(p.sourceState.statuses, func(reconciled reconcile.Status) bool { return reconciled.ID == id }); i >= 0 {
+			reconciled := p.sourceState.statuses[i]
+			status.Source, status.AgeMs, status.Reason = reconciled.Source, reconciled.Age.Milliseconds(), reconciled.Reason
 		}
 		switch {
 		case x.operatorDrain:
@@ -276,10 +276,10 @@
 		case x.box.State == view.StateDraining:
 			status.Reason = "says that it drains"
 		}
-		out = append(out, status)
+		list = append(list, status)
 	}
 	p.mu.Unlock()
-	slices.SortFunc(out, func(a, b BoxStatus) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b BoxStatus) int { return strings.Compare(a.ID, b.ID) })
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(map[string]any{"boxes": out})
+	_ = json.NewEncoder(w).Encode(map[string]any{"boxes": list})
 }
--- a/internal/planner/watch.go
+++ b/internal/planner/watch.go
@@ -52,29 +52,29 @@
 }
 
 // Add makes a box known; it is not listed before it answers.
-func (w *Monitor) Add(b view.Box) {
-	if w.boxes[b.ID] == nil {
+func (m *Monitor) Add(b view.Box) {
+	if m.boxes[b.ID] == nil {
 		b.State = view.StateGone
-		w.boxes[b.ID] = &boxState{box: b}
+		m.boxes[b.ID] = &boxState{box: b}
 	}
 }
 
 // Update changes what is known of a box from its installation; its state and start stay.
-func (w *Monitor) Update(b view.Box) {
-	if old := w.boxes[b.ID]; old != nil {
+func (m *Monitor) Update(b view.Box) {
+	if old := m.boxes[b.ID]; old != nil {
 		b.State, b.StartedMs = old.box.State, old.box.StartedMs
 		old.box = b
 		return
 	}
-	w.Add(b)
+	m.Add(b)
 }
 
 // Remove forgets a box.
-func (w *Monitor) Remove(id string) { delete(w.boxes, id) }
+func (m *Monitor) Remove(id string) { delete(m.boxes, id) }
 
 // Drain marks a box for draining, or ends that.
-func (w *Monitor) SetDrain(id string, on bool) bool {
-	b := w.boxes[id]
+func (m *Monitor) SetDrain(id string, on bool) bool {
+	b := m.boxes[id]
 	if b == nil {
 		return false
 	}
@@ -88,25 +88,25 @@
 }
 
 // SetTitle adds or changes a title; a span of 0 removes it.
-func (w *Monitor) SetTitle(t view.Title) {
+func (m *Monitor) SetTitle(t view.Title) {
 	if t.CellSpan == 0 {
-		delete(w.titles, t.Name)
+		delete(m.titles, t.Name)
 		return
 	}
-	if old, ok := w.titles[t.Name]; ok && !t.Listed { // who holds it is not for the installation to say
+	if old, ok := m.titles[t.Name]; ok && !t.Listed { // who holds it is not for the installation to say
 		t.Listed, t.Holders = old.Listed, old.Holders
 	}
-	w.titles[t.Name] = t
+	m.titles[t.Name] = t
 }
 
 // Saw takes a check.
-func (w *Monitor) RecordCheck(id string, c HealthCheck) {
-	b := w.boxes[id]
+func (m *Monitor) RecordCheck(id string, c HealthCheck) {
+	b := m.boxes[id]
 	if b == nil {
 		return
 	}
 	if !c.Answered {
-		if b.missedChecks++; b.missedChecks >= w.goneAfter {
+		if b.missedChecks++; b.missedChecks >= m.goneAfter {
 			b.box.State = view.StateGone
 		}
 		return
@@ -141,8 +141,8 @@
 
 // Believe takes what other sources are believed to say of a box: it gets no better state than that. A start that
 // they tell later than the box's own is believed.
-func (w *Monitor) SetReported(id string, s view.State, started int64) {
-	b := w.boxes[id]
+func (m *Monitor) SetReported(id string, s view.State, started int64) {
+	b := m.boxes[id]
 	if b == nil {
 		return
 	}
@@ -165,9 +165,9 @@
 
 // Settled tells that every box was heard of or missed often enough. Before that the view is not worth
 // publishing: a planner that starts would tell its edges that the whole fleet is gone.
-func (w *Monitor) AllChecked() bool {
-	for _, b := range w.boxes {
-		if !b.answered && b.missedChecks < w.goneAfter {
+func (m *Monitor) AllChecked() bool {
+	for _, b := range m.boxes {
+		if !b.answered && b.missedChecks < m.goneAfter {
 			return false
 		}
 	}
@@ -175,24 +175,24 @@
 }
 
 // View is the view as it stands, with a higher version if anything changed since the last call.
-func (w *Monitor) View() (v view.View, changed bool) {
-	for _, b := range w.boxes {
+func (m *Monitor) View() (next view.View, changed bool) {
+	for _, b := range m.boxes {
 		if state := b.effectiveState(); state != view.StateGone {
-			x := b.box
-			x.State = state
-			v.Boxes = append(v.Boxes, x)
+			listed := b.box
+			listed.State = state
+			next.Boxes = append(next.Boxes, listed)
 		}
 	}
-	for _, t := range w.titles {
-		v.Titles = append(v.Titles, t)
+	for _, t := range m.titles {
+		next.Titles = append(next.Titles, t)
 	}
-	slices.SortFunc(v.Boxes, func(a, b view.Box) int { return strings.Compare(a.ID, b.ID) })
-	slices.SortFunc(v.Titles, func(a, b view.Title) int { return strings.Compare(a.Name, b.Name) })
-	if slices.Equal(v.Boxes, w.lastView.Boxes) && slices.EqualFunc(v.Titles, w.lastView.Titles, view.Title.Equal) {
-		return w.lastView, false
+	slices.SortFunc(next.Boxes, func(a, b view.Box) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(next.Titles, func(a, b view.Title) int { return strings.Compare(a.Name, b.Name) })
+	if slices.Equal(next.Boxes, m.lastView.Boxes) && slices.EqualFunc(next.Titles, m.lastView.Titles, view.Title.Equal) {
+		return m.lastView, false
 	}
-	w.version++
-	v.Version = w.version
-	w.lastView = v
-	return v, true
+	m.version++
+	next.Version = m.version
+	m.lastView = next
+	return next, true
 }
