--- a/internal/node/accepted_test.go
+++ b/internal/node/accepted_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// What was accepted stays owed: the tests of this file end a connection, or stop the process, around requests that wait.
+// The tests of this file close connections or pause the process while requests are pending: every request that was
+// received must still be answered.
 
-// TestBadMessageKeepsNeighbours: a message that cannot be read, or stalls, ends its connection, but not the requests
-// that were taken on it before: they are answered there, and then the connection closes.
+// TestMalformedMessageSparesEarlierRequests guards against losing the requests that precede a malformed or incomplete
+// message on its connection: they are answered there, and then the connection is closed.
 func TestMalformedMessageSparesEarlierRequests(t *testing.T) {
 	good := setUp(idC, "free", "")
 	for name, c := range map[string]struct {
@@ -21,7 +22,7 @@
 		"noise":           {"\x16\x03\x01\x02\x00\x01\r\n\r\n", 400},
 		"negative length": {strings.Replace(good, "Content-Length: ", "Content-Length: -", 1), 400},
 		"too large":       {strings.Replace(good, "Content-Length: ", "Content-Length: 6000000", 1), 413},
-		"stalled":         {good[:60], 408},
+		"incomplete":      {good[:60], 408},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -34,30 +35,30 @@
 			v.want("", c.status)
 			ready(first)
 			v.want(first.ID, 200)
-			v.say(setUp(idC, "free", "")) // behind the bad message nothing is taken
+			v.say(setUp(idC, "free", "")) // not handled, since it follows the malformed message
 			ready(second)
 			if got := v.answerThenEOF(second.ID); got != 200 {
-				t.Errorf("answered %d", got)
+				t.Errorf("answer status %d", got)
 			}
 			n.agree(2)
 		})
 	}
 }
 
-// TestPauseKeepsRequests: a process that stands still for longer than its read deadlines finds requests in its sockets'
-// buffers when it goes on. They came in time, and are answered: one on a connection that had not spoken yet, one whose
-// message had begun, and one in the accept backlog.
+// TestProcessPauseKeepsRequests pauses the process for longer than its read deadlines. Requests that arrived in the
+// socket buffers meanwhile were in time and must be answered: on a connection without an earlier message, in the second
+// half of a message, and in the accept backlog.
 func TestProcessPauseKeepsRequests(t *testing.T) {
 	t.Parallel()
 	p := startProcess(t, newBox(t, "s-1", ready))
-	const each = 6 // which of two things that are both due comes first is the scheduler's choice: each is tried often
+	const each = 6 // several of each kind, because the scheduler chooses between an expired deadline and a readable socket
 	var fresh, begun, backlog [each]*dialogue
 	id := func(kind, i int) string { return fmt.Sprintf("%016x", 0x100*(kind+1)+i) }
 	for i := range each {
 		fresh[i], begun[i] = p.dial(), p.dial()
 		begun[i].say(setUp(id(1, i), "free", "")[:60])
 	}
-	p.dial().say(optionsRequest).want("", 200) // by now the process reads on all of them
+	p.dial().say(optionsRequest).want("", 200) // the process now reads from all of them
 	p.pause(func() {
 		for i := range each {
 			fresh[i].say(setUp(id(0, i), "free", ""))
@@ -73,8 +74,8 @@
 	}
 }
 
-// TestHalfClosedViewer: a viewer that has shut down its writing half behind its request still reads, and gets the answer;
-// one that has closed both halves is not waited for.
+// TestHalfClosedViewer checks that a viewer that closes its write side after its request still gets the answer, and
+// that the set-up of a viewer that closes both sides is withdrawn.
 func TestHalfClosedViewer(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
@@ -84,40 +85,40 @@
 	}
 	ready(b.next(t, "open"))
 	if got := v.answerThenEOF(idA); got != 200 {
-		t.Errorf("answered %d", got)
+		t.Errorf("answer status %d", got)
 	}
 	n.agree(1)
 	closed := n.dial().say(setUp(idB, "paid", ""))
 	m := b.next(t, "open")
 	_ = closed.Close()
 	if c := b.next(t, "close"); c.ID != m.ID {
-		t.Errorf("%+v", c.Message)
+		t.Errorf("close for another session: %+v", c.Message)
 	}
 	n.agree(1)
 }
 
-// TestResentSetUpIsAnswered: a set-up whose connection ends as it crosses is sent again under its id while the first copy
-// is not over yet. The copy gets the one answer, of the one attempt.
+// TestResentSetUpIsAnswered resends a set-up after its connection was reset, while the first request is still open. The
+// resent set-up gets the answer of the one attempt.
 func TestResentSetUpIsAnswered(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startGated(t, waitForResends, b)
 	first := n.dial().say(setUp(idA, "paid", ""))
 	m := b.next(t, "open")
-	letGo := n.holdOwner() // what leaves is known to its connection only
+	unblock := n.holdOwner() // only the connection notices that the viewer left
 	s := n.findSession(idA)
 	first.reset()
-	eventually(t, "the end of its connection seen", func() bool { return s.currentConn().phase() == phaseClosed })
+	eventually(t, "the first connection closed", func() bool { return s.currentConn().phase() == phaseClosed })
 	again := n.dial().say(setUp(idA, "paid", ""))
-	eventually(t, "the copy taken", func() bool { return s.currentConn().phase() == phaseOpen })
-	letGo()
+	eventually(t, "the resent set-up handled", func() bool { return s.currentConn().phase() == phaseOpen })
+	unblock()
 	ready(m)
 	again.want(idA, 200)
 	again.silent()
 	n.agree(1)
 }
 
-// TestResentTooLate: a set-up comes again when it has been withdrawn, which its attempt does not know yet. It is answered
-// with its id: that it failed, if it was sent to a server, which may have run it; else that it is refused.
+// TestResentAfterWithdrawal resends a set-up that was withdrawn, before its attempt has ended. The answer carries the
+// session id: a failure if the set-up was sent to a server, which may have run it, else a refusal.
 func TestResentAfterWithdrawal(t *testing.T) {
 	for status, sent := range map[int]bool{statusGatewayTimeout: true, statusServiceUnavailable: false} {
 		b, g := newBox(t, "s-1", nil), newGate()
@@ -128,52 +129,52 @@
 			close(g.open)
 			b.next(t, "open")
 		}
-		letGo := n.holdOwner()
+		unblock := n.holdOwner()
 		s := n.findSession(idA)
 		first.reset()
 		eventually(t, "withdrawn", s.isWithdrawn)
 		again := n.dial().say(setUp(idA, "paid", ""))
 		again.want(idA, status)
-		letGo()
+		unblock()
 		if !sent {
 			close(g.open)
 		}
 		again.silent()
 		n.agree(0)
-		again.say(setUp(idA, "paid", "")) // when nothing of it is out any more
+		again.say(setUp(idA, "paid", "")) // once its attempt has ended
 		if sent {
 			again.want(idA, status)
 			n.wantNoSetUp(b, idA)
 			continue
 		}
-		ready(b.next(t, "open")) // what was never sent may be begun anew
+		ready(b.next(t, "open")) // a set-up that was never sent may start anew
 		again.want(idA, statusOK)
 	}
 }
 
-// TestTearDownByAnotherIsAnswered: a set-up that waits is ended on another connection. Whoever waits for it is answered,
-// once, also where the server's answer crosses.
+// TestTearDownOnAnotherConnectionIsAnswered tears down a pending set-up on another connection. The set-up gets one
+// answer on its own connection, also if the server's answer arrives at the same time.
 func TestTearDownOnAnotherConnectionIsAnswered(t *testing.T) {
 	for _, crossing := range []bool{false, true} {
 		b := newBox(t, "s-1", nil)
 		n := startNode(t, b)
 		v := n.dial().say(setUp(idA, "paid", ""))
 		m := b.next(t, "open")
-		letGo := func() {}
+		unblock := func() {}
 		if crossing {
-			letGo = n.holdOwner()
+			unblock = n.holdOwner()
 			ready(m)
 		}
 		n.dial().say(tearDown(idA))
 		v.want(idA, 503)
-		letGo()
+		unblock()
 		v.silent()
 		n.agree(0)
 	}
 }
 
-// TestNoRoomIsWaitedFor: a request comes on a new connection while as many connections as may be open all wait for
-// answers. Nobody is closed for it, and it is answered as soon as one of them is.
+// TestNewConnectionWaitsForCapacity opens a connection while the maximum number of connections await answers. None of
+// them is closed for it, and its request is answered as soon as one of theirs is.
 func TestNewConnectionWaitsForCapacity(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startGated(t, func(n *Node) { n.viewerConns.maxConnections, n.viewerConns.reserveConnections = 2, 1 }, b)
@@ -195,8 +196,8 @@
 	}
 }
 
-// TestCloseBehindBadMessage: a viewer sends what cannot be read behind a set-up, and closes. No attempt for the set-up
-// begins later than the platform allows behind that.
+// TestCloseAfterMalformedMessage closes a connection after a set-up and a malformed message. No attempt for the set-up
+// may start later than the platform allows after that.
 func TestCloseAfterMalformedMessage(t *testing.T) {
 	b, g := newBox(t, "s-1", nil), newGate()
 	n := startGated(t, func(n *Node) { n.Dial = gatedDial(g) }, b)
@@ -205,7 +206,7 @@
 	v.say("\x16\x03\x01\x02\x00\x01\r\n\r\n").want("", 400)
 	over := n.attemptsBlocked(idA)
 	_ = v.Close()
-	eventually(t, "no attempt may begin", over)
+	eventually(t, "attempts blocked", over)
 	close(g.open)
 	n.agree(0)
 	n.wantNoSetUp(b, idA)
--- a/internal/node/badviewers_test.go
+++ b/internal/node/badviewers_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// TestSameID: a set-up under an id that is open is refused, and the open one is not touched.
+// TestDuplicateSessionIDIsRefused checks that a set-up under an open session id is refused and that the open request is
+// not affected.
 func TestDuplicateSessionIDIsRefused(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
@@ -19,12 +20,13 @@
 	n.dial().say(strings.Replace(setUp(idA, "free", ""), "audio", "video", 1)).want("", 400)
 	ready(m)
 	if a := v.want(idA, 200); string(a.Body) != "for "+idA+"\r\n\"x\"" {
-		t.Errorf("%q", a.Body)
+		t.Errorf("description %q", a.Body)
 	}
 	n.agree(1)
 }
 
-// TestBadViewers: each is refused or closed in time, and a usual viewer is served meanwhile.
+// TestMalformedRequestsAreRefused checks that each malformed request is refused or its connection closed in time, while
+// valid requests are served.
 func TestMalformedRequestsAreRefused(t *testing.T) {
 	n := startWith(t, 128, newBox(t, "s-1", ready))
 	good := setUp(idB, "free", "")
@@ -37,7 +39,7 @@
 		"hint": change("8200.0", "Inf"), "home": change("home:0", "home:99999999999"), "copies": change("copies:4", "copies:-1"), "top": change("top:2", "top:7"),
 		"viewer": change("viewer:00", "viewer:zz"), "no figures": change("home:0;", ""), "no id": change("Session: "+idB+"\r\n", ""), "id": change(idB, "12"),
 		"title": change("7f3a9c21e0b4d655", "nothing here"), "title's digits": change("7f3a9c21e0b4d655", "xyz"), "text": change("audio", "\xff"),
-		"method": change("SETUP", "PLAY"), "half and silent": good[:60], "lone teardown": tearDown(idC),
+		"method": change("SETUP", "PLAY"), "incomplete": good[:60], "lone teardown": tearDown(idC),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -51,18 +53,19 @@
 			b := make([]byte, 4096)
 			k, _ := io.ReadAtLeast(c, b, 12)
 			if !bytes.HasPrefix(b[:k], []byte("RTSP/1.0 4")) && !bytes.HasPrefix(b[:k], []byte("RTSP/1.0 5")) {
-				t.Errorf("answered %q", b[:k])
+				t.Errorf("response %q", b[:k])
 			}
 		})
 	}
-	t.Run("usual", func(t *testing.T) {
+	t.Run("valid", func(t *testing.T) {
 		for i := range 20 {
 			n.dial().say(setUp(fmt.Sprintf("%016x", i+1), "free", "")).want(fmt.Sprintf("%016x", i+1), 200)
 		}
 	})
 }
 
-// TestSilentByTheHundred: connections that say nothing use up no descriptor that others need.
+// TestSilentConnectionsAreEvicted checks that connections without any message do not use up the descriptors that others
+// need.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	n := startWith(t, 128, newBox(t, "s-1", ready))
 	v := n.dial().say(setUp(idA, "free", ""))
@@ -75,17 +78,17 @@
 	open := len(n.viewerConns.conns)
 	n.viewerConns.mu.Unlock()
 	if open > n.viewerConns.maxConnections {
-		t.Errorf("%d connections", open)
+		t.Errorf("%d connections open", open)
 	}
-	v.say(setUp(idC, "free", "")).want(idC, 200) // the first is there still
-	eventually(t, "the silent closed", func() bool {
+	v.say(setUp(idC, "free", "")).want(idC, 200) // the first connection was not evicted
+	eventually(t, "the silent connections closed", func() bool {
 		n.viewerConns.mu.Lock()
 		defer n.viewerConns.mu.Unlock()
 		return len(n.viewerConns.conns) == 2
 	})
 }
 
-// TestSlowReader: a viewer that reads nothing loses its connection, and nobody else waits for it.
+// TestSlowReaderIsDisconnected checks that a viewer that does not read its answers is disconnected and delays nobody.
 func TestSlowReaderIsDisconnected(t *testing.T) {
 	n := startNode(t, newBox(t, "s-1", ready))
 	slow := n.dial()
@@ -99,7 +102,7 @@
 				return
 			}
 		}
-		t.Error("200 MB of answers taken for nobody")
+		t.Error("200 MB of responses were buffered for a viewer that does not read")
 	}()
 	for i := range 20 {
 		id := fmt.Sprintf("%016x", i+1)
--- a/internal/node/capacity_test.go
+++ b/internal/node/capacity_test.go
@@ -16,15 +16,15 @@
 	listedServers   = 1024
 	listedProcesses = 1024
 
-	maxIdleGoroutines = 64      // of a node that serves nobody, however long its list
-	maxListHeap       = 8 << 20 // bytes that a list of 1,024 servers may take
+	maxIdleGoroutines = 64      // of a node without viewers, whatever the length of its server list
+	maxListHeap       = 8 << 20 // bytes of heap for a list of 1,024 servers
 )
 
-// TestThousandServersAndProcesses: a list of 1,024 servers and a deployment of 1,024 processes are taken at the start, as
-// a whole list, as changes and with a reload. Goroutines do not grow with the list, memory grows by little.
+// TestThousandServersAndProcesses loads a list of 1,024 servers in a deployment of 1,024 processes at the start, as a
+// whole list, as changes and by a reload. The list must not add goroutines, and only little memory.
 func TestThousandServersAndProcesses(t *testing.T) {
 	b := newBox(t, "s-0", ready)
-	list := []coordinator.Entry{b.entry("up")} // alone in its cell; nobody listens at the others
+	list := []coordinator.Entry{b.entry("up")} // alone in its cell; the other addresses are not listened on
 	for i := range listedServers - 1 {
 		list = append(list, coordinator.Entry{ID: fmt.Sprintf("s-%d", i+1), Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Zone: "east", Kind: "std",
 			State: "up", Weight: 10, Cell: 1 + i%3})
@@ -32,7 +32,7 @@
 	settings := strings.NewReplacer(`"groupSize":1,`, fmt.Sprintf(`"groupSize":%d,"position":%d,`, listedProcesses, listedProcesses-1),
 		`"linksKb":100000`, `"linksKb":100000000`, `"rackLinkKb":100000`, `"rackLinkKb":100000000`, `"weightKb":1000`, `"weightKb":1000000`, `"kindStreams":[50]`, `"kindStreams":[100000]`).Replace(defaultSettings)
 	if !strings.Contains(settings, fmt.Sprint(`"groupSize":`, listedProcesses)) || !strings.Contains(settings, `"linksKb":100000000`) {
-		t.Fatal("the settings are not as large as meant")
+		t.Fatal("the settings were not changed as intended")
 	}
 	goroutines, heap, begun := runtime.NumGoroutine(), heapInUse(), time.Now()
 	n := startSet(t, 256, settings, func(*Node) {}, list)
@@ -41,10 +41,10 @@
 	ready := time.Since(begun)
 	t.Logf("ready after %v, %d goroutines more, %d kB of heap more", ready, runtime.NumGoroutine()-goroutines, (heapInUse()-heap)>>10)
 	if more := runtime.NumGoroutine() - goroutines; more > maxIdleGoroutines {
-		t.Errorf("%d goroutines more", more)
+		t.Errorf("%d more goroutines", more)
 	}
 	if more := heapInUse() - heap; more > maxListHeap {
-		t.Errorf("%d bytes of heap more", more)
+		t.Errorf("%d more bytes of heap", more)
 	}
 	n.wantServedBy(v, b, idA)
 
@@ -55,7 +55,7 @@
 	}
 	n.feed.push(changed...) // one update of 1,023 servers
 	eventually(t, "the changes", func() bool { return n.drainingCount() == listedServers-1 })
-	for _, e := range changed[:100] { // and a hundred updates
+	for _, e := range changed[:100] { // and one hundred single updates
 		e.State = "removed"
 		n.feed.push(e)
 	}
@@ -77,7 +77,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// drained is how many listed servers take nothing new.
+// drainingCount returns the number of listed servers that are draining.
 func (r *rig) drainingCount() (count int) {
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
@@ -89,7 +89,7 @@
 	return count
 }
 
-// servesHome plays a session of a title that only one server holds.
+// wantServedBy sets up a session of a title that only one server has and checks that this server gets the set-up.
 func (r *rig) wantServedBy(v *dialogue, b *box, id string) {
 	r.t.Helper()
 	v.say(strings.Replace(setUp(id, "free", ""), "copies:4", "copies:1", 1)).want(id, 200)
--- a/internal/node/closing.go
+++ b/internal/node/closing.go
@@ -10,31 +10,31 @@
 	"rainpulley/internal/socketerror"
 )
 
-// How a viewer's connection ends. What was taken on it stays owed: a connection that is read no more drains first, which
-// means that its set-ups that wait are answered on it, and then its writing half closes. Only a viewer that is known to
-// have gone, or the end of the node, ends a connection with set-ups that wait.
+// A viewer connection that is not read any more drains first: the set-ups received on it are still answered there, and
+// then its write side is closed. It is closed with set-ups unanswered only if the viewer is known to have gone, the
+// connection failed, or the node shuts down.
 
-// closeReason is why a viewer's connection ended, as logs and counters name it.
+// closeReason is the reason why a viewer connection was closed, as logged.
 type closeReason string
 
 const (
 	closedByViewer         closeReason = "closed by the viewer"
 	closedByReset          closeReason = "reset by the viewer"
 	closedByNetworkError   closeReason = "network error"
-	closedMalformedMessage closeReason = "message that cannot be read"
-	closedMessageTimeout   closeReason = "message that stalled"
+	closedMalformedMessage closeReason = "malformed message"
+	closedMessageTimeout   closeReason = "message timed out"
 	closedNoFirstMessage   closeReason = "no message in time"
 	closedForCapacity      closeReason = "closed to make room"
-	closedWriteFailed      closeReason = "answers cannot be written"
-	closedAtShutdown       closeReason = "node ends"
+	closedWriteFailed      closeReason = "write failed"
+	closedAtShutdown       closeReason = "node shutdown"
 )
 
-// byThisNode tells whether this side ended the connection: requests that were open on it then are lost.
+// byThisNode reports whether this node closed the connection. Requests still open on it are lost then.
 func (r closeReason) byThisNode() bool {
 	return r != closedByViewer && r != closedByReset && r != closedByNetworkError
 }
 
-// readEnd is why a connection ended whose reading failed.
+// readErrorReason returns the close reason for a read error.
 func readErrorReason(err error) closeReason {
 	switch socketerror.Classify(err, socketerror.Transfer) {
 	case socketerror.PeerClosed:
@@ -47,13 +47,13 @@
 	return closedByNetworkError
 }
 
-// phase is how far a viewer's connection is on its way to its end.
+// connPhase is the phase of a viewer connection's life.
 type connPhase int
 
 const (
 	phaseOpen       connPhase = iota
-	phaseHalfClosed           // the viewer has shut down its writing half
-	phaseDraining             // nothing more is read, what was taken is answered
+	phaseHalfClosed           // the viewer has closed its write side
+	phaseDraining             // no more messages are handled; open set-ups are answered
 	phaseClosed
 )
 
@@ -61,7 +61,7 @@
 	return [...]string{"open", "half closed", "draining", "over"}[p]
 }
 
-// phase is where a connection stands.
+// phase returns the connection's current phase.
 func (c *viewerConn) phase() connPhase {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,27 +77,28 @@
 }
 
 const (
-	// firstProbe is the time between the first two tries to find out whether a viewer that shut down its writing half still
-	// reads: longer than its reset takes. Later tries are further apart.
+	// firstProbeInterval is the time between the first two probes of whether a viewer that closed its write side still
+	// reads. It exceeds the time until the viewer's reset arrives. Later intervals are longer.
 	firstProbeInterval = 20 * time.Millisecond
 	probeBackoffFactor = 4
 	maxProbeInterval   = 320 * time.Millisecond
-	// mayBeginFor is how long attempts may still begin for a viewer that shut down its writing half and may have gone. The
-	// platform allows 0.1 s.
+	// halfCloseAttemptWindow is how long attempts may still start for a viewer that closed its write side and may have
+	// gone. The platform allows 0.1 s.
 	halfCloseAttemptWindow = 80 * time.Millisecond
-	// maxFlush is how long what is left to write may take once nothing is read any more.
+	// maxFlushTime is how long pending writes may take once nothing is read any more.
 	maxFlushTime = writeTimeout
 )
 
-// refuse answers what cannot be read on. Nothing behind it is taken.
+// respondError answers a message that cannot be parsed or was not completed in time. Nothing after it is handled.
 func (c *viewerConn) respondError(status int) {
-	c.node.Log.Info("message refused", "status", status, "connection", uint64(c.id), "from", c.remoteHost, "waiting", c.openSetUpCount())
+	c.node.Log.Info("message refused", "status", status, "connection", uint64(c.id), "from", c.remoteHost,
+		"waiting", c.openSetUpCount())
 	c.out.enqueue(func(b []byte) []byte { return rtsp.AppendResponse(b, status, nil, nil) })
 }
 
-// drain has the set-ups that wait answered before the connection ends, where reading ended for a reason that leaves the
-// viewer there. What the viewer still sends is read for a bounded time: closing with unread bytes would reset the
-// connection and could destroy an answer on its way (RFC 9112, section 9.6).
+// drain answers the open set-ups before the connection is closed, if the viewer may still be there. Its further input
+// is read and discarded for a limited time: closing with unread bytes would reset the connection and could destroy an
+// answer in transit (RFC 9112, section 9.6).
 func (c *viewerConn) drain(reason closeReason) {
 	switch reason {
 	case closedMalformedMessage, closedMessageTimeout:
@@ -106,7 +107,7 @@
 		switch {
 		case c.openSetUpCount() == 0:
 		case err != nil:
-			return // reset
+			return // the viewer reset the connection
 		case discarded < maxDiscardedBytes:
 			c.handleHalfClose()
 		}
@@ -118,7 +119,7 @@
 	c.awaitDrained()
 }
 
-// beginDrain takes no further message.
+// beginDrain stops the handling of further messages.
 func (c *viewerConn) beginDrain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,8 +128,8 @@
 	c.finishIfDrained()
 }
 
-// halfClosed notes that the viewer has shut down its writing half. Whether it still reads is not known yet: what is out
-// for its set-ups goes on, and no attempt begins after a short while.
+// handleHalfClose records that the viewer has closed its write side. It may still read, so the current attempts for its
+// set-ups continue, but no attempt starts after a short while.
 func (c *viewerConn) handleHalfClose() {
 	c.mu.Lock()
 	c.halfClosedByViewer = true
@@ -141,12 +142,13 @@
 	c.mu.Unlock()
 	if len(waitingIDs) > 0 {
 		c.node.nearMisses.halfClosed.Add(1)
-		c.node.Log.Info("viewer shut down its writing half", "connection", uint64(c.id), "from", c.remoteHost, "age", time.Since(c.openedAt), "waiting", waitingIDs)
+		c.node.Log.Info("viewer closed its write side", "connection", uint64(c.id), "from", c.remoteHost,
+			"age", time.Since(c.openedAt), "waiting", waitingIDs)
 	}
 	c.beginDrain()
 }
 
-// endIfDrained closes the writing half of a connection that drains and has no set-up open. The caller holds c.mu.
+// finishIfDrained closes the write side of a draining connection that has no open set-up. The caller holds c.mu.
 func (c *viewerConn) finishIfDrained() {
 	if !c.draining || len(c.openSetUps) > 0 || isClosed(c.drained) {
 		return
@@ -156,9 +158,9 @@
 	c.in.setDeadline(time.Now().Add(discardTimeout))
 }
 
-// awaitAnswers returns when the connection has drained and what was to be written is written, or when it is over. A viewer
-// that closed both halves answers anything with a reset, and only then is known to have gone: progress, which means
-// nothing to a viewer that reads, finds out.
+// awaitDrained returns when the connection has drained and its pending writes are done, or when it is closed. Whether a
+// half-closed viewer still reads is probed with provisional responses (status 100): a viewer that reads ignores them,
+// and one that closed both directions resets the connection, which is the only proof that it has gone.
 func (c *viewerConn) awaitDrained() {
 	interval := firstProbeInterval
 	for ; ; interval = min(interval*probeBackoffFactor, maxProbeInterval) {
@@ -181,7 +183,7 @@
 	}
 }
 
-// writeFailed ends a connection that cannot be written to. A viewer that had shut down its writing half has gone.
+// handleWriteError closes a connection after a write error. A viewer that had closed its write side has gone.
 func (c *viewerConn) handleWriteError() {
 	c.mu.Lock()
 	reason := closedWriteFailed
@@ -192,17 +194,18 @@
 	c.close(reason)
 }
 
-// close ends a connection at once. The viewers of set-ups on it may send them again on another one.
+// close closes the connection at once. The viewers of its open set-ups may resend them on another connection.
 func (c *viewerConn) close(reason closeReason) {
 	c.closeUnless(reason, func() bool { return c.closed })
 }
 
-// closeIdle ends a connection at once if nothing waits on it. What came on it since it was chosen keeps it open.
+// closeIfIdle closes the connection unless a request is pending on it, even one that arrived after the connection was
+// chosen for eviction.
 func (c *viewerConn) closeIfIdle(reason closeReason) bool {
 	return c.closeUnless(reason, func() bool { return c.closed || c.handlingMessage || len(c.openSetUps) > 0 })
 }
 
-// closeUnless ends a connection unless something holds, which is asked under its lock.
+// closeUnless closes the connection unless the condition, evaluated with c.mu held, is true.
 func (c *viewerConn) closeUnless(reason closeReason, condition func() bool) (closed bool) {
 	c.mu.Lock()
 	if condition() {
@@ -216,7 +219,7 @@
 	}
 	clear(c.openSetUps)
 	c.mu.Unlock()
-	c.node.awaitResend(c, unanswered) // first of all: an attempt may be about to begin
+	c.node.awaitResend(c, unanswered) // before anything else: an attempt may be about to start
 	close(c.done)
 	c.out.abort()
 	_ = c.conn.Close()
@@ -229,8 +232,8 @@
 	return true
 }
 
-// logClose tells why a connection ended, and which requests got no answer by it. Where this side ended it, they are
-// lost.
+// logClose logs why a connection was closed and which requests on it are unanswered. If this node closed it, those
+// requests are lost.
 func (c *viewerConn) logClose(reason closeReason, unanswered []*session) {
 	level := slog.LevelDebug
 	switch {
@@ -250,11 +253,11 @@
 	for _, s := range unanswered {
 		ids = append(ids, s.id)
 	}
-	c.node.Log.Log(context.Background(), level, "viewer connection over", "why", string(reason), "connection", uint64(c.id), "from", c.remoteHost,
-		"age", time.Since(c.openedAt), "unanswered", ids)
+	c.node.Log.Log(context.Background(), level, "viewer connection closed", "why", string(reason),
+		"connection", uint64(c.id), "from", c.remoteHost, "age", time.Since(c.openedAt), "unanswered", ids)
 }
 
-// refuseConnection closes a connection that was accepted and will not be served.
+// refuseConnection closes an accepted connection without serving it.
 func (c *viewerConn) refuseConnection(reason closeReason) {
 	c.node.nearMisses.viewersRefused.Add(1)
 	c.node.Log.Warn("viewer connection not served", "why", string(reason), "from", c.conn.RemoteAddr().String())
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -16,18 +16,18 @@
 	"rainpulley/internal/coordinator"
 )
 
-// ends waits until the node has ended by itself.
+// waitForEnd waits until the node has shut down.
 func (r *rig) waitForEnd() {
 	r.t.Helper()
 	select {
 	case err := <-r.over:
 		r.over <- err
 	case <-time.After(testFor):
-		r.t.Fatal("did not end")
+		r.t.Fatal("the node did not shut down")
 	}
 }
 
-// oneAnswer reads one final answer to a set-up and then the end of the connection, which is no reset.
+// answerThenEOF reads a final answer to a set-up and then the end of the connection, which must not be a reset.
 func (d *dialogue) answerThenEOF(id string) (status int) {
 	d.t.Helper()
 	m := d.next()
@@ -35,78 +35,81 @@
 		d.t.Errorf("answer %+v", m)
 	}
 	if more, err := d.r.Next(); !errors.Is(err, io.EOF) {
-		d.t.Errorf("behind the answer: %+v, %v", more, err)
+		d.t.Errorf("after the answer: %+v, %v", more, err)
 	}
 	return m.Status
 }
 
-// TestEndsOwingNothing: wherever a request is when the node ends, it gets its one final answer: in the accept backlog,
-// half read, queued, while its connection comes up, out at a server, answered but unwritten.
+// TestShutdownAnswersEveryRequest checks that a request gets its one final answer wherever it is when the node shuts
+// down: in the accept backlog, partly read, queued, waiting for a connection, pending at a server, or answered but not
+// yet written.
 func TestShutdownAnswersEveryRequest(t *testing.T) {
 	t.Run("in the accept backlog", func(t *testing.T) {
 		n := startNode(t, newBox(t, "s-1", ready))
 		first := n.dial().say(setUp(idB, "free", ""))
 		first.want(idB, 200)
-		n.viewerConns.mu.Lock() // accept is stuck with one connection, two more wait behind it
+		n.viewerConns.mu.Lock() // blocks the accept loop at one connection; two more wait in the backlog
 		a, b, c := n.dial(), n.dial(), n.dial()
 		b.say(setUp(idA, "free", ""))
 		c.say(setUp(idC, "paid", ""))
 		n.stop()
-		eventually(t, "the node leaving", n.viewerConns.shuttingDown.Load)
-		time.Sleep(2 * backlogIdleTimeout) // a core that is busy elsewhere: the first look's time passes
+		eventually(t, "the node shutting down", n.viewerConns.shuttingDown.Load)
+		time.Sleep(2 * backlogIdleTimeout) // as on a busy core: the first accept times out
 		n.viewerConns.mu.Unlock()
 		if got := b.answerThenEOF(idA); got != 503 {
-			t.Errorf("answered %d", got)
+			t.Errorf("answer status %d", got)
 		}
 		if got := c.answerThenEOF(idC); got != 503 {
-			t.Errorf("answered %d", got)
+			t.Errorf("answer status %d", got)
 		}
 		_ = a.Close()
 		n.waitForEnd()
 	})
-	t.Run("in the backlog as the listener's time is up", func(t *testing.T) {
+	t.Run("in the backlog as the accept deadline expires", func(t *testing.T) {
 		g := newGate()
-		n := startGated(t, func(n *Node) { n.Listener = &gatedListener{TCPListener: n.Listener.(*net.TCPListener), gate: g} }, newBox(t, "s-1", ready))
-		g.wait(t) // accept is about to look
+		n := startGated(t, func(n *Node) {
+			n.Listener = &gatedListener{TCPListener: n.Listener.(*net.TCPListener), gate: g}
+		}, newBox(t, "s-1", ready))
+		g.wait(t) // accept is about to be called
 		v := n.dial().say(setUp(idA, "free", ""))
 		n.stop()
-		eventually(t, "the node leaving", n.Listener.(*gatedListener).deadlineSet.Load)
+		eventually(t, "the node shutting down", n.Listener.(*gatedListener).deadlineSet.Load)
 		close(g.open)
 		if got := v.answerThenEOF(idA); got != 503 {
-			t.Errorf("answered %d", got)
+			t.Errorf("answer status %d", got)
 		}
 		n.waitForEnd()
 	})
-	t.Run("half read", func(t *testing.T) {
+	t.Run("partly read", func(t *testing.T) {
 		n := startNode(t, newBox(t, "s-1", ready))
-		letGo := n.holdOwner()
+		unblock := n.holdOwner()
 		v := n.dial().say(setUp(idA, "free", "")[:70])
-		eventually(t, "begun", func() bool {
+		eventually(t, "the connection accepted", func() bool {
 			n.viewerConns.mu.Lock()
 			defer n.viewerConns.mu.Unlock()
 			return len(n.viewerConns.conns) == 1
 		})
 		n.stop()
-		eventually(t, "the node leaving", n.viewerConns.shuttingDown.Load)
+		eventually(t, "the node shutting down", n.viewerConns.shuttingDown.Load)
 		v.say(setUp(idA, "free", "")[70:])
 		if m := v.next(); m.Status != 503 || m.Get("Session") != idA {
 			t.Errorf("answer %+v", m)
 		}
-		letGo()
+		unblock()
 		n.waitForEnd()
 	})
 	t.Run("queued", func(t *testing.T) {
 		n := startNode(t, newBox(t, "s-1", nil))
-		letGo := n.holdOwner()
+		unblock := n.holdOwner()
 		v := n.dial().say(setUp(idA, "paid", ""))
 		eventually(t, "queued", func() bool { return n.orchestrator.QueueLen() == 1 })
 		n.stop()
-		eventually(t, "the node leaving", n.viewerConns.shuttingDown.Load)
-		letGo()
+		eventually(t, "the node shutting down", n.viewerConns.shuttingDown.Load)
+		unblock()
 		v.answerThenEOF(idA)
 		n.waitForEnd()
 	})
-	t.Run("while its connection comes up", func(t *testing.T) {
+	t.Run("waiting for a connection", func(t *testing.T) {
 		g := newGate()
 		n := startGated(t, func(n *Node) { n.Dial = gatedDial(g) }, newBox(t, "s-1", nil))
 		v := n.dial().say(setUp(idA, "paid", ""))
@@ -116,32 +119,32 @@
 		close(g.open)
 		n.waitForEnd()
 	})
-	t.Run("out at a server", func(t *testing.T) {
+	t.Run("pending at a server", func(t *testing.T) {
 		b := newBox(t, "s-1", nil)
 		n := startNode(t, b)
 		v := n.dial().say(setUp(idA, "paid", ""))
 		m := b.next(t, "open")
 		n.stop()
 		if got := v.answerThenEOF(idA); got != 504 { // it may have run
-			t.Errorf("answered %d", got)
+			t.Errorf("answer status %d", got)
 		}
 		if c := b.next(t, "close"); c.ID != m.ID {
-			t.Errorf("%+v", c.Message)
+			t.Errorf("close for another session: %+v", c.Message)
 		}
 		n.waitForEnd()
 	})
-	t.Run("answered but unwritten", func(t *testing.T) {
+	t.Run("answered but not written", func(t *testing.T) {
 		b := newBox(t, "s-1", nil)
 		n := startNode(t, b)
 		v := n.dial().say(setUp(idA, "paid", ""))
 		m := b.next(t, "open")
 		c := n.findSession(idA).conn
-		c.out.mu.Lock() // the writer waits for it
+		c.out.mu.Lock() // blocks the writer
 		answered := make(chan struct{})
 		go func() { defer close(answered); ready(m); v.say(setUp(idB, "free", "")[:50]) }()
 		<-answered
 		n.stop()
-		eventually(t, "the node leaving", n.viewerConns.shuttingDown.Load)
+		eventually(t, "the node shutting down", n.viewerConns.shuttingDown.Load)
 		c.out.mu.Unlock()
 		if got := v.next(); got.Get("Session") != idA {
 			t.Errorf("answer %+v", got)
@@ -150,7 +153,7 @@
 	})
 }
 
-// gatedListener holds the first look at the backlog.
+// gatedListener holds the first Accept call at a gate.
 type gatedListener struct {
 	*net.TCPListener
 	gate        *gate
@@ -162,14 +165,14 @@
 	return l.TCPListener.Accept()
 }
 
-// SetDeadline notes that it was called: with a time that is over a look fails at once, whatever the backlog holds.
+// SetDeadline records the call: with a deadline in the past Accept fails at once, even if the backlog is not empty.
 func (l *gatedListener) SetDeadline(t time.Time) error {
 	defer l.deadlineSet.Store(true)
 	return l.TCPListener.SetDeadline(t)
 }
 
-// TestEndWithUnreadBytes: a viewer that writes on and on while the node ends still reads the answer it was given: the
-// node's last words are not destroyed by a reset for bytes that nobody read.
+// TestShutdownWhileViewerKeepsWriting checks that a viewer that writes all the time during shutdown still reads its
+// answer: no reset for unread bytes may destroy the node's last responses.
 func TestShutdownWhileViewerKeepsWriting(t *testing.T) {
 	for range 20 {
 		b := newBox(t, "s-1", nil)
@@ -203,15 +206,15 @@
 	}
 }
 
-// TestSignalsCross: signals that meet a drain change nothing of it: a reload that brings a drain and another address, a
-// second SIGTERM, two reloads at once, a file that cannot be read.
+// TestSignalsDuringShutdown sends signals while the node shuts down: a reload with a drain and another coordinator
+// address, a second SIGTERM, two reloads at once, a file that cannot be parsed. None may disturb the shutdown.
 func TestSignalsDuringShutdown(t *testing.T) {
 	a, b := newBox(t, "s-1", nil), newBox(t, "s-2", nil)
 	n := startNode(t, a)
-	n.ArrivalWindow = shutdownMargin // and the longest deadline on top, 1 s
+	n.ArrivalWindow = shutdownMargin // the longest deadline, 1 s, is added
 	v := n.dial().say(setUp(idA, "paid", ""))
 	m := a.next(t, "open")
-	n.stop() // what SIGTERM does
+	n.stop() // as SIGTERM does
 	other := newFeed(t, n.feed.all)
 	known := coordinator.Updates{Index: 2, Updates: append(n.feed.all,
 		coordinator.Update{Endpoints: &coordinator.Endpoints{Servers: []coordinator.Entry{a.entry("draining"), b.entry("up")}}})}
@@ -224,18 +227,18 @@
 	select {
 	case <-other.polls:
 	case <-time.After(testFor):
-		t.Fatal("the new address not followed while leaving")
+		t.Fatal("the new coordinator address was not used during shutdown")
 	}
 	late := n.dial().say(setUp(idB, "free", ""))
-	ready(b.next(t, "open")) // the drain came with the configuration
+	ready(b.next(t, "open")) // the reloaded configuration drains the other server
 	late.want(idB, 200)
 	ready(m)
 	v.want(idA, 200)
 	n.waitForEnd()
 }
 
-// TestRequestInPieces: a request that is held up in its middle keeps nobody waiting, one that comes byte by byte is
-// served, and so are two in one segment.
+// TestRequestInPieces checks that an interrupted request delays nobody, and that a request sent byte by byte and two
+// requests in one segment are served.
 func TestRequestInPieces(t *testing.T) {
 	b := newBox(t, "s-1", ready)
 	n := startNode(t, b)
@@ -260,8 +263,8 @@
 	n.agree(4)
 }
 
-// TestUnreadBytesAreRead: bytes of a viewer that lie unread when all connections close are read before; a close with
-// them unread is a reset, which destroys the answer that the viewer has not read yet.
+// TestCloseReadsUnreadBytesFirst checks that closing all connections first reads what viewers have sent: a close with
+// unread bytes is a reset, which destroys an answer that the viewer has not read yet.
 func TestCloseReadsUnreadBytesFirst(t *testing.T) {
 	n := startNode(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -282,12 +285,17 @@
 	c := newViewerConn(n.Node, conn, time.Now())
 	v.conns[c] = struct{}{}
 	const unread = "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\n"
-	_, _ = io.WriteString(client, unread) // nobody reads it yet
+	_, _ = io.WriteString(client, unread) // no goroutine reads it yet
 	c.out.enqueue(func(b []byte) []byte { return append(b, "the answer"...) })
 	closed := make(chan struct{})
 	go func() { defer close(closed); v.closeAll() }()
-	eventually(t, "the answer written", func() bool { v.mu.Lock(); over := v.closed; v.mu.Unlock(); return over && !c.out.isWriting() })
-	_, _ = io.CopyN(io.Discard, conn, int64(len(unread))) // the reader's turn
+	eventually(t, "the answer written", func() bool {
+		v.mu.Lock()
+		over := v.closed
+		v.mu.Unlock()
+		return over && !c.out.isWriting()
+	})
+	_, _ = io.CopyN(io.Discard, conn, int64(len(unread))) // in place of the reading goroutine
 	v.mu.Lock()
 	delete(v.conns, c)
 	v.mu.Unlock()
@@ -299,17 +307,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = raw.Control(func(fd uintptr) { // Linux keeps what came before a reset, other systems do not
+	_ = raw.Control(func(fd uintptr) { // Linux keeps the bytes received before a reset, other systems do not
 		if broke, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR); broke != 0 || err != nil {
 			t.Errorf("the connection was reset: %v, %v", syscall.Errno(broke), err)
 		}
 	})
 }
 
-// lingeringListener has accept return late when the node stops listening: the end is held in its middle.
+// lingeringListener blocks Accept after the node stops listening, which holds the shutdown midway.
 type lingeringListener struct {
 	*net.TCPListener
-	blocked chan struct{} // closed when accept is held
+	blocked chan struct{} // closed when Accept is blocked
 	resume  chan struct{}
 	once    sync.Once
 }
@@ -323,17 +331,18 @@
 	return conn, err
 }
 
-// TestEndPassesReleasesOn: a server releases a session while the node ends, when requests are answered already. The viewer
-// is told: the server has said it and need not say it again.
+// TestShutdownForwardsReleases has a server release a session during shutdown, when all requests are answered already.
+// The viewer must be notified, because the server does not send the release again.
 func TestShutdownForwardsReleases(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	var l *lingeringListener
 	n := startGated(t, func(n *Node) {
-		l = &lingeringListener{TCPListener: n.Listener.(*net.TCPListener), blocked: make(chan struct{}), resume: make(chan struct{})}
+		l = &lingeringListener{TCPListener: n.Listener.(*net.TCPListener),
+			blocked: make(chan struct{}), resume: make(chan struct{})}
 		n.Listener = l
 	}, b)
-	letGo := sync.OnceFunc(func() { close(l.resume) })
-	defer letGo()
+	unblock := sync.OnceFunc(func() { close(l.resume) })
+	defer unblock()
 	v := n.dial().say(setUp(idA, "free", ""))
 	plays := b.next(t, "open")
 	ready(plays)
@@ -342,15 +351,15 @@
 	b.next(t, "open")
 	n.stop()
 	<-l.blocked
-	v.want(idB, 504) // the mark: requests are answered by now
+	v.want(idB, 504) // all requests are answered by now
 	plays.endSession()
 	v.wantRelease(idA, "cause=16")
-	letGo()
+	unblock()
 	n.waitForEnd()
 }
 
-// TestStaysUntilLastArrival: the node neither ends while requests still come, 0.6 s after SIGTERM, nor as late as it may
-// be killed, 0.7 s and the longest deadline after it.
+// TestShutdownDelay checks that the node neither exits while requests still arrive, up to 0.6 s after SIGTERM, nor
+// stays until it may be killed, 0.7 s plus the longest deadline after SIGTERM.
 func TestShutdownDelay(t *testing.T) {
 	const lastArrival = 600 * time.Millisecond
 	for _, deadline := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 350 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second} {
@@ -358,7 +367,7 @@
 		n.Config.Set.Classes = []control.Class{{Deadline: deadline / 2}, {Deadline: deadline}}
 		kill := defaultArrivalWindow + min(deadline, 3*time.Second)
 		if stays := n.shutdownDelay(); stays <= lastArrival || stays >= kill {
-			t.Errorf("longest deadline %v: stays %v, the last request comes after %v, the kill after %v", deadline, stays, lastArrival, kill)
+			t.Errorf("longest deadline %v: delay %v, last request after %v, kill after %v", deadline, stays, lastArrival, kill)
 		}
 	}
 }
--- a/internal/node/eviction.go
+++ b/internal/node/eviction.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// evict closes the connection whose end harms least; false where all wait for answers, or the one that was chosen has
-// begun to.
+// evict closes the connection whose loss does the least harm. It returns false if every connection awaits an answer or
+// the chosen one received a request in the meantime.
 func (v *viewerConns) evict(now time.Time) bool {
 	candidate := v.evictionCandidate(now)
 	if candidate == nil || !candidate.closeIfIdle(closedForCapacity) {
@@ -15,34 +15,35 @@
 	return true
 }
 
-// evictionCandidate is the connection whose end harms least; nil where all wait for answers.
+// evictionCandidate returns the connection whose loss does the least harm, or nil if every connection awaits an answer.
 func (v *viewerConns) evictionCandidate(now time.Time) (candidate *viewerConn) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	lowestRank, oldestUse := rankAwaitingAnswer, now
 	for c := range v.conns {
-		if rank, lastUsed := c.rankForEviction(now); rank < lowestRank || rank == lowestRank && rank != rankAwaitingAnswer && lastUsed.Before(oldestUse) {
+		if rank, lastUsed := c.rankForEviction(now); rank < lowestRank ||
+			rank == lowestRank && rank != rankAwaitingAnswer && lastUsed.Before(oldestUse) {
 			candidate, lowestRank, oldestUse = c, rank, lastUsed
 		}
 	}
 	return candidate
 }
 
-// evictionRank orders connections by the harm that their end would do.
+// evictionRank orders connections by the harm that closing them does, least first.
 type evictionRank int
 
 const (
-	rankSilent evictionRank = iota // has said nothing for longer than a request needs to follow its connection
+	rankSilent evictionRank = iota // no message for longer than a request needs to follow its connection
 	rankUnused
 	rankNew
-	rankMidMessage     // a message has begun
-	rankWithSessions   // with sessions that stand: they are tied to no connection, their end is told on another
-	rankAwaitingAnswer // for an answer, or an answer or a notice is still to be written
+	rankMidMessage     // a message was received in part
+	rankWithSessions   // has active sessions; notices of their end can be sent on another connection
+	rankAwaitingAnswer // a request is pending, or an answer or notice is still to be written
 )
 
 const newConnectionGrace = 100 * time.Millisecond
 
-// evictionRank ranks a connection, and tells when it was last used.
+// rankForEviction returns the connection's rank and when it was last used.
 func (c *viewerConn) rankForEviction(now time.Time) (evictionRank, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/giveup_test.go
+++ b/internal/node/giveup_test.go
@@ -10,8 +10,8 @@
 	"rainpulley/internal/jsonlines"
 )
 
-// TestGiveUpLostWithItsConnection: a set-up is given up for time, and its connection is reset before the server has read
-// that. The session may stand there: the server is told again on another connection.
+// TestGiveUpIsResentAfterReset resets the connection of a set-up that timed out before the server has read the give-up.
+// The session may be active there, so the give-up must be sent again on another connection.
 func TestGiveUpIsResentAfterReset(t *testing.T) {
 	var first sync.Once
 	tried := make(chan *box, 2)
@@ -25,7 +25,7 @@
 				return
 			}
 			tried <- *b
-			<-reset // it reads nothing more of this connection
+			<-reset // the server reads nothing more from this connection
 			_ = m.on.Conn.(*net.TCPConn).SetLinger(0)
 			_ = m.on.Close()
 		}
@@ -35,27 +35,27 @@
 	n := startNode(t, a, b)
 	v := n.dial().say(setUp(idA, "free", ""))
 	silent := <-tried
-	v.want(idA, 200) // of the other
+	v.want(idA, 200) // from the other server
 	close(reset)
 	if m := silent.next(t, jsonlines.TypeClose); m.ID != idA {
-		t.Errorf("%+v", m.Message)
+		t.Errorf("given up: %+v", m.Message)
 	}
 }
 
-// TestGiveUpSparesLaterAttempt: the connection of a set-up that was given up, or on which one was out, breaks, and a later
-// attempt of the same request comes to stand at the same server. What concerns the earlier one is not said any more: it
-// would end the session.
+// TestGiveUpSparesLaterAttempt breaks the connection of a set-up that timed out or is pending, and has a later attempt
+// of the same request start a session at the same server. The give-up of the earlier attempt must not be sent any
+// more, because it would end that session.
 func TestGiveUpSparesLaterAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		atOnce bool // the connection breaks while the set-up is out
-	}{{"given up for time", false}, {"broken while it is out", true}} {
+		atOnce bool // the connection breaks while the set-up is pending
+	}{{"timed out", false}, {"connection broken while pending", true}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			var attempts atomic.Int64
 			b := newBox(t, "s-1", func(m said) {
 				if m.Type == jsonlines.TypeClose && attempts.Load() > 1 {
-					t.Errorf("the session that stands was released: %+v", m.Message)
+					t.Errorf("the active session was released: %+v", m.Message)
 				}
 				if m.Type != jsonlines.TypeOpen {
 					return
@@ -65,7 +65,7 @@
 					return
 				}
 				if !c.atOnce {
-					time.Sleep(500 * time.Millisecond) // its time is 405 ms: the next attempt is out by now
+					time.Sleep(500 * time.Millisecond) // the attempt times out after 405 ms; the next one is pending by now
 				}
 				_ = m.on.Conn.(*net.TCPConn).SetLinger(0)
 				_ = m.on.Close()
@@ -79,15 +79,15 @@
 	}
 }
 
-// TestOldReleaseSparesSession: a set-up's connection breaks, the server is told to give it up on the next one, and there a
-// later attempt of the same request comes to stand. That connection breaks too: what was said on it about the earlier
-// attempt is not said again.
+// TestReleaseOfEarlierAttemptSparesSession breaks the connection of a set-up. The give-up goes to the server on the
+// next connection, where a later attempt of the same request starts a session. When that connection breaks too, the
+// give-up of the earlier attempt must not be sent again.
 func TestReleaseOfEarlierAttemptSparesSession(t *testing.T) {
 	var attempts atomic.Int64
 	b := newBox(t, "s-1", func(m said) {
 		switch {
 		case m.Type == jsonlines.TypeClose && attempts.Load() > 1:
-			t.Errorf("the session that stands was released: %+v", m.Message)
+			t.Errorf("the active session was released: %+v", m.Message)
 		case m.Type == jsonlines.TypeOpen && attempts.Add(1) > 1:
 			ready(m)
 		case m.Type == jsonlines.TypeOpen:
@@ -114,8 +114,8 @@
 	n.agree(1)
 }
 
-// TestLateEndSparesSession: a server ends a set-up that was given up, on that one's connection, while a later attempt of
-// the same request stands there. The session that stands plays on, and its own end is passed on.
+// TestLateEndSparesSession has a server end a set-up that was given up, on that set-up's connection, while a later
+// attempt of the same request has an active session there. That session continues, and its own end is forwarded.
 func TestLateEndSparesSession(t *testing.T) {
 	opened, done := make(chan said, 2), make(chan struct{})
 	b := newBox(t, "s-1", func(m said) {
@@ -124,13 +124,13 @@
 		}
 		opened <- m
 		if len(opened) < 2 {
-			<-done // it reads nothing more of the first connection, and does not close it
+			<-done // the server reads nothing more from the first connection and does not close it
 		}
 	})
 	defer close(done)
 	n := startNode(t, b)
 	v := n.dial().say(setUp(idA, "free", ""))
-	eventually(t, "two attempts", func() bool { return len(opened) == 2 }) // the first one's time runs out
+	eventually(t, "two attempts", func() bool { return len(opened) == 2 }) // the first one times out
 	first, second := <-opened, <-opened
 	ready(second)
 	v.want(idA, 200)
--- a/internal/node/outbox.go
+++ b/internal/node/outbox.go
@@ -9,17 +9,17 @@
 	"rainpulley/internal/socketerror"
 )
 
-// outbox is the one writer of a connection. Whoever has something to say appends it and never waits; a
-// goroutine writes while there is something to write. A peer that reads too slowly loses its connection.
+// writeQueue serializes the writes of a connection. Callers append messages without blocking; a goroutine writes while
+// there is something to write. A peer that reads too slowly loses its connection.
 type writeQueue struct {
 	conn    net.Conn
-	onError func() // once, when the connection cannot be written to any more
+	onError func() // called once, when the connection can no longer be written to
 
 	mu      sync.Mutex
 	pending []byte
 	spare   []byte
 	writing bool
-	closing bool // after what is pending
+	closing bool // the write side is closed once the pending bytes are written
 	closed  bool
 }
 
@@ -28,13 +28,13 @@
 	writeTimeout    = 2 * time.Second
 )
 
-// put queues what add appends; false if the connection is over.
+// enqueue queues the bytes that appendMessage appends. It returns false if the queue is closed.
 func (o *writeQueue) enqueue(appendMessage func([]byte) []byte) bool {
 	return o.append(appendMessage, false)
 }
 
-// putNow does the same, and writes at once what the socket takes without waiting: a final answer must not wait for a
-// goroutine's turn.
+// enqueueAndWrite is like enqueue, but writes at once what the socket accepts without blocking: a final answer must not
+// wait until a goroutine is scheduled.
 func (o *writeQueue) enqueueAndWrite(appendMessage func([]byte) []byte) bool {
 	return o.append(appendMessage, true)
 }
@@ -62,8 +62,8 @@
 	return true
 }
 
-// writeAvailable writes what a connection takes without waiting, and returns how many bytes that was. An error is left to
-// the next write, which meets it again.
+// writeNonblocking writes what the socket accepts without blocking and returns the number of bytes. It ignores errors,
+// because the next write fails with them again.
 func writeNonblocking(conn net.Conn, b []byte) (written int) {
 	s, ok := conn.(syscall.Conn)
 	if !ok {
@@ -77,12 +77,12 @@
 		if n, err := syscall.Write(int(fd), b); err == nil && n > 0 {
 			written = n
 		}
-		return true // done, whatever came of it
+		return true // do not wait for the socket, whatever the result
 	})
 	return written
 }
 
-// busy tells that something is still to be written.
+// isWriting reports whether there are pending writes.
 func (o *writeQueue) isWriting() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -96,7 +96,7 @@
 	}
 }
 
-// finish has the writing half closed after what is pending.
+// closeAfterFlush closes the write side of the connection once the pending bytes are written.
 func (o *writeQueue) closeAfterFlush() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -135,10 +135,10 @@
 	}
 }
 
-// writeAll writes within a time that only counts while the peer does not read. Errors of this machine that pass by
-// themselves cost the peer nothing: what is left is written when they are over.
+// writeAll writes b with a timeout that covers only the time in which the peer does not read. After a transient error
+// of this machine it retries the rest of b.
 func writeAll(conn net.Conn, b []byte) error {
-	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }() // an expired one would keep writeAvailable from writing
+	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }() // an expired one would make writeNonblocking fail
 	for deadline := time.Now().Add(writeTimeout); ; time.Sleep(localRetryDelay) {
 		_ = conn.SetWriteDeadline(deadline)
 		n, err := conn.Write(b)
@@ -149,7 +149,7 @@
 		overdue := time.Since(deadline)
 		switch v := socketerror.Classify(err, socketerror.Transfer); {
 		case v.IsLocal() && overdue < 0:
-		case v == socketerror.DeadlineExceeded && overdue > maxExpiryDelay: // the process stood still: the peer may have read on
+		case v == socketerror.DeadlineExceeded && overdue > maxExpiryDelay: // the process was paused: the peer may still read
 			deadline = time.Now().Add(writeTimeout)
 		default:
 			return err
@@ -157,7 +157,7 @@
 	}
 }
 
-// stop ends the outbox without a word.
+// abort closes the queue and discards what is pending.
 func (o *writeQueue) abort() {
 	o.mu.Lock()
 	o.closed = true
--- a/internal/node/reading.go
+++ b/internal/node/reading.go
@@ -13,27 +13,27 @@
 	"rainpulley/internal/wire"
 )
 
-// read takes what a server says on one connection until it ends.
+// readConn handles the messages of a server on one connection until the connection ends.
 func (p *pool) readConn(l *serverConn) {
 	r := bufio.NewReaderSize(&deadlineReader{conn: l.conn}, jsonlines.MaxLineBytes)
 	for {
 		m, err := p.nextMessage(l, r)
 		if err != nil {
-			p.node.Log.Debug("connection to server over", "server", l.server.id, "error", err)
+			p.node.Log.Debug("connection to server closed", "server", l.server.id, "error", err)
 			verdict := socketerror.Classify(err, socketerror.Transfer)
 			p.closeConn(l, verdict == socketerror.ClosedLocally || verdict == socketerror.PeerClosed)
 			return
 		}
 		if p.handleMessage(l, m) {
-			runtime.Gosched() // the answer goes on its way first, the next read of this socket can wait
+			runtime.Gosched() // let the answer be passed on before the next read
 		}
 	}
 }
 
-// next waits for a message and reads it. Where no set-up is out on the connection, whoever reads an answer on another one
-// goes first: a viewer may leave while its answer waits for notes.
+// nextMessage waits for a message and reads it. If no set-up is pending on the connection, goroutines that read an
+// answer on another connection run first: a viewer may leave while its answer is queued after notes.
 func (p *pool) nextMessage(l *serverConn, r *bufio.Reader) (*jsonlines.Message, error) {
-	if _, err := r.Peek(1); err != nil { // a reset is told once only
+	if _, err := r.Peek(1); err != nil { // a reset is reported only once
 		return nil, err
 	}
 	if !l.setUpPending.Load() {
@@ -42,14 +42,15 @@
 	return jsonlines.Read(r)
 }
 
-// causes of a close ahead of the answer; an unknown one is a reset.
+// closeOutcomes maps the cause of a close before the answer to an outcome. An unknown cause counts as a reset.
 var closeOutcomes = map[int]control.Outcome{jsonlines.CauseFull: control.Full, jsonlines.CauseError: control.Failed,
 	jsonlines.CauseNotSent: control.NotSent, jsonlines.CauseReset: control.Reset}
 
-// ends are causes of a close after it.
-var endOutcomes = map[int]control.Outcome{jsonlines.CauseEnd: control.Served, jsonlines.CauseCancelled: control.Cancelled}
+// endOutcomes maps the cause of a close after the answer to an outcome. An unknown cause counts as a reset.
+var endOutcomes = map[int]control.Outcome{jsonlines.CauseEnd: control.Served,
+	jsonlines.CauseCancelled: control.Cancelled}
 
-// handle takes one message of a server. It tells whether that ended the set-up on the link.
+// handleMessage handles one message of a server. It reports whether the message ended the set-up on the connection.
 func (p *pool) handleMessage(l *serverConn, m *jsonlines.Message) (answered bool) {
 	load := wire.ConvertLoad(m.NumberMap("load"))
 	p.mu.Lock()
@@ -60,7 +61,7 @@
 	case m.Type == jsonlines.TypeReady && matches && !l.isProbe:
 		r := core.Result{Outcome: control.Served}
 		if m.Text == nil || *m.Text == "" {
-			r = core.Result{Outcome: control.Failed, Load: load} // it ran, and there is nothing to pass on
+			r = core.Result{Outcome: control.Failed, Load: load} // it ran, but returned no description
 		} else {
 			r.Setup = *m.Text
 			l.server.activeSessions[m.ID] = true
@@ -81,7 +82,7 @@
 		}
 		answered = l.deliverResult(core.Result{Outcome: outcome, Load: load})
 		p.mu.Unlock()
-	case m.Type == jsonlines.TypeClose && l.wasGivenUp(m.ID): // of that attempt; a later one may stand
+	case m.Type == jsonlines.TypeClose && l.wasGivenUp(m.ID): // ends that attempt only; a later one may be active
 		p.mu.Unlock()
 	case m.Type == jsonlines.TypeClose:
 		p.mu.Unlock()
@@ -101,7 +102,7 @@
 	return answered
 }
 
-// sessionEnded takes a server's release of a session that stands, or that this node does not know yet.
+// handleSessionEnd handles a server's release of a session that is active or not known to this node yet.
 func (p *pool) handleSessionEnd(l *serverConn, m *jsonlines.Message, load *control.LoadReport) {
 	outcome, ok := endOutcomes[m.Cause()]
 	if !ok {
@@ -120,17 +121,17 @@
 	}
 }
 
-// keepEarlyEnd keeps the end of a session that may be named later.
+// storeEarlyEnd stores the end of a session that a viewer may name later.
 func (p *pool) storeEarlyEnd(s *server, id string, end earlyEnd) {
 	if len(s.earlyEnds) >= maxEarlyEnds {
 		p.node.nearMisses.endsDropped.Add(1)
-		p.node.Log.Warn("end of an unknown session not kept: too many", "session", id, "server", s.id)
+		p.node.Log.Warn("too many early session ends: one was dropped", "session", id, "server", s.id)
 		return
 	}
 	s.earlyEnds[id] = end
 }
 
-// note reads a note on a session that stands.
+// parseNote parses a note on an active session.
 func parseNote(m *jsonlines.Message) (control.NoteKind, float64, bool) {
 	kinds := map[string]control.NoteKind{"delivered": control.NoteShare, "rung": control.NoteRung,
 		"link": control.NoteLink, "uplink": control.NoteUplink}
--- a/internal/node/resend.go
+++ b/internal/node/resend.go
@@ -4,28 +4,30 @@
 	"time"
 )
 
-// A viewer whose set-up crosses the end of its connection sends it again, under its id, on a new one. The node may see
-// the two events in either order, may read the copies in either order, and may have written the answer between them. Both
-// copies are one request: its attempt goes on, and its answer goes to the connection that the viewer opened last.
+// If the connection of a set-up ends before the answer, the viewer resends the set-up with the same session id on a new
+// connection. The node may notice the two events in either order, may read the original and the resent set-up in either
+// order, and may have written the answer in between. Both are one request: its current attempt continues, and its
+// answer goes to the connection that the viewer opened last.
 
 const (
-	// defaultResendWindow is how long behind the end of its connection a set-up may come again: 50 ms by the platform's
-	// terms, and as much for the ways of both. Until it is over the request is not withdrawn.
+	// defaultResendWindow is how long after the end of its connection a set-up may arrive again. The platform allows
+	// 50 ms, and as much is added for transit. The request is not withdrawn before that.
 	defaultResendWindow = 100 * time.Millisecond
-	// defaultAnswerMemory is how long an answer is kept for a viewer that asks again.
+	// defaultAnswerRetention is how long an answer is cached for a viewer that resends its set-up.
 	defaultAnswerRetention = time.Second
-	// maxRememberedAnswers bounds the answers that are kept.
+	// maxCachedAnswers limits the number of cached answers.
 	maxCachedAnswers = 4096
 )
 
-// reply is a final answer to a set-up.
+// finalAnswer is the final RTSP response to a set-up.
 type finalAnswer struct {
 	status     int
-	retryAfter string // advice when to come back
+	retryAfter string // advised delay before a retry, in milliseconds
 	body       []byte
 }
 
-// claim gives a request its final answer, where it has none yet. From then on its session stands, if it plays.
+// claimAnswer sets the final answer of a request unless it is answered or withdrawn already, and reports in first
+// whether it did. With a 200 the session counts as playing from then on.
 func (s *session) claimAnswer(r finalAnswer) (conn *viewerConn, connLost, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,13 +38,15 @@
 	return s.conn, s.connLost, true
 }
 
-// answerElsewhere gives a request that its viewer ends on another connection its final answer, where it has none yet.
+// claimAnswerOnTearDown sets the final answer of a request that was torn down on another connection. It returns false
+// if the request is answered or withdrawn already.
 func (s *session) claimAnswerOnTearDown(r finalAnswer) bool {
 	_, _, first := s.claimAnswer(r)
 	return first
 }
 
-// orphan marks that its connection ended under it. False if it has moved to another one, or needs none.
+// markConnLost records that the request's connection was closed. It returns false if the request has moved to another
+// connection or needs none.
 func (s *session) markConnLost(closedConn *viewerConn, now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +60,7 @@
 	return true
 }
 
-// abandon withdraws a request that was not sent again since its connection ended.
+// withdrawIfNotResent withdraws the request unless it was resent after closedConn was closed.
 func (s *session) withdrawIfNotResent(closedConn *viewerConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,8 +71,8 @@
 	return true
 }
 
-// withdrawalReply answers a set-up that comes again when it is too late. What was sent to a server may have run there, and
-// then nobody may be told that it did not.
+// withdrawalAnswer returns the answer to a set-up that was resent too late. If an attempt was sent to a server, the
+// set-up may have run there, so the answer must not imply that it did not.
 func (s *session) withdrawalAnswer() *finalAnswer {
 	if s.attemptSent {
 		return &finalAnswer{status: statusGatewayTimeout}
@@ -76,19 +80,19 @@
 	return &finalAnswer{status: statusServiceUnavailable}
 }
 
-// resumption is what a set-up that came again found.
+// resumedSetUp describes the state of a request when its set-up was received again.
 type resumedSetUp struct {
-	previousConn *viewerConn  // the connection that it was on
-	answer       *finalAnswer // that it was given already; nil: it still waits
-	playing      bool         // its session stands
+	previousConn *viewerConn  // the connection that the request was on
+	answer       *finalAnswer // the answer given already; nil: still pending
+	playing      bool         // its session is playing
 }
 
-// resume moves a request to the connection on which its viewer sent it again.
+// moveTo moves a request to the connection on which the viewer resent it.
 func (s *session) moveTo(conn *viewerConn, cseq string) resumedSetUp {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cseq = cseq
-	if s.withdrawn || s.answered && s.answer == nil { // too late: it was withdrawn, or its answer is not kept any more
+	if s.withdrawn || s.answered && s.answer == nil { // too late: withdrawn, or the answer is no longer cached
 		return resumedSetUp{previousConn: s.conn, answer: s.withdrawalAnswer()}
 	}
 	r := resumedSetUp{previousConn: s.conn, answer: s.answer, playing: s.playing}
@@ -96,20 +100,22 @@
 	return r
 }
 
-// sameRequest tells whether a set-up under the same id asks for the same.
+// isSameRequest reports whether another set-up with the same session id requests the same.
 func (s *session) isSameRequest(other *session) bool {
-	return s.uri == other.uri && s.className == other.className && s.description == other.description && s.dedupeKey == other.dedupeKey
+	return s.uri == other.uri && s.className == other.className && s.description == other.description &&
+		s.dedupeKey == other.dedupeKey
 }
 
-// takeResent takes a set-up under an id that is known from another connection. It tells whether it was that set-up, sent
-// again.
+// handleResent handles a set-up whose session id belongs to the request s. It returns false if it is not that request
+// resent on another connection.
 func (c *viewerConn) handleResent(resent, s *session) bool {
 	if s.adopted || s.currentConn() == c || !s.isSameRequest(resent) {
 		return false
 	}
 	if lastConn := s.currentConn(); lastConn.id > c.id && lastConn.phase() == phaseOpen {
-		c.node.Log.Info("set-up read behind its copy", "session", s.id, "connection", uint64(c.id), "copy on", uint64(lastConn.id))
-		return true // the viewer waits on the connection that it opened last
+		c.node.Log.Info("original set-up read after its resend", "session", s.id, "connection", uint64(c.id),
+			"copy on", uint64(lastConn.id))
+		return true // the viewer awaits the answer on the connection that it opened last
 	}
 	c.mu.Lock()
 	c.openSetUps[s.id] = s
@@ -117,8 +123,9 @@
 	resumed := s.moveTo(c, resent.cseq)
 	resumed.previousConn.removeSetUp(s)
 	c.node.nearMisses.resumed.Add(1)
-	c.node.Log.Info("set-up sent again", "session", s.id, "connection", uint64(c.id), "first", uint64(resumed.previousConn.id),
-		"first is", resumed.previousConn.phase().String(), "after", c.node.now()-s.receivedAt, "answered", resumed.answer != nil, "stands", resumed.playing)
+	c.node.Log.Info("set-up resent", "session", s.id, "connection", uint64(c.id),
+		"first", uint64(resumed.previousConn.id), "first is", resumed.previousConn.phase().String(),
+		"after", c.node.now()-s.receivedAt, "answered", resumed.answer != nil, "stands", resumed.playing)
 	if resumed.answer != nil {
 		if resumed.playing {
 			resumed.previousConn.addSessions(-1)
@@ -131,14 +138,15 @@
 		}
 		return true
 	}
-	if c.phase() == phaseClosed { // it ended meanwhile, and may not have seen the request
+	if c.phase() == phaseClosed { // closed in the meantime, perhaps before the set-up was added to openSetUps
 		c.node.awaitResend(c, []*session{s})
 	}
 	return true
 }
 
-// awaitResend keeps requests whose connection ended for as long as their viewers may send them again, and then withdraws
-// them. What is out for them goes on; no further attempt begins meanwhile, since their viewers may have gone.
+// awaitResend keeps requests whose connection was closed for as long as their viewers may resend them, and then
+// withdraws them. Their current attempts continue; no further attempt starts meanwhile, since the viewers may have
+// gone.
 func (n *Node) awaitResend(closedConn *viewerConn, openSetUps []*session) {
 	now := n.now()
 	waiting := make([]*session, 0, len(openSetUps))
@@ -160,27 +168,27 @@
 	})
 }
 
-// remembered is a request whose answer is kept.
+// cachedAnswer is an answered request whose answer is cached.
 type cachedAnswer struct {
 	session *session
 	at      time.Duration
 }
 
-// answers are the requests that were answered a short time ago, the oldest first.
+// answerCache holds the recently answered requests, oldest first.
 type answerCache struct {
 	retention time.Duration
 	byID      map[string]*session
 	order     []cachedAnswer
 }
 
-// add keeps a request, and lets go of those that are too old or too many.
+// add adds a request and removes those that are too old or too many.
 func (a *answerCache) add(s *session, now time.Duration) {
 	a.byID[s.id] = s
 	a.order = append(a.order, cachedAnswer{s, now})
 	a.expire(now)
 }
 
-// expire lets go of what is too old or too many.
+// expire removes requests that are too old or too many.
 func (a *answerCache) expire(now time.Duration) {
 	for len(a.order) > 0 && (len(a.order) > maxCachedAnswers || now-a.order[0].at > a.retention) {
 		s := a.order[0].session
@@ -193,42 +201,43 @@
 	}
 }
 
-// find is the request that was answered under an id a short time ago.
+// find returns the recently answered request with a session id, or nil.
 func (a *answerCache) find(id string, now time.Duration) *session {
 	a.expire(now)
 	return a.byID[id]
 }
 
-// remember keeps the answer to a request for a short time.
+// cacheAnswer caches the answer to a request.
 func (n *Node) cacheAnswer(s *session) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.recentAnswers.add(s, n.now())
 }
 
-// answeredLately is the request that was answered under an id a short time ago; nil if there is none.
+// recentlyAnswered returns the recently answered request with a session id, or nil.
 func (n *Node) recentlyAnswered(id string) *session {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.recentAnswers.find(id, n.now())
 }
 
-// takeResentAnswered takes a set-up under the id of a request that was answered a short time ago. It tells whether it was
-// that one, sent again. Where nothing of that one went to a server it may be begun anew, unless its viewer has asked again
-// since this copy was sent.
+// handleResentAnswered handles a set-up whose session id belongs to a recently answered request. It returns false if it
+// is not that request resent. A request of which no attempt was sent to a server may start anew, unless its viewer
+// resent it on a newer connection than this one.
 func (c *viewerConn) handleResentAnswered(s *session) bool {
 	answered := c.node.recentlyAnswered(s.id)
-	return answered != nil && (answered.wasAttemptSent() || answered.currentConn().id > c.id) && c.handleResent(s, answered)
+	return answered != nil && (answered.wasAttemptSent() || answered.currentConn().id > c.id) &&
+		c.handleResent(s, answered)
 }
 
-// expireAnswers lets go of answers that no viewer asks for any more.
+// expireAnswers removes cached answers that are too old.
 func (n *Node) expireAnswers() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.recentAnswers.expire(n.now())
 }
 
-// wasSent tells whether an attempt of it went to a server.
+// wasAttemptSent reports whether an attempt was sent to a server.
 func (s *session) wasAttemptSent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/resent_test.go
+++ b/internal/node/resent_test.go
@@ -11,14 +11,14 @@
 	"rainpulley/internal/jsonlines"
 )
 
-// The tests of this file cut a viewer's connection under a set-up that waits, and send the set-up again on a new one, as
-// the platform has clients do whose set-up crossed the end of a connection. Whichever of the two the node sees first, the
-// viewer that waits on the new connection is owed the one answer.
+// The tests of this file break a viewer's connection under a pending set-up and resend the set-up on a new connection,
+// as the platform's clients do if a set-up crosses the end of a connection. Whichever event the node notices first, the
+// viewer must get the one answer on the new connection.
 
-// waitForCopies has a node wait for set-ups that come again, and keep answers, for as long as a test takes.
+// waitForResends makes a node await resent set-ups, and cache answers, for as long as a test may take.
 func waitForResends(n *Node) { n.resendWindow, n.recentAnswers.retention = testFor, testFor }
 
-// ledger is what a server heard, by session.
+// messageLog records the messages that a server received, by session id.
 type messageLog struct {
 	mu     sync.Mutex
 	opens  map[string][]said
@@ -40,29 +40,29 @@
 	}
 }
 
-// of is the set-ups of a session that were heard, and how often it was ended.
+// forSession returns the set-ups received for a session and how often it was ended.
 func (l *messageLog) forSession(id string) (opens []said, closes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.opens[id], l.closes[id]
 }
 
-// resendDelay is how long behind the end of its first connection a set-up is sent again where that end comes first. The
-// platform allows 50 ms.
+// resendDelay is how long after the end of its first connection a set-up is resent, in the cases where that end comes
+// first. The platform allows 50 ms.
 const resendDelay = 15 * time.Millisecond
 
-// resentCase is one way in which a set-up and the end of its connection cross.
+// resentCase is one way in which a set-up crosses the end of its connection.
 type resentCase struct {
 	class, ending string
-	resendFirst   bool // the copy reaches the node ahead of the end of the first connection
-	answered      bool // the answer was written on the first connection, and is lost with it
+	resendFirst   bool // the resent set-up reaches the node before the end of the first connection
+	answered      bool // the answer was written on the first connection and is lost with it
 	id            string
 }
 
 func (c resentCase) String() string {
-	order, moment := "end first", "waits"
+	order, moment := "end first", "pending"
 	if c.resendFirst {
-		order = "copy first"
+		order = "resend first"
 	}
 	if c.answered {
 		moment = "answered"
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("%s, %s, %s, %s", c.class, c.ending, order, moment)
 }
 
-// setUp is the set-up, with time enough for a busy machine.
+// setUp returns the set-up request, with a timeout that is long enough for a busy machine.
 func (c resentCase) setUp() string {
 	return strings.Replace(setUp(c.id, c.class, ""), "X-Timer-Ms: 3000", "X-Timer-Ms: 9000", 1)
 }
@@ -89,22 +89,22 @@
 	return cases
 }
 
-// TestSetUpSentAgainIsAnswered: the connection of a set-up ends under it, and its viewer sends it again on a new one. That
-// one gets the one answer, of the one attempt, which goes on; the session stands until its viewer ends it.
+// TestResentSetUpGetsOneAnswer ends the connection of a set-up and resends the set-up on a new one. The new connection
+// gets the answer of the one attempt, which continues; the session stays active until its viewer ends it.
 func TestResentSetUpGetsOneAnswer(t *testing.T) {
 	t.Parallel()
-	heard := newMessageLog()
-	patient := strings.ReplaceAll(defaultSettings, `"aim":900000`, `"aim":30000000`) // no attempt is given up for time
-	p := startProcessWith(t, newBox(t, "s-1", heard.record), childOptions{256, patient, []string{helperWaits + "=1"}})
-	p.dial().say(optionsRequest).want("", 200) // it listens
+	received := newMessageLog()
+	patient := strings.ReplaceAll(defaultSettings, `"aim":900000`, `"aim":30000000`) // so that no attempt times out
+	p := startProcessWith(t, newBox(t, "s-1", received.record), childOptions{256, patient, []string{helperWaits + "=1"}})
+	p.dial().say(optionsRequest).want("", 200) // the process is listening
 	r := newRelay(t, p.addr)
 	for _, c := range resentCases() {
-		t.Run(c.String(), func(t *testing.T) { t.Parallel(); c.run(t, r, heard) })
+		t.Run(c.String(), func(t *testing.T) { t.Parallel(); c.run(t, r, received) })
 	}
 }
 
-// TestEarlierCopyReadLater: the node reads the copy ahead of the set-up itself, as it may when it stood still for a moment.
-// The answer goes to the connection that was opened last.
+// TestOriginalReadAfterResend has the node read the resent set-up before the original, as may happen after a pause of
+// the process. The answer goes to the newest connection.
 func TestOriginalReadAfterResend(t *testing.T) {
 	for _, answered := range []bool{false, true} {
 		b := newBox(t, "s-1", nil)
@@ -119,7 +119,7 @@
 			second.want(idA, statusOK)
 		}
 		first.say(text + optionsRequest)
-		first.want("", statusOK) // read by now
+		first.want("", statusOK) // the original has been read by now
 		_ = first.Conn.(*net.TCPConn).CloseWrite()
 		if !answered {
 			ready(m)
@@ -130,14 +130,14 @@
 	}
 }
 
-// TestEarlierCopyOfRefused: the copy was refused, nothing of it went to a server, and then the set-up itself is read. It
-// is not begun anew: its viewer has its answer.
+// TestOriginalReadAfterRefusedResend has the node read the original set-up after its resent copy was refused without an
+// attempt. The original must not start anew, because its viewer already has the answer.
 func TestOriginalReadAfterRefusedResend(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startGated(t, waitForResends, b)
 	first := n.dial().say(optionsRequest)
 	first.want("", statusOK)
-	_ = b.l.Close() // no connection comes up
+	_ = b.l.Close() // connections to the server fail
 	second := n.dial().say(setUp(idA, "paid", ""))
 	second.want(idA, statusNotEnoughBandwidth)
 	first.say(setUp(idA, "paid", "") + optionsRequest)
@@ -149,13 +149,13 @@
 	n.agree(0)
 }
 
-func (c resentCase) run(t *testing.T, r *relay, heard *messageLog) {
+func (c resentCase) run(t *testing.T, r *relay, received *messageLog) {
 	first, x := r.dial(t)
-	second, _ := r.dial(t) // connected ahead, so that no handshake comes between
+	second, _ := r.dial(t) // connected in advance, so that no handshake delays the resend
 	second.say(optionsRequest).want("", 200)
 	first.say(c.setUp())
-	eventually(t, "an attempt", func() bool { opens, _ := heard.forSession(c.id); return len(opens) == 1 })
-	opens, _ := heard.forSession(c.id)
+	eventually(t, "an attempt", func() bool { opens, _ := received.forSession(c.id); return len(opens) == 1 })
+	opens, _ := received.forSession(c.id)
 	_ = x.client.Close()
 	if c.answered {
 		ready(opens[0])
@@ -171,16 +171,16 @@
 		second.say(c.setUp())
 	}
 	if !c.answered {
-		time.Sleep(3 * firstProbeInterval) // whatever the node makes of the end, it has made by now
+		time.Sleep(3 * firstProbeInterval) // the node has handled the end of the connection by now
 		ready(opens[0])
 	}
 	if m := second.want(c.id, 200); string(m.Body) != "for "+c.id+"\r\n\"x\"" {
 		t.Errorf("description %q", m.Body)
 	}
 	second.silent()
-	if opens, closes := heard.forSession(c.id); len(opens) != 1 || closes != 0 {
+	if opens, closes := received.forSession(c.id); len(opens) != 1 || closes != 0 {
 		t.Errorf("%d attempts, %d ends at the server", len(opens), closes)
 	}
 	second.say(tearDown(c.id))
-	eventually(t, "the session released", func() bool { _, closes := heard.forSession(c.id); return closes == 1 })
+	eventually(t, "the session released", func() bool { _, closes := received.forSession(c.id); return closes == 1 })
 }
--- a/internal/node/reserve.go
+++ b/internal/node/reserve.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// The pool may hold a limited number of connections, and more servers than that may have sessions. A server says the end
-// of a session only on a connection: one that never gets any would leave its viewers untold. So a server that has been
-// without a connection for long takes the place of another one, whose turn comes again in the same way. The design
-// allows 8 s from a session's end to its release towards the viewer where the server could not send one.
+// The number of connections to servers is limited, and more servers than that may have sessions. A server reports the
+// end of a session only on a connection, so the viewers of a server that never gets one would not be notified. A server
+// that has been without a connection for long therefore takes the slot of another server, which gets a slot again in
+// the same way. The design allows 8 s from a session's end to its release towards the viewer if the server could not
+// report the end.
 const (
-	// maxUnconnected is how long a server with sessions may be without a connection before it takes another's.
+	// maxUnconnectedTime is how long a server with sessions may be without a connection before it takes another's slot.
 	maxUnconnectedTime = 3 * time.Second
-	// minConnected is how long a connection stays before another server may take its place: what the server has to say
-	// comes with the first round trips.
+	// minConnectionTime is how long a connection is kept before another server may take its slot: a server sends its
+	// pending messages within the first round trips.
 	minConnectionTime = 150 * time.Millisecond
 )
 
-// purpose is what a connection is opened for.
+// dialPurpose is the purpose of a new connection.
 type dialPurpose int
 
 const (
@@ -22,7 +23,7 @@
 	dialForCheck
 )
 
-// reserveFree takes a place for one more connection if one is free.
+// reserveFreeSlot reserves a connection slot if one is free.
 func (p *pool) reserveFreeSlot() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,13 +34,13 @@
 	return true
 }
 
-// reserveForSetUp takes a place for a set-up's connection. Where all are in use the idle one goes that is needed least.
+// reserveSlotForSetUp reserves a slot for a set-up's connection. If none is free, the least needed idle one is closed.
 func (p *pool) reserveSlotForSetUp() bool {
 	return p.reserveSlot(func(*serverConn) bool { return true })
 }
 
-// reserveForCheck takes a place for a connection that a server with sessions needs. The only connection of another
-// such server goes only if this one has waited for long, and that one has had its turn.
+// reserveSlotForCheck reserves a slot for the connection that a server with sessions needs. The only connection of
+// another such server is closed only if this server has waited for long and that connection was open long enough.
 func (p *pool) reserveSlotForCheck(s *server, now time.Duration) bool {
 	overdue := s.unconnectedFor(now) >= maxUnconnectedTime
 	return p.reserveSlot(func(l *serverConn) bool {
@@ -47,8 +48,8 @@
 	})
 }
 
-// needsLinkFor is how long a server has been without a connection, or without the one that tells again what may have
-// been lost with another.
+// unconnectedFor returns how long the server has been without a connection, or without the new connection on which it
+// is to repeat what may have been lost with an earlier one.
 func (s *server) unconnectedFor(now time.Duration) time.Duration {
 	switch {
 	case len(s.conns) == 0:
@@ -59,7 +60,8 @@
 	return 0
 }
 
-// reserve takes a place for one more connection, if need be that of an idle one that may go. The caller holds the lock.
+// reserveSlot reserves a connection slot, closing an evictable idle connection if none is free. The caller holds the
+// lock.
 func (p *pool) reserveSlot(evictable func(*serverConn) bool) bool {
 	if p.closed {
 		return false
@@ -75,11 +77,11 @@
 	return true
 }
 
-// Costs of closing an idle connection.
+// Costs of closing an idle connection, in ascending order.
 const (
-	costNoSessions   = iota // its server has nothing to say
-	costSeveralConns        // its server has others
-	costOnlyConn            // its server has sessions and no other connection
+	costNoSessions   = iota // the server has nothing to report
+	costSeveralConns        // the server has other connections
+	costOnlyConn            // the server has sessions and no other connection
 )
 
 func evictionCost(l *serverConn) int {
@@ -92,8 +94,8 @@
 	return costOnlyConn
 }
 
-// cheapestIdle is the idle connection that costs least to close; among equals the one that was opened first, whose
-// server has had the most time to say what it had to.
+// cheapestIdle returns the idle connection that is cheapest to close. Among equals this is the oldest, whose server has
+// had the most time to send its pending messages.
 func (p *pool) cheapestIdle(evictable func(*serverConn) bool) (cheapest *serverConn) {
 	for _, s := range p.servers {
 		for _, l := range s.idleConns {
--- a/internal/node/reserve_test.go
+++ b/internal/node/reserve_test.go
@@ -7,12 +7,12 @@
 
 const manyServers = 350
 
-// adoptAt has a viewer name a session that plays at a server already.
+// adoptAt sends a set-up that names a session which a server is already playing.
 func (d *dialogue) adoptAt(id, server string) { d.say(setUp(id, "free", ";at:"+server)) }
 
-// TestMoreServersThanConnections: sessions stand at far more servers than connections may be open to. Half of the servers
-// have ended theirs and say so on the first connection that comes, the others' sessions play on and keep needing one.
-// Each release reaches its viewer in time, and no more connections are open than may be.
+// TestMoreServersThanConnections has active sessions at far more servers than the node may have connections to. Half of
+// the servers have ended their session and report it on the next connection; the others keep needing a connection. Each
+// release must reach its viewer in time, without exceeding the connection limit.
 func TestMoreServersThanConnections(t *testing.T) {
 	for _, sockets := range []int{64, 256, 640} {
 		t.Run(fmt.Sprint(sockets, " descriptors"), func(t *testing.T) {
@@ -40,21 +40,21 @@
 			n.pool.mu.Lock()
 			defer n.pool.mu.Unlock()
 			if limit := sockets * 3 / 8; n.pool.maxConns != limit || n.pool.connCount > limit {
-				t.Errorf("%d connections where %d may be open", n.pool.connCount, limit)
+				t.Errorf("%d connections open, the limit is %d", n.pool.connCount, limit)
 			}
 		})
 	}
 }
 
-// TestServersTakeTurns: with all places taken by servers whose sessions play, one without a connection still gets one
-// from time to time: a session that ends there later is released in time too.
+// TestServersShareConnections takes all connection slots for servers with active sessions. A server without a
+// connection must still get one from time to time, so that a session that ends there later is released in time too.
 func TestServersShareConnections(t *testing.T) {
-	const servers, places = 12, 4
+	const servers, slots = 12, 4
 	boxes := make([]*box, servers)
 	for i := range boxes {
 		boxes[i] = newBox(t, fmt.Sprintf("s-%d", i), nil)
 	}
-	n := startAs(t, 256, func(n *Node) { n.pool.maxConns = places }, boxes...)
+	n := startAs(t, 256, func(n *Node) { n.pool.maxConns = slots }, boxes...)
 	v := n.dial()
 	for i, b := range boxes {
 		v.adoptAt(fmt.Sprintf("%016x", i+1), b.id)
@@ -72,11 +72,11 @@
 	}
 	n.pool.mu.Unlock()
 	if unconnected < 0 {
-		t.Fatal("more connections than places")
+		t.Fatal("more connections than slots")
 	}
 	b := boxes[unconnected]
 	before := b.accepted()
-	eventually(t, "its next turn", func() bool { return b.accepted() > before })
+	eventually(t, "another connection", func() bool { return b.accepted() > before })
 	b.mu.Lock()
 	on := b.conns[len(b.conns)-1]
 	b.mu.Unlock()
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -10,45 +10,46 @@
 	"rainpulley/internal/rtsp"
 )
 
-// lateShare is the last part of a request's time in which an answer counts as late: a tenth.
+// lateDivisor defines the last tenth of a request's time, in which an answer counts as late.
 const lateDivisor = 10
 
-// session is one set-up of a viewer, and what it becomes. It hears of it on the owner's goroutine.
+// session is a viewer's set-up request and the session that results from it. It implements core.Listener; the
+// orchestrator calls those methods on its own goroutine.
 type session struct {
 	node                *Node
 	id                  string
 	uri                 string
 	cseq                string
 	className, titleKey string
-	dedupeKey           string // the viewer's key of repeats, if it gave one
-	description         string // the viewer's description
+	dedupeKey           string // the viewer's deduplication key, if any
+	description         string // the viewer's session description
 	adopted             bool
-	timeout             time.Duration // how long the viewer waits
+	timeout             time.Duration // how long the viewer waits for the answer
 	deadline            time.Duration
-	receivedAt          time.Duration // when it was read
+	receivedAt          time.Duration // when the request was read
 
 	mu                  sync.Mutex
-	conn                *viewerConn   // that the set-up came on, the last time
-	connLost            bool          // that connection is over, and the viewer may still send the set-up again on another one
-	withdrawn           bool          // the viewer ended it
-	attemptsBlockedFrom time.Duration // the viewer may have gone: from then on no attempt begins, but an answer is owed; 0: not held
-	attemptSent         bool          // an attempt went to a server
-	answered            bool          // the one final answer was given
-	answer              *finalAnswer  // that answer, for as long as it is kept
-	playing             bool          // it was answered that it plays, and has not ended
+	conn                *viewerConn   // the connection on which the set-up was last received
+	connLost            bool          // conn was closed; the viewer may resend the set-up on another connection
+	withdrawn           bool          // the viewer ended the request or session
+	attemptsBlockedFrom time.Duration // the viewer may have gone: no attempt starts from then on; 0: not blocked
+	attemptSent         bool          // an attempt was sent to a server
+	answered            bool          // the final answer was decided
+	answer              *finalAnswer  // the final answer, while it is cached
+	playing             bool          // the answer was 200 and the session has not ended
 }
 
-// Statuses of final answers (RFC 2326, section 7.1.1), as the platform reads them.
+// Statuses of final answers (RFC 2326, section 7.1.1), with their meaning on this platform.
 const (
 	statusOK                 = 200
 	statusBadRequest         = 400
-	statusNotEnoughBandwidth = 453 // trying again is harmless
+	statusNotEnoughBandwidth = 453 // refused; safe to retry
 	statusSessionNotFound    = 454
-	statusServiceUnavailable = 503 // trying again is harmless
+	statusServiceUnavailable = 503 // safe to retry
 	statusGatewayTimeout     = 504
 )
 
-// replyTo is an answer in the viewer's protocol.
+// toFinalAnswer translates an answer into RTSP.
 func toFinalAnswer(a core.Answer) finalAnswer {
 	switch a.Kind {
 	case core.Playing:
@@ -64,11 +65,11 @@
 	return finalAnswer{status: statusGatewayTimeout}
 }
 
-// Answered passes on the one answer. A viewer whose connection is over may ask for it on another one.
+// Answered sends the final answer. If the connection is closed, the viewer may ask for the answer on another one.
 func (s *session) Answered(a core.Answer) {
 	r := toFinalAnswer(a)
 	c, connLost, first := s.claimAnswer(r)
-	defer c.removeSetUp(s) // until the answer is in the outbox the connection waits for it, and is not closed for another
+	defer c.removeSetUp(s) // only once the answer is queued: until then the connection is not evicted
 	s.recordLateness(a)
 	if !first {
 		s.node.Log.Info("answer not sent: the viewer has left", "session", s.id, "answer", a.Kind.String())
@@ -82,32 +83,35 @@
 		c.addSessions(1)
 	}
 	if connLost {
-		s.node.Log.Info("answer kept: its connection is over", "session", s.id, "answer", a.Kind.String(), "connection", uint64(c.id))
+		s.node.Log.Info("answer cached: its connection is closed", "session", s.id, "answer", a.Kind.String(),
+			"connection", uint64(c.id))
 		return
 	}
 	if !c.out.enqueueAndWrite(s.appendAnswer(r)) {
 		s.node.nearMisses.answersUnsent.Add(1)
-		s.node.Log.Warn("answer not sent: its connection is over", "session", s.id, "answer", a.Kind.String(), "connection", uint64(c.id))
+		s.node.Log.Warn("answer not sent: its connection is closed", "session", s.id, "answer", a.Kind.String(),
+			"connection", uint64(c.id))
 		s.node.awaitResend(c, []*session{s})
 	}
 }
 
-// noteLateness counts an answer that comes in the last part of its time, and tells of one that comes behind it.
+// recordLateness counts an answer in the last tenth of its time or after its deadline, and logs the latter.
 func (s *session) recordLateness(a core.Answer) {
 	switch late := s.node.now() - s.deadline; {
 	case late > 0:
 		s.node.nearMisses.lateAnswers.Add(1)
-		s.node.Log.Warn("answer after its time", "session", s.id, "late", late, "answer", a.Kind.String(), "viewer left", s.isWithdrawn())
+		s.node.Log.Warn("answer after its deadline", "session", s.id, "late", late, "answer", a.Kind.String(),
+			"viewer left", s.isWithdrawn())
 	case late > -s.timeout/lateDivisor:
 		s.node.nearMisses.lateAnswers.Add(1)
 	}
 }
 
-// Rung concerns the server only.
+// Rung implements core.Listener. The viewer is not notified of bit-rate changes.
 func (s *session) Rung(int) {}
 
-// Ended releases a viewer whose session is over, unless it ended it itself. One that asks for its answer only now is told
-// that it failed.
+// Ended notifies the viewer that its session has ended, unless the viewer ended it itself. If the viewer resends the
+// set-up later, it gets a failure.
 func (s *session) Ended(o control.Outcome, moved bool) {
 	s.mu.Lock()
 	c, withdrawn, connLost, wasPlaying := s.conn, s.withdrawn, s.connLost, s.playing
@@ -122,55 +126,57 @@
 	if withdrawn || connLost || o == control.Cancelled && !moved {
 		return
 	}
-	s.node.viewerConns.notify(&notice{origin: c, id: s.id, uri: s.uri, moved: moved, cause: releaseCause(o == control.Served)})
+	s.node.viewerConns.notify(&notice{origin: c, id: s.id, uri: s.uri, moved: moved,
+		cause: releaseCause(o == control.Served)})
 }
 
-// Closed forgets it.
+// Closed removes the session from the node.
 func (s *session) Closed() { s.node.unregister(s) }
 
-// leave marks that the viewer wants it no more.
+// withdraw records that the viewer has ended the request or session.
 func (s *session) withdraw() {
 	s.mu.Lock()
 	s.withdrawn = true
 	s.mu.Unlock()
 }
 
-// holdFrom has no attempt begin any more from a time on: its viewer may have gone.
+// blockAttemptsFrom prevents attempts from a point in time on, because the viewer may have gone. An answer must still
+// be given.
 func (s *session) blockAttemptsFrom(from time.Duration) {
 	s.mu.Lock()
 	s.attemptsBlockedFrom = from
 	s.mu.Unlock()
 }
 
-// withdrawn tells whether the viewer ended it.
+// isWithdrawn reports whether the viewer has ended the request or session.
 func (s *session) isWithdrawn() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.withdrawn
 }
 
-// connection is the one that it belongs to.
+// currentConn returns the connection on which the set-up was last received.
 func (s *session) currentConn() *viewerConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conn
 }
 
-// answered tells whether its final answer was given.
+// isAnswered reports whether the final answer was decided.
 func (s *session) isAnswered() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.answered
 }
 
-// waits tells whether its answer is still owed.
+// awaitsAnswer reports whether the request is still to be answered.
 func (s *session) awaitsAnswer() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.withdrawn && !s.answered && !s.adopted
 }
 
-// mayBegin tells whether an attempt may begin for it.
+// mayBeginAttempt reports whether an attempt may start.
 func (s *session) mayBeginAttempt() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,7 +187,7 @@
 	return !s.withdrawn && (s.attemptsBlockedFrom == 0 || s.node.now() < s.attemptsBlockedFrom)
 }
 
-// beginAttempt tells whether an attempt may begin for it, and notes that it does.
+// beginAttempt reports whether an attempt may start and, if so, records that one was sent.
 func (s *session) beginAttempt() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,7 +195,7 @@
 	return s.mayBeginAttemptLocked()
 }
 
-// appendReply appends an answer to its set-up.
+// appendAnswer returns a function that appends the RTSP response to the set-up.
 func (s *session) appendAnswer(r finalAnswer) func([]byte) []byte {
 	s.mu.Lock()
 	cseq := s.cseq
@@ -199,9 +205,10 @@
 	}
 }
 
-// attrs appends the fields of its set-up at a server.
+// appendSetUpAttrs appends the attributes of the set-up message to a server.
 func (s *session) appendSetUpAttrs(attrs []string, timeLeft time.Duration, rung int) []string {
-	attrs = append(attrs, "class", s.className, "key", s.titleKey, "left", strconv.FormatInt(timeLeft.Milliseconds(), 10), "rung", formatRung(rung))
+	attrs = append(attrs, "class", s.className, "key", s.titleKey, "left", strconv.FormatInt(timeLeft.Milliseconds(), 10),
+		"rung", formatRung(rung))
 	if s.dedupeKey != "" {
 		attrs = append(attrs, "idem", s.dedupeKey)
 	}
--- a/internal/node/setup.go
+++ b/internal/node/setup.go
@@ -17,10 +17,10 @@
 	maxTimeout     = 10 * time.Minute
 	maxLengthHint  = 24 * time.Hour
 
-	maxDedupeKeyBytes = 256 // bytes of a viewer's key of repeats
+	maxDedupeKeyBytes = 256
 )
 
-// isID tells 16 hex digits.
+// isSessionID reports whether s consists of 16 lower-case hexadecimal digits.
 func isSessionID(s string) bool {
 	if len(s) != 16 {
 		return false
@@ -33,19 +33,20 @@
 	return true
 }
 
-// hexNumber is a number of up to 16 hex digits.
+// parseHex parses up to 16 hexadecimal digits.
 func parseHex(s string) (uint64, bool) {
 	v, err := strconv.ParseUint(s, 16, 64)
 	return v, err == nil && len(s) <= 16
 }
 
-// whole is a decimal from least to most.
+// parseIntInRange parses a decimal integer from lowest to highest.
 func parseIntInRange(s string, lowest, highest int) (int, bool) {
 	v, err := strconv.Atoi(s)
 	return v, err == nil && v >= lowest && v <= highest
 }
 
-// millis is a number of milliseconds from 0 to a longest time. Checked before any arithmetic: NaN is no number.
+// parseMillis parses a number of milliseconds from 0 to highest. The value, which may be NaN, is checked before any
+// arithmetic.
 func parseMillis(s string, highest time.Duration) (time.Duration, bool) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(v) || v < 0 || v > float64(highest.Milliseconds()) {
@@ -54,12 +55,14 @@
 	return time.Duration(v * float64(time.Millisecond)), true
 }
 
-// readSetUp reads a set-up that came at a time, or says what is wrong with it. Whatever an arithmetic rests on is bounded here.
+// parseSetUp parses a set-up that arrived at the given time, or returns the invalid part as problem. Every value that
+// is used in arithmetic later is checked against its bounds here.
 func (n *Node) parseSetUp(m *rtsp.Message, arrived time.Time) (r control.Request, s *session, problem string) {
-	s = &session{node: n, id: m.Get("Session"), uri: m.URI, cseq: m.Get("CSeq"), className: m.Get("X-Cos"), description: string(m.Body), receivedAt: n.now()}
+	s = &session{node: n, id: m.Get("Session"), uri: m.URI, cseq: m.Get("CSeq"), className: m.Get("X-Cos"),
+		description: string(m.Body), receivedAt: n.now()}
 	title, ok := strings.CutPrefix(m.URI, titleURIPrefix)
 	if !ok || !isSessionID(s.id) {
-		return r, nil, "no id or title"
+		return r, nil, "invalid session id or URI"
 	}
 	if r.Title, ok = parseHex(title); !ok {
 		return r, nil, "title"
@@ -120,7 +123,7 @@
 	return ""
 }
 
-// readLegs reads the figures of a request; keys that are not known are skipped.
+// parseLegs parses the key-value pairs of the X-Legs header; unknown keys are ignored.
 func (n *Node) parseLegs(legs string, r *control.Request) string {
 	set := &n.Config.Set
 	seen := 0
--- a/internal/node/setup_test.go
+++ b/internal/node/setup_test.go
@@ -10,8 +10,8 @@
 	"rainpulley/internal/rtsp"
 )
 
-// TestTenantAndDedupe: a viewer's tenant and key of repeats reach module and server; what names no tenant of the settings
-// is refused.
+// TestTenantAndDedupe checks that a viewer's tenant reaches the controller and its deduplication key reaches the
+// server, and that an unknown tenant is refused.
 func TestTenantAndDedupe(t *testing.T) {
 	b := newBox(t, "s-1", ready)
 	n := startGated(t, func(n *Node) { n.Config.Set.Tenants = []control.Tenant{{Name: "one"}, {Name: "two"}} }, b)
@@ -28,8 +28,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, _, wrong := n.parseSetUp(m, time.Now()); r.Tenant != 1 || wrong != "" {
-		t.Errorf("tenant %d, %s", r.Tenant, wrong)
+	if r, _, problem := n.parseSetUp(m, time.Now()); r.Tenant != 1 || problem != "" {
+		t.Errorf("tenant %d, %s", r.Tenant, problem)
 	}
 	v.say(setUp(idC, "free", "")).want(idC, 200)
 	if m := b.next(t, "open"); m.Attr("idem") != "" {
--- a/internal/node/timedreader.go
+++ b/internal/node/timedreader.go
@@ -8,29 +8,29 @@
 	"rainpulley/internal/socketerror"
 )
 
-// timedReader reads from a connection until a deadline that only counts while the process runs. Where the process stood
-// still, bytes may have come in time and wait in the socket's buffer although the deadline has passed: they are read
-// before the time-out is told. Errors of this machine that pass by themselves are not told either.
+// deadlineReader reads from a connection with a deadline that tolerates pauses of the whole process. During a pause,
+// bytes may have arrived in time and wait in the socket buffer although the deadline has passed; they are read before
+// the timeout is reported. Transient errors of this machine are not reported either.
 type deadlineReader struct {
 	conn net.Conn
 
 	mu       sync.Mutex
-	deadline time.Time // zero: none
-	inGrace  bool      // the deadline has passed, and what was there already is still read
+	deadline time.Time // zero: no deadline
+	inGrace  bool      // the deadline has passed; only bytes that are already buffered are still read
 }
 
 const (
-	// lateReadGrace is how long a reader reads on behind its deadline for what was there already.
+	// lateReadGrace is how long a read after the deadline may take to return bytes that are already buffered.
 	lateReadGrace = 50 * time.Millisecond
-	// promptExpiry is how late a reader that ran all the time hears of its deadline at most.
+	// maxExpiryDelay is how late, at most, a process that was not paused notices an expired deadline.
 	maxExpiryDelay = 50 * time.Millisecond
-	// retryPause is the time between two tries of a call that this machine could not make.
+	// localRetryDelay is the delay before retrying a call that failed with a transient error of this machine.
 	localRetryDelay = 5 * time.Millisecond
-	// maxLocalTrouble is how long a call is tried again.
+	// maxLocalErrorTime is how long such a call is retried.
 	maxLocalErrorTime = 3 * time.Second
 )
 
-// setDeadline bounds reads from now on; zero: no bound. It may be called while a read waits.
+// setDeadline sets the read deadline; zero means none. It may be called while a read is blocked.
 func (r *deadlineReader) setDeadline(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,12 +65,12 @@
 	}
 }
 
-// readOn gives a read whose deadline has passed a short grace, and another one where the process was late to
-// notice the end of it. It tells whether to read on.
+// extendExpired grants a short grace period to a read whose deadline has passed, and another one if the process was
+// late to notice the end of the first. It reports whether to continue reading.
 func (r *deadlineReader) extendExpired(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.deadline.IsZero() || now.Before(r.deadline) { // the deadline was moved while the read failed
+	if r.deadline.IsZero() || now.Before(r.deadline) { // the deadline was changed while the read failed
 		return true
 	}
 	if r.inGrace && now.Sub(r.deadline) < maxExpiryDelay {
--- a/internal/node/viewer.go
+++ b/internal/node/viewer.go
@@ -14,59 +14,59 @@
 	"rainpulley/internal/socketerror"
 )
 
-// viewer is one connection of a viewer, or of many: sessions share it.
+// viewerConn is one RTSP connection from viewers. Several viewers may share it, and sessions are not bound to it.
 type viewerConn struct {
 	node       *Node
 	id         delivery.ConnectionID
 	conn       net.Conn
 	in         deadlineReader
 	out        writeQueue
-	remoteHost string // address without port
+	remoteHost string // remote address without the port
 	openedAt   time.Time
 
-	earliestArrival time.Time // when the message in hand may have come at the earliest; of the reading goroutine
+	earliestArrival time.Time // earliest possible arrival of the current message; used by the reading goroutine only
 
 	mu                 sync.Mutex
-	receivedMessage    bool                // a whole message came
-	messageStarted     bool                // a message has begun and is not whole yet
+	receivedMessage    bool                // at least one complete message was received
+	messageStarted     bool                // a message was received in part
 	handlingMessage    bool                // a message is being handled
-	lastUsed           time.Time           // of the last message
-	openSetUps         map[string]*session // set-ups that wait for their answer
-	sessionCount       int                 // sessions that began here and stand
-	draining           bool                // no message is taken any more; the connection ends when the last open set-up is answered
-	halfClosedByViewer bool                // the viewer has shut down its writing half
+	lastUsed           time.Time           // when the last message was received
+	openSetUps         map[string]*session // set-ups still to be answered, by session id
+	sessionCount       int                 // active sessions that were set up on this connection
+	draining           bool                // no more messages are handled; closes once no set-up is open
+	halfClosedByViewer bool                // the viewer has closed its write side
 	closed             bool
 
-	drained chan struct{} // closed when the connection drains and no set-up is open
-	done    chan struct{} // closed when it is over
+	drained chan struct{} // closed when the connection is draining and no set-up is open
+	done    chan struct{} // closed when the connection is closed
 }
 
-// newViewer returns a connection that nothing was read on yet.
+// newViewerConn returns a connection from which nothing has been read yet.
 func newViewerConn(n *Node, conn net.Conn, now time.Time) *viewerConn {
 	host, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
-	c := &viewerConn{node: n, conn: conn, remoteHost: host, openedAt: now, lastUsed: now, openSetUps: map[string]*session{},
-		drained: make(chan struct{}), done: make(chan struct{})}
+	c := &viewerConn{node: n, conn: conn, remoteHost: host, openedAt: now, lastUsed: now,
+		openSetUps: map[string]*session{}, drained: make(chan struct{}), done: make(chan struct{})}
 	c.in.conn = conn
 	c.out.conn, c.out.onError = conn, c.handleWriteError
 	return c
 }
 
 const (
-	firstMessageTimeout = 2500 * time.Millisecond // the first message has come by then: silence is told apart from slowness
-	messageTimeout      = 2500 * time.Millisecond // any message that has begun
-	discardTimeout      = 2 * time.Second         // what a refused peer still sends is read so long (RFC 9112, section 9.6)
-	maxDiscardedBytes   = 96 << 20                // and at most so many bytes of it
-	maxOpenSetUps       = maxQueuedRequests       // set-ups of one connection that wait for their answer
+	firstMessageTimeout = 2500 * time.Millisecond // connect to first whole message; separates silent from slow peers
+	messageTimeout      = 2500 * time.Millisecond // from the first byte to the end of a later message
+	discardTimeout      = 2 * time.Second         // for discarding input of a refused peer (RFC 9112, section 9.6)
+	maxDiscardedBytes   = 96 << 20                // of that input
+	maxOpenSetUps       = maxQueuedRequests       // set-ups of one connection that are still to be answered
 )
 
-// read takes what a viewer says until the connection ends.
+// serve handles messages until the connection ends.
 func (c *viewerConn) serve() {
 	reason := c.readMessages()
 	c.drain(reason)
 	c.close(reason)
 }
 
-// readMessages takes messages and returns why there are no more.
+// readMessages reads and handles messages. It returns why it stopped.
 func (c *viewerConn) readMessages() closeReason {
 	reader := rtsp.NewReader(bufio.NewReaderSize(&c.in, 4<<10))
 	c.in.setDeadline(c.openedAt.Add(firstMessageTimeout))
@@ -100,7 +100,8 @@
 	}
 }
 
-// messageBegins bounds the time for a message whose first byte has come. The first one is bounded already.
+// markMessageStarted sets the read deadline of a message whose first byte was received. The first message of a
+// connection already has one.
 func (c *viewerConn) markMessageStarted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// messageRead notes that a message is whole and about to be handled. It tells whether it was the first one.
+// markMessageReceived records that a complete message was received and reports whether it was the first one.
 func (c *viewerConn) markMessageReceived() (first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,7 +122,7 @@
 
 func (c *viewerConn) handleMessage(m *rtsp.Message) {
 	switch m.Method {
-	case "": // an answer to a notice
+	case "": // the response to a notice
 		c.node.viewerConns.confirmNotice(c.remoteHost, m.Get("Session"))
 	case "SETUP":
 		c.handleSetUp(m)
@@ -140,12 +141,13 @@
 	})
 }
 
-// setUp hands a set-up to the owner. One under an id that is open is refused without touching that one; the
-// refusal names no session, so that it cannot pass for the open one's answer.
+// handleSetUp submits a set-up request. A duplicate of an open session id is refused without affecting the open
+// request; the refusal carries no session id, so that it cannot be taken for the open request's answer.
 func (c *viewerConn) handleSetUp(m *rtsp.Message) {
 	r, s, problem := c.node.parseSetUp(m, c.earliestArrival)
 	if s == nil {
-		c.node.Log.Info("set-up refused", "session", m.Get("Session"), "status", statusBadRequest, "why", problem, "connection", uint64(c.id))
+		c.node.Log.Info("set-up refused", "session", m.Get("Session"), "status", statusBadRequest, "why", problem,
+			"connection", uint64(c.id))
 		c.respond(m, statusBadRequest)
 		return
 	}
@@ -177,16 +179,19 @@
 		c.openSetUps[s.id] = s
 	}
 	c.mu.Unlock()
-	if shuttingDown := c.node.viewerConns.shuttingDown.Load(); tooMany || shuttingDown || !c.node.orchestrator.Submit(r, s) {
-		c.node.Log.Info("set-up refused", "session", s.id, "status", statusServiceUnavailable, "waiting", c.openSetUpCount(), "leaving", shuttingDown, "connection", uint64(c.id))
+	if shuttingDown := c.node.viewerConns.shuttingDown.Load(); tooMany || shuttingDown ||
+		!c.node.orchestrator.Submit(r, s) {
+		c.node.Log.Info("set-up refused", "session", s.id, "status", statusServiceUnavailable,
+			"waiting", c.openSetUpCount(), "leaving", shuttingDown, "connection", uint64(c.id))
 		c.node.unregister(s)
 		c.respond(m, statusServiceUnavailable)
 		c.removeSetUp(s)
 	}
 }
 
-// refuseRepeat answers a set-up under an id that is open, but asks for something else or comes on the same connection.
-// The refusal names no session, so that it cannot pass for the open one's answer, unless that one's viewer has left.
+// refuseDuplicate refuses a set-up under an open session id that differs from the open request or came on the same
+// connection. The refusal carries no session id, so that it cannot be taken for the open request's answer, unless the
+// viewer of the open request has left.
 func (c *viewerConn) refuseDuplicate(s, existing *session) {
 	status, id := statusBadRequest, ""
 	if existing.isWithdrawn() {
@@ -198,7 +203,7 @@
 	})
 }
 
-// logRepeat tells what became of a set-up under an id that is open, and how the open one stands.
+// logDuplicate logs that a set-up under an open session id was refused, with the state of the open request.
 func (c *viewerConn) logDuplicate(s, existing *session, status int) {
 	existingConn := existing.currentConn()
 	if existingConn != c {
@@ -208,18 +213,20 @@
 		return
 	}
 	c.node.Log.Info("set-up refused", "session", s.id, "status", status, "why", "id is open", "connection", uint64(c.id),
-		"same description", s.description == existing.description, "open since", c.node.now()-existing.receivedAt, "open on", uint64(existingConn.id),
-		"that connection", existingConn.phase().String(), "viewer left", existing.isWithdrawn(), "answered", existing.isAnswered())
+		"same description", s.description == existing.description,
+		"open since", c.node.now()-existing.receivedAt, "open on", uint64(existingConn.id),
+		"that connection", existingConn.phase().String(), "viewer left", existing.isWithdrawn(),
+		"answered", existing.isAnswered())
 }
 
-// waiting is the number of set-ups that wait for their answer.
+// openSetUpCount returns the number of set-ups that are still to be answered.
 func (c *viewerConn) openSetUpCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.openSetUps)
 }
 
-// answered takes a set-up off the connection, which ends with the last one if it drains.
+// removeSetUp removes a set-up from the connection. If the connection is draining, it ends with its last set-up.
 func (c *viewerConn) removeSetUp(s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -227,15 +234,15 @@
 	c.finishIfDrained()
 }
 
-// stand counts sessions that began here and stand.
+// addSessions adds n to the number of active sessions that were set up on this connection.
 func (c *viewerConn) addSessions(n int) {
 	c.mu.Lock()
 	c.sessionCount += n
 	c.mu.Unlock()
 }
 
-// tearDown ends a session, or a set-up that waits, on whatever connection it began. A set-up that waits on another
-// connection is answered there: whoever waits on that one may not know who ended it.
+// handleTearDown ends a session or a pending set-up, whichever connection it was requested on. A set-up pending on
+// another connection is answered there, since the viewer that waits on it may not be the one that sent the TEARDOWN.
 func (c *viewerConn) handleTearDown(m *rtsp.Message) {
 	s := c.node.findSession(m.Get("Session"))
 	if s == nil {
@@ -256,11 +263,12 @@
 	c.respond(m, statusOK)
 }
 
-// logTearDown tells who ended a session or a request that waited.
+// logTearDown logs which connection ended a session or a pending set-up.
 func (c *viewerConn) logTearDown(s *session, conn *viewerConn, wasWaiting bool) {
 	level := slog.LevelDebug
 	if wasWaiting {
 		level = slog.LevelInfo
 	}
-	c.node.Log.Log(context.Background(), level, "viewer ends", "session", s.id, "connection", uint64(c.id), "began on", uint64(conn.id), "waited", wasWaiting)
+	c.node.Log.Log(context.Background(), level, "session torn down by viewer", "session", s.id,
+		"connection", uint64(c.id), "began on", uint64(conn.id), "waited", wasWaiting)
 }
--- a/internal/node/viewers.go
+++ b/internal/node/viewers.go
@@ -13,34 +13,35 @@
 	"rainpulley/internal/socketerror"
 )
 
-// viewers are the connections that viewers opened.
+// viewerConns manages the open viewer connections.
 type viewerConns struct {
 	node               *Node
-	maxConnections     int // beyond it the connection least missed is closed for each new one
-	reserveConnections int // so many more may be open where all wait for their answers
+	maxConnections     int // above it, an idle connection is evicted for each new one
+	reserveConnections int // further connections allowed while every open one awaits an answer
 
 	mu             sync.Mutex
 	conns          map[*viewerConn]struct{}
-	lastConnID     delivery.ConnectionID                 // the last connection's
-	pendingNotices map[string]*delivery.Pending[*notice] // that viewers may not have been told, by their address
+	lastConnID     delivery.ConnectionID                 // id of the newest connection
+	pendingNotices map[string]*delivery.Pending[*notice] // notices not confirmed yet, by viewer address
 	closed         bool
 
-	shuttingDown atomic.Bool // no further set-up is taken: its answer is a refusal at once
+	shuttingDown atomic.Bool // new set-ups are refused at once
 }
 
 const (
-	reserveDivisor     = 8                     // of the budget of connections: an eighth
-	acceptRetryDelay   = 5 * time.Millisecond  // after a connection that could not be taken
-	backlogIdleTimeout = 20 * time.Millisecond // connections that are up already when the node stops listening are taken
-	finalReadTimeout   = 60 * time.Millisecond // viewers' last words are read so long: unread bytes at a close destroy answers
+	reserveDivisor     = 8                     // the reserve is an eighth of maxConnections
+	acceptRetryDelay   = 5 * time.Millisecond  // after a failed accept, and between checks for capacity
+	backlogIdleTimeout = 20 * time.Millisecond // accept timeout while the backlog is emptied at shutdown
+	finalReadTimeout   = 60 * time.Millisecond // last reads before close: a close with unread bytes destroys answers
 )
 
 func newViewerConns(n *Node, maxConnections int) *viewerConns {
-	return &viewerConns{node: n, maxConnections: maxConnections, reserveConnections: maxConnections / reserveDivisor, conns: map[*viewerConn]struct{}{}, pendingNotices: map[string]*delivery.Pending[*notice]{}}
+	return &viewerConns{node: n, maxConnections: maxConnections, reserveConnections: maxConnections / reserveDivisor,
+		conns: map[*viewerConn]struct{}{}, pendingNotices: map[string]*delivery.Pending[*notice]{}}
 }
 
-// serve takes connections until the listener closes, or until none has come for a while when the node leaves: a
-// connection that is up already has been taken by this machine, and what it asks is owed an answer.
+// serve accepts connections until the listener is closed. At shutdown it first empties the backlog, until no connection
+// was accepted for a while: the kernel has already established those connections, so their requests must be answered.
 func (v *viewerConns) serve(l net.Listener) {
 	drainingBacklog := false
 	for {
@@ -50,15 +51,15 @@
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded) && drainingBacklog:
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded): // from now on each accept takes its time, on a busy core too
+		case errors.Is(err, os.ErrDeadlineExceeded): // each later accept gets a full timeout, even on a busy core
 			drainingBacklog = true
 			_ = setAcceptDeadline(l, backlogIdleTimeout)
 			continue
-		case err != nil: // the peer has gone already, or no descriptor is left: then one is freed, or waited for
+		case err != nil: // the peer has already gone, or no descriptor is available: evict a connection or wait
 			v.node.nearMisses.localErrors.Add(1)
 			verdict := socketerror.Classify(err, socketerror.Accept)
 			v.node.Log.Info("connection not accepted", "error", err, "verdict", verdict.String())
-			if verdict == socketerror.LocalDescriptorLimit { // only this one is helped by closing a connection of this process
+			if verdict == socketerror.LocalDescriptorLimit { // the only error that closing a connection here can remedy
 				v.evict(time.Now())
 			}
 			time.Sleep(acceptRetryDelay)
@@ -71,7 +72,7 @@
 	}
 }
 
-// stopListening has serve end. A listener that knows no deadlines closes at once.
+// stopListening makes serve return once the backlog is empty. A listener without deadlines is closed at once.
 func (v *viewerConns) stopListening(l net.Listener) {
 	if setAcceptDeadline(l, 0) != nil {
 		_ = l.Close()
@@ -86,10 +87,10 @@
 	return t.SetDeadline(time.Now().Add(timeout))
 }
 
-// take begins to serve a connection. Over the budget the one least missed is closed for it: who has said
-// nothing for a while, then who waits for nothing, the oldest first. Harm: who connects and speaks late is closed
-// in a crowd. A connection that has just come up is spared as long as there is another: its request is on the way,
-// and would fail with it (seen on days when viewers hold their connections for good).
+// serveConn starts to serve a connection. Above the limit another one is evicted: first those that have sent nothing
+// for a while, then those without a pending request, the oldest first. Trade-off: in a crowd, viewers that connect and
+// send late are closed. A new connection is spared while there is another candidate: its first request is on the way
+// and would be lost (seen on days when viewers keep their connections open permanently).
 func (v *viewerConns) serveConn(conn net.Conn) {
 	now := time.Now()
 	c := newViewerConn(v.node, conn, now)
@@ -109,9 +110,9 @@
 	v.node.startGoroutine(c.serve)
 }
 
-// makeRoom returns when one more connection may be open. Where all others wait for their answers it may be one beyond the
-// budget, and beyond the reserve it waits for an answer: requests whose connections are not taken yet wait in the backlog
-// meanwhile, which loses none of them. At the end of the node it does not wait: all are answered then.
+// awaitCapacity returns when one more connection may be opened. If all others await answers, the limit may be exceeded
+// by the reserve; beyond that it waits until a request is answered. Requests on connections that are not accepted yet
+// stay in the backlog meanwhile, and none is lost. The wait ends at shutdown, because all requests are answered then.
 func (v *viewerConns) awaitCapacity() {
 	hasCapacity := func() bool {
 		v.mu.Lock()
@@ -125,8 +126,8 @@
 	}
 }
 
-// closeAll ends all connections and takes no further one. Writing halves go first, and what viewers still send is read
-// for a moment: closing with unread bytes resets the connection, and an answer just written could be lost with it.
+// closeAll closes all connections and refuses new ones. It closes the write sides first and keeps reading for a moment:
+// closing a socket with unread bytes resets the connection, which could destroy an answer that was just written.
 func (v *viewerConns) closeAll() {
 	v.mu.Lock()
 	v.closed = true
@@ -138,7 +139,9 @@
 	for _, c := range conns {
 		c.out.closeAfterFlush()
 	}
-	pollUntil(flushTimeout, func() bool { return !slices.ContainsFunc(conns, func(c *viewerConn) bool { return c.out.isWriting() }) })
+	pollUntil(flushTimeout, func() bool {
+		return !slices.ContainsFunc(conns, func(c *viewerConn) bool { return c.out.isWriting() })
+	})
 	pollUntil(finalReadTimeout, func() bool {
 		v.mu.Lock()
 		defer v.mu.Unlock()
@@ -149,7 +152,7 @@
 	}
 }
 
-// within waits until something holds, for a time at most.
+// pollUntil polls condition until it holds or the timeout has passed.
 func pollUntil(timeout time.Duration, condition func() bool) {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && !condition(); {
 		time.Sleep(time.Millisecond)
--- a/internal/node/withdrawal_test.go
+++ b/internal/node/withdrawal_test.go
@@ -5,29 +5,29 @@
 	"testing"
 )
 
-// heardNothing checks that a server was sent no set-up of an id so far; a later one, of another viewer, is the mark.
+// wantNoSetUp checks that a server has received no set-up with an id so far, by sending a later one of another viewer.
 func (r *rig) wantNoSetUp(b *box, id string) {
 	r.t.Helper()
-	mark := "00000000000000ff"
-	v := r.dial().say(setUp(mark, "free", ""))
+	marker := "00000000000000ff"
+	v := r.dial().say(setUp(marker, "free", ""))
 	for {
 		m := b.next(r.t, "open")
 		if m.ID == id {
-			r.t.Fatalf("%s was sent on though its viewer had left", id)
+			r.t.Fatalf("%s was sent to the server although its viewer had left", id)
 		}
-		if m.ID == mark {
+		if m.ID == marker {
 			ready(m)
-			v.want(mark, 200)
-			v.say(tearDown(mark))
+			v.want(marker, 200)
+			v.say(tearDown(marker))
 			return
 		}
 	}
 }
 
-// halfClose is the way of leaving after which the viewer may still read.
+// halfClose is the withdrawal after which the viewer may still read.
 const halfClose = "half close"
 
-// withdrawals are the ways in which a viewer that waits can go.
+// withdrawals are the ways in which a viewer can leave before its answer.
 var withdrawals = map[string]func(r *rig, v *dialogue){
 	"close":                          func(_ *rig, v *dialogue) { _ = v.Close() },
 	halfClose:                        func(_ *rig, v *dialogue) { _ = v.Conn.(*net.TCPConn).CloseWrite() },
@@ -41,8 +41,9 @@
 	return func() bool { return !s.mayBeginAttempt() }
 }
 
-// TestViewerGoneWhileDialling: a viewer that leaves while its server's connection comes up is never sent on, though the
-// owner does not get to hear of it in time; one that leaves just after is taken back at the server.
+// TestViewerLeavesWhileDialing has a viewer leave while the connection to its server is being established, with the
+// orchestrator blocked: the set-up must not be sent. If the viewer leaves just after it was sent, it is given up at the
+// server.
 func TestViewerLeavesWhileDialing(t *testing.T) {
 	for name, leave := range withdrawals {
 		t.Run(name, func(t *testing.T) {
@@ -50,39 +51,39 @@
 			n := startGated(t, func(n *Node) { n.Dial = gatedDial(g) }, b)
 			v := n.dial().say(setUp(idA, "paid", ""))
 			g.wait(t)
-			gone, letGo := n.attemptsBlocked(idA), n.holdOwner()
+			gone, unblock := n.attemptsBlocked(idA), n.holdOwner()
 			leave(n, v)
-			eventually(t, "the viewer seen to leave", gone)
+			eventually(t, "the viewer's leaving noticed", gone)
 			close(g.open)
-			eventually(t, "the attempt over", func() bool {
+			eventually(t, "the attempt ended", func() bool {
 				n.pool.mu.Lock()
 				defer n.pool.mu.Unlock()
 				return len(n.pool.servers["s-1"].idleConns) == 1
 			})
-			letGo()
+			unblock()
 			n.wantNoSetUp(b, idA)
 			n.agree(0)
 
-			v = n.dial().say(setUp(idA, "paid", "")) // the other order
+			v = n.dial().say(setUp(idA, "paid", "")) // now the viewer leaves after the set-up was sent
 			m := b.next(t, "open")
 			leave(n, v)
-			if name == halfClose { // it may still read, and what is out for it goes on
+			if name == halfClose { // the viewer may still read, and the pending attempt continues
 				ready(m)
 				if got := v.answerThenEOF(idA); got != 200 {
-					t.Errorf("answered %d", got)
+					t.Errorf("answer status %d", got)
 				}
 				n.agree(1)
 				return
 			}
 			if c := b.next(t, "close"); c.ID != m.ID {
-				t.Errorf("%+v", c.Message)
+				t.Errorf("close for another session: %+v", c.Message)
 			}
 			n.agree(0)
 		})
 	}
 }
 
-// TestViewerGoneAtAdmission: the same where a connection rests and only the last look is left.
+// TestViewerLeavesAtAdmission does the same on an idle connection, just before the last check of the set-up.
 func TestViewerLeavesAtAdmission(t *testing.T) {
 	for name, leave := range withdrawals {
 		t.Run(name, func(t *testing.T) {
@@ -97,19 +98,19 @@
 			n.openIdleConn(b)
 			v := n.dial().say(setUp(idA, "free", ""))
 			g.wait(t)
-			gone, letGo := n.attemptsBlocked(idA), n.holdOwner()
+			gone, unblock := n.attemptsBlocked(idA), n.holdOwner()
 			leave(n, v)
-			eventually(t, "the viewer seen to leave", gone)
+			eventually(t, "the viewer's leaving noticed", gone)
 			close(g.open)
-			letGo()
+			unblock()
 			n.agree(0)
 			n.wantNoSetUp(b, idA)
 		})
 	}
 }
 
-// TestNoRetryForTheGone: a first attempt fails as its viewer leaves; the owner hears of the failure first and the module
-// orders another attempt, which must not go out.
+// TestNoRetryAfterViewerLeft fails a first attempt as its viewer leaves. The orchestrator handles the failure first and
+// the controller orders another attempt, which must not be sent.
 func TestNoRetryAfterViewerLeft(t *testing.T) {
 	a, b := newBox(t, "s-1", nil), newBox(t, "s-2", nil)
 	n := startNode(t, a, b)
@@ -123,20 +124,20 @@
 	case m = <-b.heard:
 		first, other = b, a
 	}
-	gone, letGo := n.attemptsBlocked(idA), n.holdOwner()
+	gone, unblock := n.attemptsBlocked(idA), n.holdOwner()
 	m.on.say(`{"msg":"close","sid":%q,"code":47}`, idA)
-	eventually(t, "the failure taken", func() bool {
+	eventually(t, "the failure handled", func() bool {
 		n.pool.mu.Lock()
 		defer n.pool.mu.Unlock()
 		return len(n.pool.servers[first.id].idleConns) == 1
 	})
 	_ = v.Close()
-	eventually(t, "the viewer seen to leave", gone)
-	letGo()
+	eventually(t, "the viewer's leaving noticed", gone)
+	unblock()
 	n.agree(0)
 	select {
 	case m := <-other.heard:
-		t.Errorf("sent again for nobody: %+v", m.Message)
+		t.Errorf("sent again although the viewer had left: %+v", m.Message)
 	default:
 	}
 }
