--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -11,17 +11,17 @@
 	"rainpulley/internal/jsonlines"
 )
 
-// admission is what was found ahead of a set-up's first byte.
+// admissionResult is the result of the last check before a set-up's first byte is written.
 type admissionResult int
 
 const (
 	admitted         admissionResult = iota
-	connectionClosed                 // the connection is over, and nothing was written on it
-	notWanted                        // its viewer has left, its time is up or its server takes no more: it is not sent any more
+	connectionClosed                 // the connection ended before anything was written on it
+	notWanted                        // its viewer has left, its time is up or its server accepts no set-ups: it is not sent
 )
 
-// SetUp asks a server to start a session. A connection that was closed while it rested is no attempt: another one is
-// taken, since nothing was written.
+// SetUp asks a server to start a session. If the idle connection chosen for it turns out to be closed, nothing was
+// written and no attempt was made: SetUp takes another connection.
 func (p *pool) SetUp(ctx context.Context, a core.Attempt) core.Result {
 	viewerSession, ok := a.Listener.(*session)
 	p.mu.Lock()
@@ -33,7 +33,7 @@
 	for {
 		l, err := p.acquireWithRetry(ctx, s)
 		if err != nil {
-			p.node.Log.Info("no connection", "session", a.ID, "server", a.Server, "error", err)
+			p.node.Log.Info("no connection to server", "session", a.ID, "server", a.Server, "error", err)
 			return core.Result{Outcome: connectOutcome(ctx, err)}
 		}
 		reused := l.lastUsed > 0
@@ -49,7 +49,7 @@
 			if reused {
 				continue
 			}
-			return core.Result{Outcome: control.ConnectFailed} // its process ended just behind the accept
+			return core.Result{Outcome: control.ConnectFailed} // the server's process ended just after accepting the connection
 		}
 		var attrs [10]string
 		l.send(jsonlines.TypeOpen, a.ID, viewerSession.appendSetUpAttrs(attrs[:0], p.node.timeLeft(ctx), a.Rung), -1, viewerSession.description)
@@ -63,8 +63,8 @@
 	}
 }
 
-// takePatiently takes a link, and tries again for as long as a connection may take to come up where this machine cannot
-// make one for a moment.
+// acquireWithRetry acquires a connection. While local errors prevent it, it tries again for up to the time allowed for
+// connecting.
 func (p *pool) acquireWithRetry(ctx context.Context, s *server) (*serverConn, error) {
 	for deadline := time.Now().Add(p.node.Config.Platform.ConnectTimeout); ; {
 		l, err := p.acquire(ctx, s)
@@ -79,11 +79,12 @@
 	}
 }
 
-// localRetryInterval is the time between two tries to connect where this machine cannot.
+// localRetryInterval is the time between two attempts to connect that fail with local errors.
 const localRetryInterval = 20 * time.Millisecond
 
-// admit puts a set-up on a link if it may still go. What waited for its connection may be wanted no more: the
-// viewer's own mark is looked at, since its leave may still be queued for the owner behind hundreds of requests.
+// admit assigns a connection to a set-up if the set-up may still be sent. Its viewer may have withdrawn while it
+// waited for the connection. This is read from the session itself, since the orchestrator may not have handled the
+// withdrawal yet: hundreds of requests may be queued before it.
 func (p *pool) admit(ctx context.Context, l *serverConn, id string, viewerSession *session) admissionResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,12 +98,13 @@
 	}
 	l.activeID, l.lastActivity = id, p.node.now()
 	l.setUpPending.Store(true)
-	l.server.pendingReleases.Confirm(id) // of an earlier attempt: said again, it would end this one
+	l.server.pendingReleases.Confirm(id) // drops a release of an earlier attempt: sent again, it would end this one
 	return admitted
 }
 
-// notConnected tells what a connection that did not come up says of its server. Nothing, where the viewer withdrew
-// meanwhile or this node has no descriptor left: hundreds of withdrawn set-ups must not make a healthy server suspect.
+// connectOutcome returns the outcome of an attempt whose connection could not be established. It is NotSent if the
+// viewer withdrew meanwhile or this node has no descriptor left: hundreds of withdrawn set-ups must not make a healthy
+// server look faulty.
 func connectOutcome(ctx context.Context, err error) control.Outcome {
 	if errors.Is(err, errNoSlot) || errors.Is(err, errLocal) || errors.Is(err, errServerChanged) || errors.Is(ctx.Err(), context.Canceled) {
 		return control.NotSent
@@ -110,13 +112,13 @@
 	return control.ConnectFailed
 }
 
-// giveUp takes a set-up back. A server that kept silent until the time was up gets no further set-up on that
-// connection: late answers would come between.
+// giveUp cancels a set-up at its server. If the server did not answer in time, the connection is retired, since a late
+// answer would arrive among the messages of the next set-up.
 func (p *pool) giveUp(ctx context.Context, l *serverConn, a core.Attempt) core.Result {
 	p.mu.Lock()
 	var r core.Result
 	select {
-	case r = <-l.results: // the answer crossed
+	case r = <-l.results: // the answer arrived just before
 		p.mu.Unlock()
 		p.putBack(l)
 		return r
@@ -135,8 +137,8 @@
 	if !timedOut {
 		p.putBack(l)
 	}
-	return core.Result{Outcome: control.Reset} // core puts in why it was given up
+	return core.Result{Outcome: control.Reset} // core replaces the outcome with the reason for giving up
 }
 
-// rungAttr is a rung as fields are written.
+// formatRung formats a rung as an attribute value.
 func formatRung(rung int) string { return strconv.Itoa(rung) }
--- a/internal/node/clocks_test.go
+++ b/internal/node/clocks_test.go
@@ -9,10 +9,10 @@
 	"rainpulley/internal/coordinator"
 )
 
-// clockErrors are how far a machine's wall clock may be from another's.
+// clockOffsets are offsets of this node's wall clock from the coordinator's.
 var clockOffsets = []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour}
 
-// ageOf is how long ago a server started, as far as the node knows.
+// serverAge returns how long ago a server started according to the node, if known.
 func (r *rig) serverAge(id string) (age time.Duration, known bool) {
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
@@ -23,16 +23,16 @@
 	return r.now() - s.started, true
 }
 
-// started is a server that came into service a while ago, by the coordinator's clock.
+// entryStartedAgo returns a list entry for a server that started a given time ago by the coordinator's clock.
 func (b *box) entryStartedAgo(ago time.Duration) coordinator.Entry {
 	e := b.entry("up")
 	e.StartedMillis = time.Now().Add(-ago).UnixMilli()
 	return e
 }
 
-// TestAgeWhateverClocksSay: the age of a server that is told of as new does not depend on this node's wall clock: it is
-// cold when it is told of, also where this machine thinks that it started an hour ago or will start in an hour. It ages,
-// and a list that names it again changes nothing.
+// TestServerAgeIgnoresClockOffset checks that the age of a newly listed server does not depend on this node's wall
+// clock. The server counts as just started even if, by this node's clock, it started an hour ago or will start in an
+// hour. Its age then grows with time, and a later list entry for it does not reset the age.
 func TestServerAgeIgnoresClockOffset(t *testing.T) {
 	for _, offset := range clockOffsets {
 		t.Run(fmt.Sprint(offset), func(t *testing.T) {
@@ -42,27 +42,27 @@
 			entry := fresh.entryStartedAgo(200 * time.Millisecond)
 			n.feed.push(entry)
 			var age time.Duration
-			eventually(t, "told", func() bool { var known bool; age, known = n.serverAge("s-2"); return known })
+			eventually(t, "the server listed", func() bool { var known bool; age, known = n.serverAge("s-2"); return known })
 			if age < 0 || age > 1500*time.Millisecond {
-				t.Errorf("told of as %v old", age)
+				t.Errorf("age %v of a server just listed", age)
 			}
 			entry.State = "draining"
 			n.feed.push(entry)
-			eventually(t, "draining", func() bool {
+			eventually(t, "the server draining", func() bool {
 				n.pool.mu.Lock()
 				defer n.pool.mu.Unlock()
 				return n.pool.servers["s-2"].state == control.Draining
 			})
-			again, _ := n.serverAge("s-2")
-			if again < age || again > age+2*time.Second {
-				t.Errorf("%v old, then %v", age, again)
+			later, _ := n.serverAge("s-2")
+			if later < age || later > age+2*time.Second {
+				t.Errorf("age %v, then %v", age, later)
 			}
 		})
 	}
 }
 
-// TestAgeOfKnownServers: of the servers that a node is told of at its start, one that started long before another is as
-// old as that at least, and the last one may have started just now, whatever the clocks say.
+// TestKnownServerAgesIgnoreClockOffset checks the ages of servers in the list that a node has at its start, for any
+// clock offset: differences in age are kept, and the server that started last counts as just started.
 func TestKnownServerAgesIgnoreClockOffset(t *testing.T) {
 	for _, offset := range clockOffsets {
 		t.Run(fmt.Sprint(offset), func(t *testing.T) {
@@ -72,10 +72,10 @@
 			firstAge, _ := n.serverAge("s-1")
 			lastAge, _ := n.serverAge("s-2")
 			if lastAge < 0 || lastAge > time.Second {
-				t.Errorf("the last one is told of as %v old", lastAge)
+				t.Errorf("age %v of the server that started last", lastAge)
 			}
 			if gap := firstAge - lastAge; gap < 59*time.Second || gap > 61*time.Second {
-				t.Errorf("the first one is told of as %v older than the last", gap)
+				t.Errorf("age difference %v between the first and the last server, want about 1m", gap)
 			}
 		})
 	}
--- a/internal/node/clockwatch.go
+++ b/internal/node/clockwatch.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// clockInterval is the time between two samples of the clocks.
+	// clockSampleInterval is the time between two samples of the clocks.
 	clockSampleInterval = 100 * time.Millisecond
-	// pauseThreshold is how late a sample has to be to count as a pause of the whole process.
+	// pauseThreshold is the delay of a sample that counts as a pause of the whole process.
 	pauseThreshold = 150 * time.Millisecond
-	// clockStepThreshold is how far the wall clock has to leave the monotonic one between two samples to count as stepped.
+	// clockStepThreshold is the difference between the time passed on the wall clock and on the monotonic clock from
+	// one sample to the next that counts as a step of the wall clock.
 	clockStepThreshold = 250 * time.Millisecond
-	// catchUp is how long after a pause what came during it may still be read.
+	// pauseCatchUpTime is how long after a pause data that arrived during the pause may still be read.
 	pauseCatchUpTime = 500 * time.Millisecond
-	// nearMissSamples is after how many samples of the clocks new near misses are logged: every 2 s.
+	// nearMissLogSamples is the number of clock samples between two checks for new near misses to log: one every 2 s.
 	nearMissLogSamples = 20
 )
 
-// clockWatch notices between periodic samples that the process stood still or that the wall clock was stepped. A span of
-// time in which the process stood still proves nothing about peers, and what is read behind it may have come at any
-// moment of it.
+// clockMonitor detects from periodic samples that the process was paused or that the wall clock was stepped. Silence
+// of a peer during a pause is no evidence against the peer, and data read after a pause may have arrived at any time
+// in it.
 type clockMonitor struct {
 	mu         sync.Mutex
-	lastSample time.Time // of the last sample
-	pauseStart time.Time // of the last pause: the sample before it
+	lastSample time.Time // time of the last sample
+	pauseStart time.Time // earliest start of the last pause: the sample before it
 	pauseEnd   time.Time
 }
 
-// sample takes the present time and returns how long the process paused beyond the interval, and by how much the wall clock
-// was stepped, each zero if not worth telling.
+// sample records the present time. It returns how long the process paused beyond the interval, and by how much the
+// wall clock was stepped; each is zero below its threshold.
 func (w *clockMonitor) sample(now time.Time) (pause, step time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -46,7 +47,8 @@
 	return pause, step
 }
 
-// judgeClocks compares what passed on the monotonic clock with the interval, and with what passed on the wall clock.
+// compareClocks compares the time passed on the monotonic clock with the interval and with the time passed on the wall
+// clock.
 func compareClocks(monotonic, wall time.Duration) (pause, step time.Duration) {
 	if late := monotonic - clockSampleInterval; late >= pauseThreshold {
 		pause = late
@@ -57,8 +59,8 @@
 	return pause, step
 }
 
-// pausedSince tells whether the process paused at some moment between from and now, and when that pause began at the
-// earliest. It does not wait for the next sample.
+// pausedSince reports whether the process paused at some time between from and now, and the earliest time at which
+// that pause may have begun. It detects a pause without waiting for the next sample.
 func (w *clockMonitor) pausedSince(from, now time.Time) (start time.Time, paused bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -71,8 +73,8 @@
 	return time.Time{}, false
 }
 
-// arrival is the earliest moment at which something may have come that is read now by a reader that has waited for it
-// since from. Behind a pause that is the pause's beginning.
+// earliestArrival returns the earliest time at which data may have arrived that a reader obtains now after waiting
+// since from. After a pause, that is the beginning of the pause, but not before from.
 func (w *clockMonitor) earliestArrival(from, now time.Time) time.Time {
 	start, paused := w.pausedSince(from, now)
 	if !paused || now.Sub(w.lastPauseEnd(now)) > pauseCatchUpTime {
@@ -84,7 +86,7 @@
 	return start
 }
 
-// lastPauseEnd is when the last pause ended; now, where it has not been noticed yet.
+// lastPauseEnd returns when the last pause ended, or now if a pause is not sampled yet.
 func (w *clockMonitor) lastPauseEnd(now time.Time) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,8 +96,8 @@
 	return w.pauseEnd
 }
 
-// watchClocks logs pauses of the process and steps of the wall clock, and now and then what came close to a loss: a node
-// that is killed writes no last line.
+// monitorClocks logs pauses of the process and steps of the wall clock. It also logs the near miss counters
+// periodically when they have changed, since a node that is killed cannot log them at its end.
 func (n *Node) monitorClocks(ctx context.Context) {
 	loggedTotal, samples := n.nearMisses.total(), 0
 	runEvery(ctx, clockSampleInterval, func() {
--- a/internal/node/clockwatch_test.go
+++ b/internal/node/clockwatch_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestClockWatch: a pause is told from the monotonic clock, a step from the difference of the two, and neither passes
-// for the other.
+// TestCompareClocks checks that a pause is detected from the monotonic clock and a step from the difference between
+// the clocks, and that neither is mistaken for the other.
 func TestCompareClocks(t *testing.T) {
 	const interval = clockSampleInterval
 	for _, c := range []struct{ monotonic, wall, pause, step time.Duration }{
@@ -24,14 +24,14 @@
 	}
 }
 
-// TestArrival: what is read behind a pause may have come when the pause began, whether or not the pause was noticed
-// before; what is read later has come now.
+// TestEarliestArrival checks that data read after a pause counts as received when the pause began, whether or not the
+// pause was sampled before, and that data read long after a pause counts as received now.
 func TestEarliestArrival(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	var w clockMonitor
 	if got := w.earliestArrival(at(0), at(5)); !got.Equal(at(5)) {
-		t.Error("ahead of the first sample nothing is known of pauses")
+		t.Error("earliest arrival before the first sample is not the present time")
 	}
 	w.sample(at(0))
 	w.sample(at(100))
@@ -40,8 +40,8 @@
 		from, now, want int
 	}{
 		{"no pause", 90, 150, 150},
-		{"not noticed yet", 90, 2100, 100},
-		{"not noticed yet, reader came later than the last sample", 120, 2100, 120},
+		{"pause not sampled yet", 90, 2100, 100},
+		{"pause not sampled yet, wait began after the last sample", 120, 2100, 120},
 	} {
 		if got := w.earliestArrival(at(c.from), at(c.now)); !got.Equal(at(c.want)) {
 			t.Errorf("%s: %v, want %d ms", c.name, got.Sub(start), c.want)
@@ -52,11 +52,11 @@
 		name            string
 		from, now, want int
 	}{
-		{"noticed", 90, 2110, 100},
-		{"began to wait behind it", 2105, 2110, 2110},
-		{"read long after it", 90, 2100 + int(pauseCatchUpTime.Milliseconds()) + 1, 2601},
+		{"pause sampled", 90, 2110, 100},
+		{"wait began after the pause", 2105, 2110, 2110},
+		{"read long after the pause", 90, 2100 + int(pauseCatchUpTime.Milliseconds()) + 1, 2601},
 	} {
-		w.lastSample = at(c.now) // sampling goes on
+		w.lastSample = at(c.now) // as if sampling continued
 		if got := w.earliestArrival(at(c.from), at(c.now)); !got.Equal(at(c.want)) {
 			t.Errorf("%s: %v, want %d ms", c.name, got.Sub(start), c.want)
 		}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,6 +1,6 @@
-// Package node runs the program as a front node of the platform: RTSP from viewers, JSON lines to servers, the
-// coordinator by long poll, all on core.Owner and the same decision module as every other front. It decides
-// nothing about sessions.
+// Package node runs the program as a front node of the platform: it serves RTSP to viewers, speaks JSON lines to
+// servers and follows the coordinator by long poll. Decisions about sessions are left to core.Orchestrator and the
+// controller, which all kinds of fronts share.
 package node
 
 import (
@@ -19,7 +19,7 @@
 	"rainpulley/internal/wire"
 )
 
-// Config is what a front node is told at start.
+// Config is the configuration that a front node reads at start.
 type Config struct {
 	Name, Listen, Coordinator string
 	Seed                      uint64
@@ -86,18 +86,18 @@
 		return nil, err
 	}
 	if len(c.Set.Classes) == 0 || len(c.Set.Ladder) == 0 {
-		return nil, errors.New("settings: profiles and familyInfo.ladderKb need one entry at least")
+		return nil, errors.New("settings: profiles and familyInfo.ladderKb must have at least one entry each")
 	}
 	if c.Platform.ConnectTimeout <= 0 {
 		c.Platform.ConnectTimeout = 250 * time.Millisecond
 	}
 	if len(c.Known.Updates) == 0 {
-		return nil, errors.New("known: no list of servers")
+		return nil, errors.New("known: server list is missing")
 	}
 	return c, nil
 }
 
-// place names the line and field of a mistake.
+// withPosition adds the line and byte offset to a JSON error.
 func withPosition(raw []byte, err error) error {
 	offset := int64(-1)
 	var syntaxErr *json.SyntaxError
@@ -120,11 +120,11 @@
 	return fmt.Errorf("line %d, byte %d: %w", line, offset, err)
 }
 
-// errNoEntryUsable tells a list of which nothing can be used: the one before it stays.
-var errNoUsableEntry = errors.New("no entry of the list can be used")
+// errNoUsableEntry is returned for a list without any usable entry: the previous list remains in effect.
+var errNoUsableEntry = errors.New("no usable entry in the server list")
 
-// servers translates an update's entries. One that names an unknown zone, kind or state, or no id or address, is left
-// out alone: what it says of its server is not known, and the others' drains must not wait for it.
+// parseServers converts an update's entries. An entry that names an unknown zone, kind or state, or lacks an id or
+// address, is skipped by itself: its meaning is unknown, and it must not delay the drains that other entries announce.
 func (c *Config) parseServers(entries []coordinator.Entry) (usable []control.Server, unusable []error) {
 	usable = make([]control.Server, 0, len(entries))
 	for i, e := range entries {
@@ -138,17 +138,17 @@
 	return usable, unusable
 }
 
-// server translates one entry.
+// parseServer converts one entry.
 func (c *Config) parseServer(e coordinator.Entry) (control.Server, error) {
 	states := map[string]control.ServerState{"up": control.Ready, "draining": control.Draining, "removed": control.Gone}
 	state, known := states[e.State]
 	if e.ID == "" || !known {
-		return control.Server{}, fmt.Errorf("id %q, state %q", e.ID, e.State)
+		return control.Server{}, fmt.Errorf("empty id or unknown state: id %q, state %q", e.ID, e.State)
 	}
 	s := control.Server{ID: e.ID, State: state, Cell: e.Cell, Weight: e.Weight, Started: timeconv.UnixMilli(e.StartedMillis),
 		Zone: slices.Index(c.Platform.Zones, e.Zone), Kind: slices.Index(c.Platform.Kinds, e.Kind)}
 	if _, _, err := net.SplitHostPort(e.Addr); state != control.Gone && (err != nil || s.Zone < 0 || s.Kind < 0) {
-		return control.Server{}, fmt.Errorf("%s: address %q, zone %q, kind %q", e.ID, e.Addr, e.Zone, e.Kind)
+		return control.Server{}, fmt.Errorf("server %s: invalid address or unknown zone or kind: address %q, zone %q, kind %q", e.ID, e.Addr, e.Zone, e.Kind)
 	}
 	return s, nil
 }
--- a/internal/node/descriptor_test.go
+++ b/internal/node/descriptor_test.go
@@ -14,12 +14,12 @@
 	"rainpulley/internal/coordinator"
 )
 
-// TestDescriptorsRunOut: while discovery is down, clients that stay idle take every descriptor they can. Requests are
-// answered all the same, the coordinator is followed as soon as it is back, and all descriptors come back.
+// TestDescriptorExhaustion covers idle clients that occupy all available descriptors while the coordinator is down.
+// Requests are still answered, the coordinator is followed as soon as it returns, and all descriptors are freed.
 func TestDescriptorExhaustion(t *testing.T) {
 	const sockets, idle = 96, 300
 	a, b := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
-	spare, err := net.Listen("tcp", "127.0.0.1:0") // where the coordinator will be: nobody answers there yet
+	spare, err := net.Listen("tcp", "127.0.0.1:0") // the coordinator's address: nothing answers there yet
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	before := descriptors()
 	for i := range idle {
 		d := dial()
-		if i%2 == 0 { // half of them have spoken once, as a usual client does
+		if i%2 == 0 { // half of them have sent one request, as usual clients do
 			_, _ = d.Write([]byte("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n"))
 		}
 		if i%20 == 0 {
@@ -52,7 +52,7 @@
 		}
 	}
 	if count := descriptors(); count > sockets {
-		t.Errorf("%d descriptors of %d", count, sockets)
+		t.Errorf("%d descriptors open, limit %d", count, sockets)
 	}
 	feed := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("follow") != "1" {
@@ -62,7 +62,7 @@
 		_ = json.NewEncoder(w).Encode(coordinator.Updates{Index: 2, Updates: []coordinator.Update{{Endpoints: &coordinator.Endpoints{
 			Servers: []coordinator.Entry{a.entry("draining"), b.entry("up")}}}}})
 	}))
-	feed.Listener = spare // it is back
+	feed.Listener = spare // the coordinator is back
 	feed.Start()
 	defer feed.Close()
 	for i := 0; ; i++ {
@@ -72,17 +72,17 @@
 			break
 		}
 		if i == 500 {
-			t.Fatal("the drain was not followed")
+			t.Fatal("the drain was not applied")
 		}
 	}
-	for _, c := range all[1:] { // the first had come when they were counted
+	for _, c := range all[1:] { // the first one was open when the descriptors were counted
 		_ = c.Close()
 	}
-	eventually(t, "the descriptors back", func() bool { return descriptors() <= before+1 }) // one to the second server
+	eventually(t, "the descriptors freed", func() bool { return descriptors() <= before+1 }) // plus the connection to the second server
 	_ = all[0].Close()
 }
 
-// listenAddress is a free address of loopback.
+// freeAddress returns an unused loopback address.
 func freeAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -92,8 +92,8 @@
 	return l.Addr().String()
 }
 
-// TestReadyAtOnce: a node with hundreds of servers that let no connection come up, and a coordinator that does not
-// answer, serves as soon as it listens: nothing at start waits for them.
+// TestStartDoesNotWaitForServers checks that a node serves as soon as it listens, even if hundreds of servers accept
+// no connection and the coordinator does not answer.
 func TestStartDoesNotWaitForServers(t *testing.T) {
 	b := newBox(t, "s-1", ready)
 	list := []coordinator.Entry{b.entry("up")}
@@ -116,7 +116,7 @@
 	n.dial().say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n").want("", 200)
 	n.mu.Lock()
 	if len(dials) > 0 {
-		t.Errorf("dialled at start: %v", dials)
+		t.Errorf("connections dialed at start: %v", dials)
 	}
 	n.mu.Unlock()
 	n.dial().say(setUp(idA, "paid", "")).want(idA, 200)
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -17,39 +17,40 @@
 	"rainpulley/internal/socketerror"
 )
 
-// link is one connection to a server.
+// serverConn is one connection to a server. It carries at most one set-up or probe at a time.
 type serverConn struct {
 	server   *server
 	id       delivery.ConnectionID
 	openedAt time.Duration
 	conn     net.Conn
 	out      writeQueue
-	activeID string // of the set-up or the test on it
-	// answerDue tells that a set-up is out on it, to its reader, which does not hold the pool's lock.
+	activeID string // id of the set-up or probe in progress on the connection
+	// setUpPending reports whether a set-up on the connection awaits its answer. It is atomic because the
+	// connection's reader checks it without the pool's lock.
 	setUpPending  atomic.Bool
-	isProbe       bool // it is a test
+	isProbe       bool // activeID names a probe
 	results       chan core.Result
-	detached      bool           // out of use; under the pool's lock
-	lastActivity  time.Duration  // of the last line that came or set-up that went: the server's idle time-out counts from there
-	lastUsed      time.Duration  // of the last set-up's end; 0: none yet
-	givenUpSetUps []givenUpSetUp // set-ups that were given up on it a short time ago
+	detached      bool           // removed from use; guarded by the pool's lock
+	lastActivity  time.Duration  // time of the last line received or set-up sent: the server's idle time-out starts there
+	lastUsed      time.Duration  // time when the last set-up ended; 0 before the first one
+	givenUpSetUps []givenUpSetUp // set-ups recently given up on this connection
 }
 
-// givenUp is a set-up that was given up, which its server was told on the connection it went on.
+// givenUpSetUp is a set-up that was given up; its server was notified on the connection that carried the set-up.
 type givenUpSetUp struct {
 	id string
 	at time.Duration
 }
 
 const (
-	lingerTimeout      = 500 * time.Millisecond // a connection that is given up stays so long, to pass on what was written
-	surplusIdleTimeout = 3 * time.Second        // a connection stays open so long after a set-up
-	maxKeptIdle        = 1                      // connections that stay open longer than that to a server without sessions
-	idleTimeoutShare   = 0.8                    // of the servers' idle time-out: by then this side has closed
-	reconnectDelay     = 100 * time.Millisecond // so long after a connection's end its server has surely seen it
+	lingerTimeout      = 500 * time.Millisecond // a retired connection stays open this long to flush queued messages
+	surplusIdleTimeout = 3 * time.Second        // a surplus connection stays open this long after its last set-up
+	maxKeptIdle        = 1                      // idle connections kept beyond that time to a server without sessions
+	idleTimeoutShare   = 0.8                    // share of the servers' idle time-out after which this side closes the connection
+	reconnectDelay     = 100 * time.Millisecond // a server has certainly detected the end of a connection after this time
 )
 
-// drop closes a link at once; a set-up on it ends as reset.
+// dropConn closes a connection at once; a set-up in progress on it ends as Reset.
 func (p *pool) dropConn(l *serverConn) {
 	if l.detached {
 		return
@@ -64,8 +65,8 @@
 	}
 }
 
-// retire closes a link after what is still to be written: a release queued a moment ago would be lost with it. It
-// counts until its descriptor is free.
+// retireConn takes a connection out of use and closes it once its queue is flushed, so that a release queued just
+// before is not lost. The connection counts towards the limit until its descriptor is free.
 func (p *pool) retireConn(l *serverConn) {
 	if l.detached {
 		return
@@ -80,7 +81,7 @@
 	})
 }
 
-// closeRetired closes a retired link.
+// closeRetired closes a retired connection, unless it is closed already.
 func (p *pool) closeRetired(l *serverConn) {
 	if _, ok := p.retired[l]; ok {
 		delete(p.retired, l)
@@ -88,7 +89,7 @@
 	}
 }
 
-// closeSocket frees a link's descriptor. Releases that were sent on it a moment ago go on another one.
+// closeSocket frees a connection's descriptor. Releases sent on it a short time ago are sent again on another one.
 func (p *pool) closeSocket(l *serverConn) {
 	p.connCount--
 	l.out.abort()
@@ -98,7 +99,7 @@
 	}
 }
 
-// detach takes a link out of use.
+// detach takes a connection out of use.
 func (p *pool) detach(l *serverConn) {
 	l.detached = true
 	l.server.conns = removeConn(l.server.conns, l)
@@ -117,25 +118,26 @@
 	return list
 }
 
-// deliver ends the set-up on a link; a second answer finds none.
+// deliverResult ends the set-up or probe on a connection. It returns false if there is none, as for a duplicate
+// answer.
 func (l *serverConn) deliverResult(r core.Result) bool {
 	if l.activeID == "" {
 		return false
 	}
 	l.activeID, l.isProbe = "", false
 	l.setUpPending.Store(false)
-	l.results <- r // has room for one
+	l.results <- r // never blocks: the channel buffers one result
 	return true
 }
 
 var (
-	errNoSlot        = errors.New("node: no place left for a connection to a server")
-	errLocal         = errors.New("node: no connection for reasons of this machine")
-	errServerChanged = errors.New("node: the server is another by now")
+	errNoSlot        = errors.New("node: limit of connections to servers reached")
+	errLocal         = errors.New("node: local error while connecting to a server")
+	errServerChanged = errors.New("node: server was removed or replaced while connecting")
 )
 
-// dial opens a link to a server within a time, on a place that was reserved for it, and tells the server's detector what
-// came of it.
+// dial opens a connection to a server in a slot that the caller has reserved, and reports the result to the server's
+// failure detector.
 func (p *pool) dial(ctx context.Context, s *server, timeout time.Duration, purpose dialPurpose) (*serverConn, error) {
 	p.mu.Lock()
 	addr := s.addr
@@ -150,7 +152,7 @@
 	if err != nil {
 		return nil, p.handleDialError(ctx, s, err, purpose, dialStart)
 	}
-	if s.addr != addr || p.servers[s.id] != s || p.closed { // told while it came up: nobody would close it
+	if s.addr != addr || p.servers[s.id] != s || p.closed { // changed while connecting: nothing else would close conn
 		p.connCount--
 		_ = conn.Close()
 		return nil, errServerChanged
@@ -159,8 +161,8 @@
 	return p.addConn(s, conn), nil
 }
 
-// dialFailed gives the reserved place back. What is this machine's own trouble says nothing of the server, and neither does
-// a time-out in which this process stood still.
+// handleDialError returns the reserved slot and classifies the error. Neither a local error nor a time-out during
+// which this process was paused is evidence against the server, so they are not reported to its detector.
 func (p *pool) handleDialError(ctx context.Context, s *server, err error, purpose dialPurpose, dialStart time.Time) error {
 	p.connCount--
 	p.scheduleReconnect(s, 0)
@@ -171,7 +173,7 @@
 	}
 	if category != socketerror.PeerRefused {
 		if _, paused := p.node.clocks.pausedSince(dialStart, time.Now()); paused {
-			return fmt.Errorf("%w: the process stood still: %w", errLocal, err)
+			return fmt.Errorf("%w: process was paused while connecting: %w", errLocal, err)
 		}
 	}
 	if ctx.Err() == nil {
@@ -188,7 +190,7 @@
 	s.detector.RecordDial(p.node.now(), result, len(s.conns))
 }
 
-// addLink puts a connection that came up into use.
+// addConn puts a newly established connection into use.
 func (p *pool) addConn(s *server, conn net.Conn) *serverConn {
 	p.lastConnID++
 	now := p.node.now()
@@ -205,7 +207,7 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// dialResult is what a failed connection says of its server, where it is not this machine's own trouble.
+// toDialResult converts the category of a dial error that is not local to the result that the failure detector takes.
 func toDialResult(category socketerror.Category) liveness.DialResult {
 	if category == socketerror.PeerRefused {
 		return liveness.Refused
@@ -213,8 +215,8 @@
 	return liveness.NoResponse
 }
 
-// close ends a link that can be read or written no more. InOrder tells that neither side broke it: what was written has
-// been read.
+// closeConn closes a connection that can no longer be read or written. If orderly is set, neither side broke the
+// connection, and the server has read everything that was written on it.
 func (p *pool) closeConn(l *serverConn, orderly bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,20 +227,20 @@
 	p.scheduleReconnect(l.server, reconnectDelay)
 }
 
-// noteGiveUp keeps in mind that a server was told on a link to give a set-up up.
+// recordGiveUp records that a server was notified on a connection to give up a set-up.
 func (p *pool) recordGiveUp(l *serverConn, id string) {
 	now := p.node.now()
 	l.givenUpSetUps = slices.DeleteFunc(l.givenUpSetUps, func(g givenUpSetUp) bool { return now-g.at > releaseDeliveryWindow })
 	l.givenUpSetUps = append(l.givenUpSetUps, givenUpSetUp{id, now})
 }
 
-// gaveUpOn tells whether a set-up was given up on a link a short time ago.
+// wasGivenUp reports whether a set-up was recently given up on a connection.
 func (l *serverConn) wasGivenUp(id string) bool {
 	return slices.ContainsFunc(l.givenUpSetUps, func(g givenUpSetUp) bool { return g.id == id })
 }
 
-// repeatGiveUps has a server told again, on another connection, to give up what it may not have heard of on one that has
-// broken: it may have answered, and the session would stand there for nobody.
+// resendGiveUps notifies a server again, on another connection, of the set-ups that were given up on a broken one. The
+// first message may be lost; if the server answered the set-up, the session would otherwise keep running unused.
 func (p *pool) resendGiveUps(l *serverConn) {
 	now := p.node.now()
 	for _, g := range l.givenUpSetUps {
@@ -249,16 +251,17 @@
 	l.givenUpSetUps = nil
 }
 
-// runs tells whether a session stands at a server or its set-up is out there.
+// runsSession reports whether a session is active at a server or its set-up is in progress there.
 func (s *server) runsSession(id string) bool {
 	return s.activeSessions[id] || slices.ContainsFunc(s.conns, func(l *serverConn) bool { return l.activeID == id })
 }
 
-// renew has a connection to a server with sessions opened in a while, though others may be open. A release that the
-// server had just written on a connection that ended is destroyed with it, and is said again only on the next one that is
-// opened (seen: sessions whose release crossed the end of a connection stood for ever, one or two of 11,600 ends). One
-// that is opened while the server may not yet have seen the end does not count: it may say the release on the old one
-// after that (seen on a calm day, where a connection that had been idle for long was replaced at once).
+// scheduleReconnect schedules a new connection to a server with sessions after a delay, even if others are open. A
+// release that the server had just written on a connection is lost when the connection ends, and the server sends it
+// again only on the next connection opened. Without a new one, sessions whose release was lost stayed open for ever:
+// observed for one or two of 11,600 session ends. A connection opened before the server detects the end of the old one
+// does not suffice, since the server may still write the release on the old one: observed at low load, where a
+// connection that had long been idle was replaced at once.
 func (p *pool) scheduleReconnect(s *server, delay time.Duration) {
 	if len(s.activeSessions) > 0 {
 		s.reconnectAt = p.node.now() + delay
@@ -269,8 +272,9 @@
 	return l.out.enqueue(func(b []byte) []byte { return jsonlines.Append(b, kind, id, attrs, cause, text) })
 }
 
-// take returns a link for a set-up: the idle one used last, or a new one. One that has been idle for nearly as long as
-// servers keep idle connections is not used: a close that crosses the set-up leaves open whether it ran.
+// acquire returns a connection for a set-up: the most recently used idle one, or a new one. A connection that has been
+// idle for nearly the server's idle time-out is not reused: if the server closed it while the set-up was on its way,
+// it would be unknown whether the set-up ran.
 func (p *pool) acquire(ctx context.Context, s *server) (*serverConn, error) {
 	p.mu.Lock()
 	for now := p.node.now(); len(s.idleConns) > 0; {
@@ -291,15 +295,15 @@
 	return p.dial(ctx, s, p.node.Config.Platform.ConnectTimeout, dialForSetUp)
 }
 
-// stale tells a link that its server may close at any moment.
+// isStale reports whether a connection has been idle for so long that its server may close it at any moment.
 func (p *pool) isStale(l *serverConn, now time.Duration) bool {
 	idle := p.node.Config.Platform.ConnIdle
 	return idle > 0 && now-l.lastActivity > time.Duration(idleTimeoutShare*float64(idle))
 }
 
-// free puts a link back. It is not closed at once even where there are many: a server to which a connection
-// closes just after its answer takes the set-up for given up, and cuts the session (seen when 300 viewers came
-// back within a second, and a third of them lost what they had just got).
+// putBack returns a connection to the idle list. Surplus connections are not closed at once: a server treats a
+// connection that closes just after its answer as a given-up set-up, and ends the session. Observed when 300 viewers
+// reconnected within a second: a third of them lost the session they had just obtained.
 func (p *pool) putBack(l *serverConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -309,15 +313,16 @@
 	}
 }
 
-// closeSurplus closes what a server has too many of, the longest idle first, and what its server would close soon. While
-// sessions stand there all stay: a release may be on its way on any.
+// closeSurplus retires a server's surplus idle connections, the longest idle first, and those that the server would
+// close soon. While the server has active sessions, surplus connections stay open: a release may be in transit on any
+// of them.
 func (p *pool) closeSurplus(s *server, now time.Duration) {
 	for len(s.idleConns) > 0 && (p.isStale(s.idleConns[0], now) || len(s.activeSessions) == 0 && len(s.idleConns) > maxKeptIdle && now-s.idleConns[0].lastUsed > surplusIdleTimeout) {
 		p.retireConn(s.idleConns[0])
 	}
 }
 
-// closeEverything ends all connections, and returns when all that was read on them has been handled.
+// shutDown closes all connections and waits until everything read from them has been handled.
 func (p *pool) shutDown() {
 	p.mu.Lock()
 	p.closed = true
@@ -331,7 +336,7 @@
 	p.readers.Wait()
 }
 
-// anyLink is a link for what is tied to none; one that was used lately first.
+// anyConn returns a connection for messages that may use any, preferring the idle one used last; nil if none is open.
 func (s *server) anyConn() *serverConn {
 	if n := len(s.idleConns); n > 0 {
 		return s.idleConns[n-1]
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -13,8 +13,8 @@
 	"rainpulley/internal/core"
 )
 
-// TestDrainCrossesSetUp: a drain told while the connection comes up sends the set-up elsewhere; told after the first
-// byte it changes nothing.
+// TestDrainBeforeSetUpIsSent checks that a set-up is placed on another server if its server is reported as draining
+// while the connection is being established. A drain reported after the first byte does not affect the set-up.
 func TestDrainBeforeSetUpIsSent(t *testing.T) {
 	a, b, g := newBox(t, "s-1", ready), newBox(t, "s-2", ready), newGate()
 	n := startGated(t, func(n *Node) {
@@ -33,7 +33,7 @@
 	}
 	n.pool.mu.Unlock()
 	n.feed.push(drained.entry("draining"))
-	eventually(t, "told", func() bool {
+	eventually(t, "the drain applied", func() bool {
 		n.pool.mu.Lock()
 		defer n.pool.mu.Unlock()
 		return n.pool.servers[drained.id].state == control.Draining
@@ -41,12 +41,12 @@
 	close(g.open)
 	v.want(idA, 200)
 	if m := other.next(t, "open"); m.ID != idA || len(drained.heard) > 0 {
-		t.Errorf("%+v; the drained server heard %d lines", m.Message, len(drained.heard))
+		t.Errorf("got %+v; the draining server received %d lines, want 0", m.Message, len(drained.heard))
 	}
 	n.agree(1)
 }
 
-// TestWholeListCrossesSetUp: a whole list that leaves a server out is a drain of it too.
+// TestFullListRemovesServer checks that a full list without a server stops set-ups to that server.
 func TestFullListRemovesServer(t *testing.T) {
 	a, b := newBox(t, "s-1", nil), newBox(t, "s-2", ready)
 	n := startNode(t, a)
@@ -56,28 +56,29 @@
 	close(n.feed.more)
 	n.feed.more = make(chan struct{})
 	n.feed.mu.Unlock()
-	eventually(t, "told", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-2"] != nil })
+	eventually(t, "the list applied", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-2"] != nil })
 	n.dial().say(setUp(idA, "paid", "")).want(idA, 200)
 	if m := b.next(t, "open"); m.ID != idA || len(a.heard) > 0 {
-		t.Errorf("%+v; the one left out heard %d lines", m.Message, len(a.heard))
+		t.Errorf("got %+v; the removed server received %d lines, want 0", m.Message, len(a.heard))
 	}
 	if r := n.pool.SetUp(context.Background(), core.Attempt{ID: idB, Server: "s-1", Listener: &session{node: n.Node}}); r.Outcome != control.NotSent {
-		t.Errorf("to a server that has gone: %v", core.OutcomeName(r.Outcome))
+		t.Errorf("set-up at a removed server: outcome %v, want not sent", core.OutcomeName(r.Outcome))
 	}
 }
 
-// TestEndCrossesAdoption: after a restart a server says a session's end, once, on a connection that was opened for
-// something else, ahead of the viewer who names the session; behind it is the usual order.
+// TestSessionEndBeforeAdoption checks that a session's end is passed on to the viewer even if it arrives before the
+// viewer names the session. After a restart a server reports the end only once, on whichever connection is opened
+// first. The end of a session that was adopted before is covered too.
 func TestSessionEndBeforeAdoption(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
 	n.openIdleConn(b)
-	eventually(t, "accepted", func() bool { return b.accepted() == 1 })
+	eventually(t, "the connection accepted", func() bool { return b.accepted() == 1 })
 	b.mu.Lock()
-	on := b.conns[0]
+	conn := b.conns[0]
 	b.mu.Unlock()
-	on.say(`{"msg":"close","sid":%q,"code":16}`, idA)
-	eventually(t, "the end heard", func() bool {
+	conn.say(`{"msg":"close","sid":%q,"code":16}`, idA)
+	eventually(t, "the end of the session received", func() bool {
 		n.pool.mu.Lock()
 		defer n.pool.mu.Unlock()
 		return len(n.pool.servers["s-1"].earlyEnds) == 1
@@ -86,31 +87,32 @@
 	v.wantRelease(idA, "cause=16")
 	v.say(setUp(idB, "free", ";at:s-1"))
 	n.agree(1)
-	on.say(`{"msg":"close","sid":%q,"code":41}`, idB)
+	conn.say(`{"msg":"close","sid":%q,"code":41}`, idB)
 	v.wantRelease(idB, "cause=41")
 	n.agree(0)
 }
 
-// TestAdoptedAtUnknownServer: a session at a server that no list names is ended in time; one whose server is listed a
-// moment later plays on.
+// TestAdoptionAtUnlistedServer checks that a session adopted at a server that no list names is ended, and that one
+// whose server is listed shortly afterwards continues.
 func TestAdoptionAtUnlistedServer(t *testing.T) {
 	n := startNode(t, newBox(t, "s-1", nil))
 	v := n.dial().say(setUp(idA, "free", ";at:s-9"))
 	v.wantRelease(idA, "cause=41")
 	n.agree(0)
 	late := newBox(t, "s-8", nil)
-	n.pool.mu.Lock() // the detector waits until the list is there
+	n.pool.mu.Lock() // keeps the failure detector from running before the list is applied
 	v.say(setUp(idB, "free", ";at:s-8"))
 	n.feed.push(late.entry("up"))
 	n.pool.mu.Unlock()
-	eventually(t, "a connection", func() bool { return late.accepted() > 0 })
+	eventually(t, "a connection to the server listed late", func() bool { return late.accepted() > 0 })
 	v.silent()
 	if n.orchestrator.Stats.Open.Load() != 1 || n.findSession(idB) == nil {
-		t.Error("the session at the server that was listed late is gone")
+		t.Error("the session at the server listed late has ended")
 	}
 }
 
-// TestList: a drained server gets nothing new, one that takes over the address of another is another.
+// TestServerListUpdates checks that a draining server gets no new set-ups, that a server that takes over another's
+// address is a different server, and that an unusable entry changes nothing.
 func TestServerListUpdates(t *testing.T) {
 	a, b := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
 	n := startNode(t, a)
@@ -118,57 +120,58 @@
 	v.want(idA, 200)
 	n.feed.push(a.entry("draining"), b.entry("up"))
 	a.next(t, "open")
-	eventually(t, "told", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-2"] != nil })
+	eventually(t, "the list applied", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-2"] != nil })
 	v.say(setUp(idB, "paid", "")).want(idB, 200)
 	if m := b.next(t, "open"); m.ID != idB {
-		t.Errorf("%+v", m.Message)
+		t.Errorf("got %+v, want the second set-up", m.Message)
 	}
-	heir := a.entry("up")
-	heir.ID = "s-3"
-	n.feed.push(coordinator.Entry{ID: "s-1", State: "removed"}, heir)
+	successor := a.entry("up")
+	successor.ID = "s-3"
+	n.feed.push(coordinator.Entry{ID: "s-1", State: "removed"}, successor)
 	v.wantRelease(idA, "cause=41")
 	n.agree(1)
-	n.feed.push(coordinator.Entry{ID: "s-4", State: "strange"}) // unreadable: the list stays
+	n.feed.push(coordinator.Entry{ID: "s-4", State: "strange"}) // unusable: the list stays as it is
 	v.say(setUp(idC, "free", "")).want(idC, 200)
 }
 
-// TestUnusableEntry: an entry that cannot be used is left out alone; a drain beside it is followed, and so is what comes
-// after.
+// TestUnusableListEntryIsSkipped checks that unusable entries are skipped and that the drain and the new server in the
+// same update still take effect.
 func TestUnusableListEntryIsSkipped(t *testing.T) {
 	a, b := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
 	n := startNode(t, a)
-	nowhere := b.entry("up")
-	nowhere.ID, nowhere.Addr = "s-5", "nowhere"
-	n.feed.push(coordinator.Entry{ID: "s-4", State: "strange"}, a.entry("draining"), coordinator.Entry{State: "up"}, nowhere, b.entry("up"))
-	eventually(t, "told", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-2"] != nil })
+	badAddress := b.entry("up")
+	badAddress.ID, badAddress.Addr = "s-5", "nowhere"
+	n.feed.push(coordinator.Entry{ID: "s-4", State: "strange"}, a.entry("draining"), coordinator.Entry{State: "up"}, badAddress, b.entry("up"))
+	eventually(t, "the update applied", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-2"] != nil })
 	v := n.dial().say(setUp(idA, "paid", "")).want(idA, 200)
 	if v.Status != 200 || b.next(t, "open").ID != idA || len(a.heard) > 0 {
-		t.Error("the drain beside an entry that cannot be used was not followed")
+		t.Error("the drain in an update with unusable entries was not applied")
 	}
 	n.pool.mu.Lock()
 	defer n.pool.mu.Unlock()
 	if len(n.pool.servers) != 2 {
-		t.Errorf("%d servers", len(n.pool.servers))
+		t.Errorf("%d servers, want 2", len(n.pool.servers))
 	}
 }
 
-// TestReload: at SIGHUP the new coordinator is followed from the same number; an unreadable file changes nothing.
+// TestReloadSwitchesCoordinator checks that SIGHUP makes the node follow the new coordinator from the same index, and
+// that an unreadable file changes nothing.
 func TestReloadSwitchesCoordinator(t *testing.T) {
 	n := startNode(t, newBox(t, "s-1", ready))
 	other := newFeed(t, n.feed.all)
 	v := n.dial().say(setUp(idA, "free", ""))
-	v.want(idA, 200) // it serves, so it hears signals
+	v.want(idA, 200) // the node serves, so its signal handler is installed
 	_ = os.WriteFile(n.ConfigPath, []byte("{"), 0o600)
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	n.write(n.ConfigPath, other, 256, coordinator.Updates{Index: 1, Updates: n.feed.all})
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	select {
-	case q := <-other.polls:
-		if !strings.HasPrefix(q, "follow=1&") {
-			t.Error(q)
+	case query := <-other.polls:
+		if !strings.HasPrefix(query, "follow=1&") {
+			t.Error(query)
 		}
 	case <-time.After(testFor):
-		t.Fatal("not followed")
+		t.Fatal("the new coordinator was not polled")
 	}
 	v.say(setUp(idB, "free", "")).want(idB, 200)
 	n.agree(2)
--- a/internal/node/localtrouble_test.go
+++ b/internal/node/localtrouble_test.go
@@ -17,10 +17,10 @@
 	"rainpulley/internal/rtsp"
 )
 
-// System calls fail for a moment, for reasons of this machine: nothing that was accepted is lost by it, and no server
-// passes for dead.
+// These tests cover system calls that fail transiently for local reasons: no accepted connection or request is lost,
+// and no server is considered failed.
 
-// momentary are errors of this machine that pass by themselves.
+// transientErrors are local errors that may resolve by themselves.
 var transientErrors = []syscall.Errno{syscall.ENETUNREACH, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EADDRNOTAVAIL,
 	syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN}
 
@@ -28,8 +28,8 @@
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 }
 
-// TestLocalDialErrors: no connection can be made for two seconds. A session that plays stays, though its server's
-// connection ends in that time; a set-up that came shortly before the end of it is served.
+// TestLocalDialErrors covers dials that fail locally for two seconds. A playing session continues although its
+// server's connection ends during that time, and a set-up that arrives shortly before the failures stop is served.
 func TestLocalDialErrors(t *testing.T) {
 	for _, errno := range transientErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -54,7 +54,7 @@
 			_ = m.on.Close()
 			time.Sleep(2 * time.Second)
 			if failures.Load() < 3 {
-				t.Fatalf("only %d tries failed", failures.Load())
+				t.Fatalf("only %d dials failed, want at least 3", failures.Load())
 			}
 			v.say(setUp(idB, "paid", ""))
 			time.Sleep(50 * time.Millisecond)
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestPauseProvesNothingOfServers: tries to connect whose time ran out while the process stood still do not end the
-// sessions of a server.
+// TestDialTimeoutDuringPauseKeepsSessions checks that dials that time out while the process is paused do not end a
+// server's sessions.
 func TestDialTimeoutDuringPauseKeepsSessions(t *testing.T) {
 	var paused atomic.Bool
 	var tries atomic.Int64
@@ -91,14 +91,14 @@
 	v.want(idA, 200)
 	paused.Store(true)
 	_ = m.on.Close()
-	eventually(t, "several tries", func() bool { return tries.Load() >= 4 })
+	eventually(t, "several dials", func() bool { return tries.Load() >= 4 })
 	paused.Store(false)
 	v.silent()
 	n.agree(1)
 }
 
-// TestPauseCountsAgainstClients: a request that came while the process stood still has less time left than it says, and
-// its server is told no more than that.
+// TestPauseShortensTimeLeft checks that the time left that a server receives with a set-up is reduced by the time for
+// which the request waited while the process was paused.
 func TestPauseShortensTimeLeft(t *testing.T) {
 	t.Parallel()
 	const pause, timer, slack = time.Second, 3 * time.Second, 150 * time.Millisecond
@@ -110,35 +110,37 @@
 	v.want(idA, 200)
 	left, err := strconv.Atoi(b.next(t, "open").Attr("left"))
 	if limit := timer - pause + slack; err != nil || time.Duration(left)*time.Millisecond > limit {
-		t.Errorf("the server was told %d ms, the client has %v at most", left, limit)
+		t.Errorf("the server received %d ms of time left, want at most %v", left, limit)
 	}
 }
 
-// TestAcceptTroubleClosesNobody: accept fails for reasons that no closed connection helps; nobody is closed for it.
+// TestAcceptErrorClosesNoConnection checks that no connection is closed when accept fails with an error that closing
+// connections would not resolve.
 func TestAcceptErrorClosesNoConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EPROTO, syscall.EPERM} {
 		acceptErrors := make(chan error, 8)
 		n := startGated(t, func(n *Node) { n.Listener = &failingListener{n.Listener, acceptErrors} }, newBox(t, "s-1", ready))
 		silent := n.dial()
-		eventually(t, "taken", func() bool {
+		eventually(t, "the silent connection accepted", func() bool {
 			n.viewerConns.mu.Lock()
 			defer n.viewerConns.mu.Unlock()
 			return len(n.viewerConns.conns) == 1
 		})
-		time.Sleep(newConnectionGrace) // it may be closed for room from now on
+		time.Sleep(newConnectionGrace) // from now on the silent connection may be evicted
 		for range 3 {
 			acceptErrors <- &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
 		}
 		n.dial().say(setUp(idB, "free", "")).want(idB, 200)
 		n.dial().say(optionsRequest).want("", 200)
 		if len(acceptErrors) > 0 {
-			t.Fatal("the failures were not met")
+			t.Fatal("not all accept errors were returned")
 		}
 		silent.say(setUp(idA, "free", "")).want(idA, 200)
 	}
 }
 
-// troubledConn fails each call a few times, and then reads and writes one byte at a time.
+// failingConn is a connection whose calls return the listed errors first. Reads then return one byte at a time, and a
+// write that fails has written one byte.
 type failingConn struct {
 	net.Conn
 	mu      sync.Mutex
@@ -168,7 +170,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err := c.nextError(); err != nil {
-		n, _ := c.out.Write(b[:1]) // a short write, and then the error
+		n, _ := c.out.Write(b[:1]) // short write with an error
 		return n, err
 	}
 	return c.out.Write(b)
@@ -177,8 +179,8 @@
 func (c *failingConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *failingConn) SetWriteDeadline(time.Time) error { return nil }
 
-// TestTroubleWithinMessages: reads and writes that fail for a moment, and short ones, change no byte of a message, and
-// cost no connection. What is broken for good is told.
+// TestTransientErrorsWithinMessages checks that transient errors and short reads and writes neither change a message
+// nor close the connection, and that permanent errors are reported.
 func TestTransientErrorsWithinMessages(t *testing.T) {
 	transient := []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN}
 	message := rtsp.AppendResponse(nil, 200, []string{"CSeq", "1", "Session", idA}, []byte("a description"))
@@ -192,7 +194,7 @@
 	failed := make(chan struct{})
 	out := &writeQueue{conn: writer, onError: func() { close(failed) }}
 	out.enqueue(func(b []byte) []byte { return append(b, message...) })
-	eventually(t, "all written", func() bool { return !out.isWriting() })
+	eventually(t, "all output written", func() bool { return !out.isWriting() })
 	if !bytes.Equal(writer.out.Bytes(), message) {
 		t.Errorf("written %q", writer.out.Bytes())
 	}
@@ -201,6 +203,6 @@
 	out.enqueue(func(b []byte) []byte { return append(b, message...) })
 	<-failed
 	if _, err := (&deadlineReader{conn: &failingConn{errnos: []syscall.Errno{syscall.ECONNRESET}}}).Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("a reset reads as %v", err)
+		t.Errorf("read after a reset: error %v, want ECONNRESET", err)
 	}
 }
--- a/internal/node/nearmiss.go
+++ b/internal/node/nearmiss.go
@@ -5,32 +5,32 @@
 	"sync/atomic"
 )
 
-// nearMisses counts what came close to a request or a release that is lost or late. All of them are zero on a day on
-// which nothing was short.
+// nearMissCounters counts events in which a request or a release was, or nearly was, lost or late. All counters stay
+// zero while no resource is short.
 type nearMissCounters struct {
-	answersUnsent    atomic.Int64 // their connection was over, and no viewer was known to have left
-	closedUnanswered atomic.Int64 // requests open on connections that this side closed
-	leftUnanswered   atomic.Int64 // requests open on connections that their viewers or the network ended
-	halfClosed       atomic.Int64 // connections that their viewers shut down in one direction, with requests open
-	repeatsElsewhere atomic.Int64 // set-ups under an id that is open on another connection
-	resumed          atomic.Int64 // set-ups that came again on another connection
-	viewersRefused   atomic.Int64 // connections accepted and closed unread
-	viewersDelayed   atomic.Int64 // tries to make room in vain: all connections waited for answers
-	lateAnswers      atomic.Int64 // in the last tenth of their time, or after it
-	viewersClosed    atomic.Int64 // connections closed to make room for others
-	placesMissing    atomic.Int64 // set-ups without a descriptor for their connection
-	checksDeferred   atomic.Int64 // checks of a server with sessions that had to wait for a descriptor
-	noticesResent    atomic.Int64 // to viewers, as their connection ended before they were confirmed
-	noticesLate      atomic.Int64 // sent more than a second after the end of their session
-	noticesExpired   atomic.Int64 // never sent
-	releasesExpired  atomic.Int64 // to servers, never sent
-	endsDropped      atomic.Int64 // of sessions that were not known yet
-	localErrors      atomic.Int64 // of system calls, that say nothing of a peer
-	pauses           atomic.Int64 // of the whole process
-	clockSteps       atomic.Int64 // of the wall clock
+	answersUnsent    atomic.Int64 // answers whose connection had ended, though the viewer was not known to have left
+	closedUnanswered atomic.Int64 // requests open on connections that this node closed
+	leftUnanswered   atomic.Int64 // requests open on connections ended by their viewers or the network
+	halfClosed       atomic.Int64 // connections half-closed by their viewers with requests open
+	repeatsElsewhere atomic.Int64 // set-ups with an id that is in use on another connection
+	resumed          atomic.Int64 // set-ups sent again on another connection
+	viewersRefused   atomic.Int64 // connections closed right after accept, without reading
+	viewersDelayed   atomic.Int64 // failed evictions: all connections awaited answers
+	lateAnswers      atomic.Int64 // answers in the last tenth of their time limit, or after it
+	viewersClosed    atomic.Int64 // connections evicted in favour of new ones
+	placesMissing    atomic.Int64 // set-ups for which the connection limit left no slot
+	checksDeferred   atomic.Int64 // checks of servers with sessions postponed for lack of a slot
+	noticesResent    atomic.Int64 // notices to viewers whose connection ended before the confirmation
+	noticesLate      atomic.Int64 // notices sent more than a second after their session's end
+	noticesExpired   atomic.Int64 // notices never sent
+	releasesExpired  atomic.Int64 // releases to servers, never sent
+	endsDropped      atomic.Int64 // reported ends of sessions not known yet, over the limit
+	localErrors      atomic.Int64 // system call errors that are no evidence against a peer
+	pauses           atomic.Int64 // pauses of the whole process
+	clockSteps       atomic.Int64 // steps of the wall clock
 }
 
-// nearMissCounter is one counter and its name in logs.
+// namedCounter is one counter and its name in logs.
 type namedCounter struct {
 	name  string
 	count *atomic.Int64
@@ -61,7 +61,7 @@
 	}
 }
 
-// LogValue lists the counters.
+// LogValue returns the counters as a group, so that they can be logged as one attribute.
 func (m *nearMissCounters) LogValue() slog.Value {
 	var values []slog.Attr
 	for _, c := range m.counters() {
@@ -70,7 +70,7 @@
 	return slog.GroupValue(values...)
 }
 
-// sum changes with every near miss.
+// total returns the sum of all counters.
 func (m *nearMissCounters) total() (sum int64) {
 	for _, c := range m.counters() {
 		sum += c.count.Load()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -23,34 +23,34 @@
 // Node is one running front node.
 type Node struct {
 	Config     *Config
-	ConfigPath string // of the configuration, read again at SIGHUP
+	ConfigPath string // file of the configuration, read again at SIGHUP
 	Log        *slog.Logger
-	// Listener takes viewers; nil: where the configuration says.
+	// Listener accepts viewers; if nil, Run listens on Config.Listen.
 	Listener net.Listener
-	// Arriving is how long after SIGTERM requests still come.
+	// ArrivalWindow is how long after SIGTERM requests may still arrive.
 	ArrivalWindow time.Duration
-	// Dial opens a connection to a server.
+	// Dial opens a connection to a server within a time-out.
 	Dial            func(ctx context.Context, addr string, within time.Duration) (net.Conn, error)
-	beforeAdmission func(id string)     // if set, called ahead of the admission of a set-up's first byte
-	yieldProcessor  func()              // lets other goroutines go first
-	controller      *control.Controller // touched on the owner's goroutine only
+	beforeAdmission func(id string)     // test hook, called before a set-up is admitted to its connection
+	yieldProcessor  func()              // yields to other goroutines; replaced in tests
+	controller      *control.Controller // accessed only on the orchestrator's goroutine
 	orchestrator    *core.Orchestrator
 	pool            *pool
 	viewerConns     *viewerConns
 	follower        *coordinator.Follower
-	serveCtx        context.Context // ends with the service of the node
+	serveCtx        context.Context // cancelled when the node stops serving
 	startedAt       time.Time
 	startUnixTime   time.Duration
 	goroutines      sync.WaitGroup
 
 	mu            sync.Mutex
-	sessions      map[string]*session // that wait or stand, by id
-	recentAnswers answerCache         // given a short time ago
+	sessions      map[string]*session // waiting or playing, by id
+	recentAnswers answerCache         // recent final answers, repeated to viewers that send a set-up again
 
 	resendWindow time.Duration // see defaultResendWindow
 
 	startTranslatorMu sync.Mutex
-	startTranslator   starttime.Translator // of servers, from the coordinator's clock to this node's
+	startTranslator   starttime.Translator // translates servers' start times from the coordinator's clock to this node's
 
 	nearMisses nearMissCounters
 	clocks     clockMonitor
@@ -58,27 +58,27 @@
 
 const (
 	minSockets           = 64
-	socketSlack          = 50 * time.Millisecond  // every time limit is so much longer on sockets
-	defaultArrivalWindow = 700 * time.Millisecond // after SIGTERM requests still come so long
-	shutdownMargin       = 350 * time.Millisecond // the node begins to end so long before the earliest kill
+	socketSlack          = 50 * time.Millisecond  // added to time limits for delays of socket I/O
+	defaultArrivalWindow = 700 * time.Millisecond // requests may still arrive this long after SIGTERM
+	shutdownMargin       = 350 * time.Millisecond // shutdown begins this long before the earliest kill
 
-	// afterLastArrival is the part of Arriving in which no request comes any more: the platform sends the last ones 0.6 s
-	// after SIGTERM at most.
+	// lastArrivalMargin is the last part of ArrivalWindow, in which no request arrives any more: the platform sends
+	// the last ones 0.6 s after SIGTERM at most.
 	lastArrivalMargin = 50 * time.Millisecond
 
 	flushTimeout      = 100 * time.Millisecond
-	backlogTimeout    = 100 * time.Millisecond // connections that keep coming while the node ends are taken so long
+	backlogTimeout    = 100 * time.Millisecond // connections that still arrive during shutdown are accepted this long
 	maxQueuedRequests = 1024
 )
 
-// New makes a front node.
+// New returns a front node for a configuration read from path.
 func New(c *Config, path string, log *slog.Logger) (*Node, error) {
 	n := &Node{Config: c, ConfigPath: path, Log: log, ArrivalWindow: defaultArrivalWindow, Dial: dialTCP, yieldProcessor: runtime.Gosched, startedAt: time.Now(), sessions: map[string]*session{},
 		resendWindow:  defaultResendWindow,
 		recentAnswers: answerCache{retention: defaultAnswerRetention, byID: map[string]*session{}}}
 	n.startUnixTime = time.Duration(n.startedAt.UnixNano())
 	set := c.Set
-	set.AllowPeerMessages = false // nothing tells where they are
+	set.AllowPeerMessages = false // the addresses of other front nodes are not available
 	decider, err := control.New(set, c.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -93,19 +93,19 @@
 	return n, nil
 }
 
-// Limits has the runtime keep to a front node's limits.
+// ApplyLimits sets the runtime's processor and memory limits from the configuration.
 func ApplyLimits(c *Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
 	debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 6 / 10)
 }
 
-// now is Unix time that never steps back while the node runs.
+// now returns the Unix time, derived from the monotonic clock: it never steps back while the node runs.
 func (n *Node) now() time.Duration { return n.startUnixTime + time.Since(n.startedAt) }
 
-// at is the same of a moment that is known.
+// unixTime converts a time to the time base of now.
 func (n *Node) unixTime(t time.Time) time.Duration { return n.startUnixTime + t.Sub(n.startedAt) }
 
-// patience is what a context leaves.
+// timeLeft returns the time until a context's deadline; 0 if it has none.
 func (n *Node) timeLeft(ctx context.Context) time.Duration {
 	if d, ok := ctx.Deadline(); ok {
 		return time.Until(d)
@@ -117,7 +117,7 @@
 	n.goroutines.Go(f)
 }
 
-// take brings updates of the list to pool and module.
+// handleUpdates applies updates of the server list to the pool and the controller.
 func (n *Node) handleUpdates(updates []coordinator.Update) error {
 	return n.applyUpdates(updates, false)
 }
@@ -127,7 +127,7 @@
 	list, unusable := n.Config.parseServers(entries)
 	n.translateStartTimes(list, whole)
 	for _, err := range unusable {
-		n.Log.Warn("entry of the server list not used", "error", err)
+		n.Log.Warn("skipping unusable entry of the server list", "error", err)
 	}
 	switch {
 	case len(list) > 0:
@@ -140,14 +140,16 @@
 	for _, e := range entries {
 		addresses[e.ID] = e.Addr
 	}
-	// The module first: a set-up that the pool holds back for a drain ends behind it, and is placed anew.
+	// The controller is updated first: when the pool then stops a set-up because its server drains, the controller
+	// knows of the drain and places the set-up on another server.
 	n.orchestrator.AddEvent(control.ListUpdate{Whole: whole || cached, Cached: cached, Servers: list})
 	n.pool.applyList(list, addresses, whole)
-	n.Log.Debug("list", "whole", whole, "servers", len(list))
+	n.Log.Debug("server list applied", "whole", whole, "servers", len(list))
 	return nil
 }
 
-// translateStarts puts the servers' starts into this node's time: they are told by another machine's clock.
+// translateStartTimes converts the servers' start times to this node's clock: in the list they are measured by the
+// clock of another machine.
 func (n *Node) translateStartTimes(list []control.Server, whole bool) {
 	n.startTranslatorMu.Lock()
 	defer n.startTranslatorMu.Unlock()
@@ -166,17 +168,17 @@
 	})
 }
 
-// coordinatorHeard notes that the coordinator has told all that it had to tell.
+// recordCoordinatorContact records the time of a response whose updates have all been applied; it may be empty.
 func (n *Node) recordCoordinatorContact() {
 	n.startTranslatorMu.Lock()
 	defer n.startTranslatorMu.Unlock()
 	n.startTranslator.RecordContact(n.now())
 }
 
-// Run serves until SIGTERM and what is owed after it.
+// Run serves until SIGTERM, and then completes the requests that are still open.
 func (n *Node) Run(ctx context.Context) error {
 	termCtx, stopTerm := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
-	defer stopTerm() // until the end: a second SIGTERM changes nothing
+	defer stopTerm() // stays registered to the end, so that a second SIGTERM has no effect
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
@@ -213,7 +215,7 @@
 	return nil
 }
 
-// expire lets go of notices and answers that are too old to be of use.
+// expireNoticesAndAnswers removes notices and cached answers that have exceeded their lifetimes.
 func (n *Node) expireNoticesAndAnswers() {
 	n.viewerConns.expireNotices()
 	n.expireAnswers()
@@ -221,19 +223,19 @@
 
 const compareCountsInterval = 2 * time.Second
 
-// compare logs where the module's count of own sessions at a server is not that on the sockets. For a moment
-// they may differ, while a set-up is out or a release on its way.
+// compareSessionCounts logs servers for which the controller's count of own sessions differs from the count on the
+// sockets. A brief difference is normal while a set-up or a release is in transit.
 func (n *Node) compareSessionCounts() {
 	n.orchestrator.Inspect(func() {
 		for id, counts := range n.pool.countSessions(n.controller.OwnSessionCount) {
 			if counts.controller != counts.sockets {
-				n.Log.Debug("belief", "server", id, "module", counts.controller, "sockets", counts.sockets)
+				n.Log.Debug("session counts differ", "server", id, "module", counts.controller, "sockets", counts.sockets)
 			}
 		}
 	})
 }
 
-// reloads takes a new coordinator's address at SIGHUP. A file that cannot be read changes nothing.
+// reloadOnHangup reads the coordinator's address again at SIGHUP. An unreadable or invalid file changes nothing.
 func (n *Node) reloadOnHangup(ctx context.Context, hangup <-chan os.Signal) {
 	for {
 		select {
@@ -243,7 +245,7 @@
 		}
 		c, err := ReadConfig(n.ConfigPath)
 		if err != nil {
-			n.Log.Error("configuration not reloaded, the one before stays", "error", err)
+			n.Log.Error("configuration not reloaded; the previous one remains in effect", "error", err)
 			continue
 		}
 		n.Log.Info("configuration reloaded", "coordinator", c.Coordinator)
@@ -251,7 +253,7 @@
 	}
 }
 
-// begin enters a set-up, or returns the one that is open under its id.
+// register records a set-up, or returns the session that is open under its id.
 func (n *Node) register(s *session) (existing *session) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -268,7 +270,7 @@
 	return n.sessions[id]
 }
 
-// waits tells whether a request under an id still waits for its answer.
+// awaitsAnswer reports whether a request with an id still awaits its answer.
 func (n *Node) awaitsAnswer(id string) bool {
 	s := n.findSession(id)
 	return s != nil && s.awaitsAnswer()
@@ -282,7 +284,7 @@
 	}
 }
 
-// adopt takes over a session that plays already; one that is held stays as it is.
+// adopt takes over a session that plays already. A session that this node has under the same id stays unchanged.
 func (n *Node) adopt(r control.Request, s *session) {
 	if n.register(s) != nil {
 		return
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// noticeDue is how long after its server's release a session has to be released towards its viewer.
+	// maxNoticeDelay is the time after a session's end within which its viewer has to be notified; later notices count
+	// as late.
 	maxNoticeDelay = time.Second
-	// noticeLifetime is how long after its end a session has to be released towards its viewer.
+	// noticeLifetime is how long after a session's end delivery of its notice is attempted.
 	noticeLifetime = 8 * time.Second
-	// noticeDoubt is how long a notice may be on its way: a connection that ends within it may have lost the notice.
+	// noticeDeliveryWindow is how long a notice may be in transit: a connection that ends within it may have lost it.
 	noticeDeliveryWindow = writeTimeout + time.Second
-	// noticeExpiryInterval is the time between two looks for notices that are too old.
+	// noticeExpiryInterval is the time between two checks for expired notices.
 	noticeExpiryInterval = time.Second
 )
 
-// notice tells a viewer that its session is over.
+// notice is the message that informs a viewer of its session's end.
 type notice struct {
 	origin  *viewerConn // the connection that the session began on
 	id      string
 	uri     string
-	endedAt time.Duration // when the session was over
-	moved   bool          // the viewer is asked to come again
-	cause   int           // of the release, unless moved
+	endedAt time.Duration // when the session ended
+	moved   bool          // the viewer is redirected, to set the session up again
+	cause   int           // cause code of the release, unless moved is set
 }
 
 func (m *notice) appendTo(buf []byte) []byte {
@@ -38,7 +39,7 @@
 		"Reason", "cause=" + strconv.Itoa(m.cause)}, nil)
 }
 
-// releaseCause is the cause that a viewer is told.
+// releaseCause returns the cause code sent to a viewer.
 func releaseCause(served bool) int {
 	if served {
 		return jsonlines.CauseEnd
@@ -46,8 +47,9 @@
 	return jsonlines.CauseReset
 }
 
-// notify tells a viewer that its session is over. A session is tied to no connection: a notice whose connection ends
-// before the viewer confirmed it is sent again on another one from the same address, or on the next one that comes.
+// notify informs a viewer that its session is over. A session is not bound to a connection: a notice whose connection
+// ends before the viewer confirms it is sent again on another one from the same address, or on the next one opened
+// from there.
 func (v *viewerConns) notify(m *notice) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -65,7 +67,7 @@
 	v.sendNotices(address)
 }
 
-// sendNotices hands what waits for the viewers of an address to their connections. The caller holds the lock.
+// sendNotices queues the notices that wait for the viewers of an address on their connections. The caller holds v.mu.
 func (v *viewerConns) sendNotices(address string) {
 	pending := v.pendingNotices[address]
 	if pending == nil || !pending.HasWaiting() {
@@ -77,7 +79,7 @@
 		if !conn.out.enqueue(m.appendTo) {
 			conn = v.bestConnFrom(address)
 			if conn == nil || !conn.out.enqueue(m.appendTo) {
-				v.node.Log.Debug("no connection for a notice, it waits", "session", m.id, "from", address)
+				v.node.Log.Debug("no connection from the viewer's address; notice stays queued", "session", m.id, "from", address)
 				continue
 			}
 		}
@@ -89,15 +91,15 @@
 	}
 }
 
-// firstMessage sends a viewer that has come back what it was not told meanwhile.
+// sendNoticesTo sends the viewer of a new connection the notices that waited for a connection from its address.
 func (v *viewerConns) sendNoticesTo(c *viewerConn) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.sendNotices(c.remoteHost)
 }
 
-// connectionFrom is the connection from an address on which a notice is most likely read; nil if there is none. One that
-// has not sent a whole message yet may belong to anybody.
+// bestConnFrom returns the connection from an address whose viewer is most likely to read a notice; nil if there is
+// none. Connections that have not sent a complete message yet are skipped: their client is unknown.
 func (v *viewerConns) bestConnFrom(address string) (best *viewerConn) {
 	rank, now := rankSilent, time.Now()
 	for c := range v.conns {
@@ -111,7 +113,7 @@
 	return best
 }
 
-// confirmNotice forgets a notice that its viewer has answered.
+// confirmNotice removes a notice that its viewer has confirmed.
 func (v *viewerConns) confirmNotice(address, id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -121,7 +123,7 @@
 	}
 }
 
-// resendNotices sends again what may have been lost with a connection. The caller holds the lock.
+// resendNotices sends the notices again that may have been lost with a connection. The caller holds v.mu.
 func (v *viewerConns) resendNotices(ended *viewerConn) {
 	pending := v.pendingNotices[ended.remoteHost]
 	if pending == nil || v.closed {
@@ -129,7 +131,7 @@
 	}
 	if resent := pending.ConnectionEnded(ended.id, v.node.now()); resent > 0 {
 		v.node.nearMisses.noticesResent.Add(int64(resent))
-		v.node.Log.Debug("notices lost with their connection", "from", ended.remoteHost, "notices", resent)
+		v.node.Log.Debug("resending notices that may be lost with their connection", "from", ended.remoteHost, "notices", resent)
 		v.sendNotices(ended.remoteHost)
 	}
 	v.dropEmptyNotices(ended.remoteHost)
@@ -141,14 +143,14 @@
 	}
 }
 
-// expireNotices forgets notices that are too old to be of use.
+// expireNotices removes notices that have exceeded their lifetime.
 func (v *viewerConns) expireNotices() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for address, pending := range v.pendingNotices {
 		for _, id := range pending.Expire(v.node.now()) {
 			v.node.nearMisses.noticesExpired.Add(1)
-			v.node.Log.Warn("viewer not told of its session's end: it opened no connection", "session", id, "from", address)
+			v.node.Log.Warn("viewer not notified of its session's end: it opened no connection in time", "session", id, "from", address)
 		}
 		v.dropEmptyNotices(address)
 	}
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -8,27 +8,28 @@
 
 const optionsRequest = "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n"
 
-// endServed has a server end a session.
+// endSession ends a served session at its server.
 func (m said) endSession() {
 	m.on.say(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, m.ID, jsonlines.CauseEnd)
 }
 
-// confirm answers a release, as usual viewers do.
+// confirmRelease answers a release as a viewer does.
 func (d *dialogue) confirmRelease(id string) {
 	d.say("RTSP/1.0 200 OK\r\nCSeq: 2\r\nSession: " + id + "\r\nContent-Length: 0\r\n\r\n")
 }
 
-// heldNotices is how many notices the node holds for all viewers.
-func (r *rig) pendingNoticeCount() (held int) {
+// pendingNoticeCount returns the number of unconfirmed notices for all viewers.
+func (r *rig) pendingNoticeCount() (count int) {
 	r.viewerConns.mu.Lock()
 	defer r.viewerConns.mu.Unlock()
 	for _, pending := range r.viewerConns.pendingNotices {
-		held += pending.Len()
+		count += pending.Len()
 	}
-	return held
+	return count
 }
 
-// TestNoticeWithoutConnection: a viewer that has no connection when its session ends is told on the next one.
+// TestNoticeWaitsForConnection checks that a viewer without a connection at its session's end is notified on the next
+// one.
 func TestNoticeWaitsForConnection(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
@@ -38,7 +39,7 @@
 	v.want(idA, 200)
 	n.agree(1)
 	_ = v.Close()
-	eventually(t, "the connection over", func() bool {
+	eventually(t, "the connection closed", func() bool {
 		n.viewerConns.mu.Lock()
 		defer n.viewerConns.mu.Unlock()
 		return len(n.viewerConns.conns) == 0
@@ -49,11 +50,11 @@
 	back.wantRelease(idA, "cause=16")
 	back.want("", 200)
 	back.confirmRelease(idA)
-	eventually(t, "the notice forgotten", func() bool { return n.pendingNoticeCount() == 0 })
+	eventually(t, "the notice removed", func() bool { return n.pendingNoticeCount() == 0 })
 }
 
-// TestNoticeCrossesClose: a notice is handed to a connection which ends before the viewer has confirmed it. It is sent
-// again on another connection of the viewer, and one that was confirmed is not.
+// TestUnconfirmedNoticeIsResent checks that a notice whose connection ends before the viewer confirms it is sent again
+// on another connection of the viewer, and that a confirmed one is not.
 func TestUnconfirmedNoticeIsResent(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
@@ -72,7 +73,7 @@
 	first.confirmRelease(idA)
 	eventually(t, "the notice confirmed", func() bool { return n.pendingNoticeCount() == 0 })
 	opened[1].endSession()
-	eventually(t, "the notice handed over", func() bool { return n.pendingNoticeCount() == 1 })
+	eventually(t, "the notice queued on the connection", func() bool { return n.pendingNoticeCount() == 1 })
 	_ = first.Close()
 	second.wantRelease(idB, "cause=16")
 	second.confirmRelease(idB)
@@ -80,43 +81,44 @@
 	second.silent()
 }
 
-// TestUnwrittenAnswerIsNotEvicted: a connection whose answer is not written yet ranks with those that wait for one.
+// TestConnWithUnwrittenAnswerIsNotEvicted checks that a connection with an unwritten answer or a message in progress
+// has the same eviction rank as one that awaits an answer.
 func TestConnWithUnwrittenAnswerIsNotEvicted(t *testing.T) {
 	n := startNode(t, newBox(t, "s-1", ready))
 	v := n.dial().say(optionsRequest)
 	v.want("", 200)
 	var c *viewerConn
 	n.viewerConns.mu.Lock()
-	for o := range n.viewerConns.conns {
-		c = o
+	for only := range n.viewerConns.conns {
+		c = only
 	}
 	n.viewerConns.mu.Unlock()
-	eventually(t, "all written", func() bool { return !c.out.isWriting() })
+	eventually(t, "all output written", func() bool { return !c.out.isWriting() })
 	if rank, _ := c.rankForEviction(c.openedAt.Add(testFor)); rank != rankUnused {
-		t.Errorf("rank %d of a connection without use", rank)
+		t.Errorf("rank %d for an unused connection", rank)
 	}
 	c.out.mu.Lock()
-	c.out.writing = true // its writer has not come to it
+	c.out.writing = true // the writer has not written the answer yet
 	c.out.mu.Unlock()
 	if rank, _ := c.rankForEviction(c.openedAt.Add(testFor)); rank != rankAwaitingAnswer {
-		t.Errorf("rank %d of a connection with an unwritten answer", rank)
+		t.Errorf("rank %d for a connection with an unwritten answer", rank)
 	}
 	c.out.mu.Lock()
 	c.out.writing = false
 	c.out.mu.Unlock()
 	c.mu.Lock()
-	c.handlingMessage = true // its reader has a message in hand
+	c.handlingMessage = true // the reader is handling a message
 	c.mu.Unlock()
 	if rank, _ := c.rankForEviction(c.openedAt.Add(testFor)); rank != rankAwaitingAnswer {
-		t.Errorf("rank %d of a connection with a message that is being handled", rank)
+		t.Errorf("rank %d for a connection with a message in progress", rank)
 	}
 	c.mu.Lock()
 	c.handlingMessage = false
 	c.mu.Unlock()
 }
 
-// TestReleaseToServerCrossesClose: a viewer ends its session as the connection to the server ends. The release that was
-// written on it goes on the next one too, which is opened for it.
+// TestReleaseToServerIsResent covers a connection to a server that ends just after a viewer's release was written on
+// it. The node opens another connection and sends the release again.
 func TestReleaseToServerIsResent(t *testing.T) {
 	b := newBox(t, "s-1", ready)
 	n := startNode(t, b)
@@ -126,12 +128,12 @@
 	v.say(tearDown(idA))
 	first := b.next(t, jsonlines.TypeClose)
 	if first.ID != idA || first.Cause() != jsonlines.CauseCancelled {
-		t.Fatalf("%+v", first.Message)
+		t.Fatalf("got %+v, want the release of the session", first.Message)
 	}
 	_ = first.on.Close()
 	second := b.next(t, jsonlines.TypeClose)
 	if second.ID != idA || second.on == first.on {
-		t.Errorf("%+v", second.Message)
+		t.Errorf("got %+v, want the release again, on another connection", second.Message)
 	}
 	n.agree(0)
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -11,45 +11,46 @@
 	"rainpulley/internal/liveness"
 )
 
-// pool carries the module's actions to servers over JSON lines. A connection carries one set-up at a time, so
-// that what spoils it ends no other; it goes back when the answer is there. One connection to each server with
-// sessions is kept up, for what concerns them: they are tied to none. To other servers a connection is opened when a
-// set-up needs it: hundreds of front nodes that all keep one to every server would use up what servers accept. Where
-// more servers have sessions than connections may be open, they take turns (see reserve.go).
+// pool carries out the controller's actions at servers, over connections that carry JSON lines. A connection carries
+// one set-up at a time, so that a broken connection fails no other set-up; it returns to the pool with the answer. One
+// connection to each server with sessions is kept open for messages about them, since sessions are not bound to a
+// connection. Connections to other servers are opened when a set-up needs them: if hundreds of front nodes each kept
+// one to every server, they would exhaust what servers accept. If more servers have sessions than connections may be
+// open, the servers share the connections in turn (see reserve.go).
 type pool struct {
 	node     *Node
-	maxConns int // connections to all servers
+	maxConns int // limit for all servers together
 
 	mu         sync.Mutex
 	servers    map[string]*server
-	connCount  int                      // open, on their way up, and retired ones until their descriptor is free
-	lastConnID delivery.ConnectionID    // the last connection's
-	retired    map[*serverConn]struct{} // out of use, to be closed when what was written is on its way
-	probeCount uint64                   // sent so far
-	closed     bool                     // no connection is opened any more
+	connCount  int                      // open and connecting, and retired ones until their descriptor is free
+	lastConnID delivery.ConnectionID    // id of the connection opened last
+	retired    map[*serverConn]struct{} // out of use, closed once their queue is flushed
+	probeCount uint64                   // probes sent so far
+	closed     bool                     // no further connections are opened
 
 	readers sync.WaitGroup
 }
 
-// server is one listed server, or one that has gone and still has sessions.
+// server is a listed server, or a removed one that still has sessions.
 type server struct {
 	id, addr         string
 	state            control.ServerState
 	started          time.Duration
 	conns            []*serverConn // open
-	idleConns        []*serverConn // of them, those without a set-up; the last was used last
+	idleConns        []*serverConn // those of conns without a set-up, the most recently used last
 	unconnectedSince time.Duration
 	activeSessions   map[string]bool
-	abandonedSetUps  map[string]bool // set-ups whose connection broke: they may run, and nobody wants them
-	heldReleases     map[string]bool // of them, or given up, those whose request is still open: see holdRelease
+	abandonedSetUps  map[string]bool // set-ups whose connection broke: they may still run, unused
+	heldReleases     map[string]bool // abandoned or given-up set-ups whose request is still open: see holdRelease
 	detector         liveness.Detector
-	pendingReleases  *delivery.Pending[struct{}] // of sessions that the server need not run any more
-	earlyEnds        map[string]earlyEnd         // of sessions that this node does not know yet
-	reconnectAt      time.Duration               // a connection ended, maybe with a release on it: from then on another one tells it again
+	pendingReleases  *delivery.Pending[struct{}] // for sessions that the server no longer needs to run
+	earlyEnds        map[string]earlyEnd         // ends of sessions that this node does not know yet
+	reconnectAt      time.Duration               // if set, a connection ended and may have lost a release; a new connection is due at this time
 }
 
-// earlyEnd is a server's word that a session is over, ahead of the session itself: after a restart it may come on a
-// connection that was opened for another one, and it is said once.
+// earlyEnd is a server's report that a session has ended, received before this node knows the session. After a restart
+// it may arrive on a connection that was opened for another session, and servers send it only once.
 type earlyEnd struct {
 	outcome    control.Outcome
 	load       *control.LoadReport
@@ -57,13 +58,14 @@
 }
 
 const (
-	// releaseLifetime is how long a server is told that a session need not run. After that the session has most
+	// releaseLifetime is how long delivery of a release to a server is attempted. After that the session has most
 	// likely ended by itself.
 	releaseLifetime = 30 * time.Second
-	// releaseDoubt is how long a release may be on its way: a connection that ends within it may have lost it.
+	// releaseDeliveryWindow is how long a release may be in transit: a connection that ends within it may have lost
+	// it.
 	releaseDeliveryWindow = writeTimeout + time.Second
 
-	maxEarlyEnds    = 4096 // of one server; each is kept for a short time only
+	maxEarlyEnds    = 4096 // per server; each is kept for earlyEndTimeout
 	earlyEndTimeout = 5 * time.Second
 )
 
@@ -71,7 +73,8 @@
 	return &pool{node: n, maxConns: connLimit, servers: map[string]*server{}, retired: map[*serverConn]struct{}{}}
 }
 
-// update takes a change of the list. Under a new address an id is another server; so is one that has started anew.
+// applyList applies a change of the server list, or a whole list. A server with a new address or a later start time is
+// a different instance: the sessions of the previous one are lost.
 func (p *pool) applyList(entries []control.Server, addr map[string]string, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,12 +95,12 @@
 		s.state = e.State
 		if a := addr[e.ID]; a != "" && a != s.addr {
 			if s.addr != "" {
-				p.loseSessions(s, "new address")
+				p.loseSessions(s, "server address changed")
 			}
 			s.addr = a
 		}
 		if e.Started > s.started && s.started > 0 {
-			p.loseSessions(s, "started anew")
+			p.loseSessions(s, "server restarted")
 		}
 		s.started = max(s.started, e.Started)
 	}
@@ -112,9 +115,9 @@
 	return s
 }
 
-// loseReplaced ends the sessions of servers that have gone and whose address another listed server has got.
+// loseReplacedServers ends the sessions of removed servers whose address now belongs to another listed server.
 func (p *pool) loseReplacedServers() {
-	gone := map[string][]*server{} // by address; few, where a list may be long
+	gone := map[string][]*server{} // by address; few servers, while the list may be long
 	for _, s := range p.servers {
 		if s.state == control.Gone {
 			gone[s.addr] = append(gone[s.addr], s)
@@ -128,18 +131,18 @@
 			continue
 		}
 		for _, replaced := range gone[s.addr] {
-			p.loseSessions(replaced, "its address is another's")
+			p.loseSessions(replaced, "address reassigned to another server")
 		}
 	}
 }
 
-// tidy forgets servers that have gone and run nothing any more.
+// removeGoneServers deletes removed servers that have no work left.
 func (p *pool) removeGoneServers() {
 	for id, s := range p.servers {
 		busy := len(s.activeSessions) > 0 || len(s.heldReleases) > 0 || s.pendingReleases.HasWaiting() || len(s.idleConns) < len(s.conns) || s.detector.CheckInProgress()
 		if s.state == control.Gone && !busy {
 			for len(s.conns) > 0 {
-				p.retireConn(s.conns[0]) // a release may wait on it
+				p.retireConn(s.conns[0]) // flushes a release that may still be queued on it
 			}
 			delete(p.servers, id)
 		}
@@ -152,10 +155,10 @@
 	}
 }
 
-// lose ends all sessions of a server that no longer runs them.
+// loseSessions ends all sessions of a server that no longer runs them.
 func (p *pool) loseSessions(s *server, reason string) {
 	p.closeServerConns(s)
-	s.pendingReleases = delivery.New[struct{}](releaseLifetime, releaseDeliveryWindow) // nothing runs there that could be released
+	s.pendingReleases = delivery.New[struct{}](releaseLifetime, releaseDeliveryWindow) // no session is left to release
 	s.reconnectAt = 0
 	clear(s.heldReleases)
 	if len(s.activeSessions) == 0 {
@@ -167,13 +170,13 @@
 	}
 	clear(s.activeSessions)
 	p.node.Log.Info("sessions lost", "server", s.id, "sessions", len(ids), "why", reason)
-	go p.node.orchestrator.SessionsLost(s.id, ids) // not under the lock: the owner's goroutine takes it too
+	go p.node.orchestrator.SessionsLost(s.id, ids) // outside the lock, which the orchestrator's goroutine takes too
 }
 
-// belief is how many sessions run at a server, set-ups too.
+// sessionCounts is the number of sessions and set-ups at a server, as counted by the controller and on the sockets.
 type sessionCounts struct{ controller, sockets int }
 
-// believed compares for each server what the module believes with what was opened on the sockets.
+// countSessions returns for each server the controller's count and the count of what was opened on the sockets.
 func (p *pool) countSessions(controllerCount func(string) int) map[string]sessionCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,15 +187,16 @@
 	return out
 }
 
-// adopt counts a session that a server runs already, and tells how it ended if the server has said so. A server that no
-// list names is checked like one that was removed: nobody else would ever end its sessions.
+// adopt records a session that a server runs already. If the server has reported the session's end, adopt returns that
+// end and true instead. A server that no list names is checked like a removed one: otherwise its sessions would never
+// end.
 func (p *pool) adopt(id, serverID string) (end earlyEnd, ended bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.servers[serverID]
 	if s == nil {
-		s = p.addServer(serverID, p.node.now()) // gone, without an address
-		p.node.Log.Debug("session at an unknown server", "session", id, "server", serverID)
+		s = p.addServer(serverID, p.node.now()) // its state is Gone, and it has no address
+		p.node.Log.Debug("adopting session at an unlisted server", "session", id, "server", serverID)
 	}
 	if end, ended = s.earlyEnds[id]; ended {
 		delete(s.earlyEnds, id)
@@ -202,8 +206,8 @@
 	return earlyEnd{}, false
 }
 
-// Release tells a server that it need not run a session any more, on any connection: on the next one, if none is
-// open.
+// Release notifies a server, on any connection, that it need not run a session any longer. If no connection is open,
+// the release is sent on the next one.
 func (p *pool) Release(id, serverID string, _ int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,7 +217,7 @@
 	}
 	wasActive := s.activeSessions[id]
 	if !wasActive && !s.abandonedSetUps[id] {
-		return // the set-up was given up or refused: nothing of it runs
+		return // the set-up was given up or refused: the server runs nothing for it
 	}
 	delete(s.activeSessions, id)
 	delete(s.abandonedSetUps, id)
@@ -225,14 +229,16 @@
 	p.sendReleases(s)
 }
 
-// holdRelease has a server told to give an attempt up once the request is over. All attempts of a request have one id, and
-// a later one may go to the same server: a release that comes behind it, on another connection, would end its session.
+// holdRelease delays the release of an attempt until its request is over. All attempts of a request share one id, and
+// a later one may go to the same server: a release that arrives after it, on another connection, would end its
+// session.
 func (p *pool) holdRelease(s *server, id string) {
 	s.heldReleases[id] = true
 	p.queueHeldReleases(s)
 }
 
-// releaseHeld says the releases that are held no longer: their requests are over, and nothing of them runs at the server.
+// queueHeldReleases queues the held releases whose requests are over, unless the server runs a session under the same
+// id.
 func (p *pool) queueHeldReleases(s *server) {
 	for id := range s.heldReleases {
 		if p.node.awaitsAnswer(id) {
@@ -246,7 +252,8 @@
 	p.sendReleases(s)
 }
 
-// sendReleases hands what waits for a server to one of its connections. Without one, watch has one opened.
+// sendReleases writes the releases that wait for a server to one of its connections. If there is none, checkServers
+// opens one.
 func (p *pool) sendReleases(s *server) {
 	if !s.pendingReleases.HasWaiting() {
 		return
@@ -257,13 +264,13 @@
 	}
 	for _, m := range s.pendingReleases.Waiting() {
 		if !l.send(jsonlines.TypeClose, m.Key, nil, jsonlines.CauseCancelled, "") {
-			return // the connection is ending: what waits goes on the next one
+			return // the connection is closing: the rest is sent on the next one
 		}
 		s.pendingReleases.MarkSent(m.Key, l.id, p.node.now())
 	}
 }
 
-// SetRung tells a server the rung of a session that plays.
+// SetRung sends a server the rung of a playing session.
 func (p *pool) SetRung(a core.Attempt, rung int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -274,8 +281,8 @@
 	}
 }
 
-// Subscribe, ReadList and Tell have no place on this platform: lists are pushed to every front node, and nothing tells
-// the addresses of others (New has the module know that it has no peers).
+// Subscribe, ReadList and Tell do nothing on this platform: the coordinator pushes the list to every front node, and
+// the addresses of other front nodes are not available (New therefore disables messages to peers).
 func (p *pool) Subscribe()       {}
 func (p *pool) ReadList()        {}
 func (p *pool) Tell(int, string) {}
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -10,8 +10,9 @@
 	"rainpulley/internal/jsonlines"
 )
 
-// Probe tests a server, where the settings allow it, and tells the module what came of it. A test is a set-up's like on
-// its connection: one at a time, given up after as long as a connection may take to come up.
+// Probe probes a server and reports the result to the controller. A probe occupies its connection like a set-up. It
+// fails if connecting and answering together take longer than ConnectTimeout plus probeTimeout. The controller asks for
+// probes only where the settings allow them.
 func (p *pool) Probe(id string) {
 	p.mu.Lock()
 	s := p.servers[id]
@@ -50,15 +51,15 @@
 	case <-ctx.Done():
 		p.mu.Lock()
 		select {
-		case r = <-l.results: // the answer crossed
+		case r = <-l.results: // the answer arrived just before
 		default:
 			r.Outcome = control.TimedOut
 			l.activeID, l.isProbe = "", false
 		}
-		p.retireConn(l) // a late answer finds nobody
+		p.retireConn(l) // a late answer on it is ignored
 		p.mu.Unlock()
 	}
 	return r.Outcome == control.Served, r.Load
 }
 
-const probeTimeout = 250 * time.Millisecond // for the answer, behind the connection
+const probeTimeout = 250 * time.Millisecond // time for the answer, in addition to connecting
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -10,14 +10,14 @@
 	"rainpulley/internal/rtsp"
 )
 
-// relay is a proxy between viewers and a node that can end either side of a connection by itself.
+// relay is a TCP proxy between viewers and a node. Tests can close either side of a connection independently.
 type relay struct {
 	net.Listener
-	dialMu   sync.Mutex // one at a time, so that what is taken is what was dialled
+	dialMu   sync.Mutex // serializes dials, so that each accepted pair belongs to the dial in progress
 	accepted chan *relayedConn
 }
 
-// relayed is one connection through a relay.
+// relayedConn is the pair of TCP connections that make up one connection through a relay.
 type relayedConn struct {
 	client, node *net.TCPConn
 }
@@ -47,7 +47,7 @@
 			running.Go(func() { _, _ = io.Copy(pair.node, pair.client) })
 			running.Go(func() {
 				_, _ = io.Copy(pair.client, pair.node)
-				_, _ = io.Copy(io.Discard, pair.node) // the client's side has ended: what comes is lost
+				_, _ = io.Copy(io.Discard, pair.node) // the client's side is closed: discard the rest
 			})
 			r.accepted <- pair
 		}
@@ -68,10 +68,10 @@
 	return &dialogue{c, t, rtsp.NewReader(bufio.NewReaderSize(c, 4<<10))}, <-r.accepted
 }
 
-// endings are the ways in which the node's side of a connection ends.
+// connEndings are the ways in which the node's side of a connection ends, by name.
 var connEndings = map[string]func(node *net.TCPConn){
 	"close":     func(node *net.TCPConn) { _ = node.Close() },
 	"reset":     func(node *net.TCPConn) { _ = node.SetLinger(0); _ = node.Close() },
 	halfClose:   func(node *net.TCPConn) { _ = node.CloseWrite() },
-	"no ending": func(*net.TCPConn) {}, // the node never hears of it
+	"no ending": func(*net.TCPConn) {}, // the node does not detect the end
 }
--- a/internal/node/shortage_test.go
+++ b/internal/node/shortage_test.go
@@ -10,14 +10,15 @@
 	"time"
 )
 
-// TestNoDescriptor: a dial for which this side has no descriptor says nothing of the server, and a session there stays.
+// TestDialWithoutDescriptor checks that a dial that fails for lack of a local descriptor does not count against the
+// server, and that a session there continues.
 func TestDialWithoutDescriptor(t *testing.T) {
 	b := newBox(t, "s-1", ready)
-	full := make(chan struct{})
+	available := make(chan struct{})
 	n := startGated(t, func(n *Node) {
 		n.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
 			select {
-			case <-full:
+			case <-available:
 				return dialTCP(ctx, addr, within)
 			default:
 				return nil, &net.OpError{Op: "dial", Err: syscall.EMFILE}
@@ -27,14 +28,14 @@
 	v := n.dial().say(setUp(idA, "free", ";at:s-1"))
 	n.agree(1)
 	n.dial().say(setUp(idB, "paid", "")).want(idB, 453)
-	close(full)
-	n.dial().say(setUp(idC, "paid", "")).want(idC, 200) // nothing speaks against the server
+	close(available)
+	n.dial().say(setUp(idC, "paid", "")).want(idC, 200) // the server is not considered faulty
 	v.silent()
 	n.agree(2)
 }
 
-// TestAcceptWithoutDescriptor: when accept finds no descriptor free, the connection that is least missed makes room;
-// who waits for an answer stays.
+// TestAcceptWithoutDescriptor checks that the least valuable connection is evicted when accept finds no free
+// descriptor, and that a connection that awaits an answer stays.
 func TestAcceptWithoutDescriptor(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	acceptErrors := make(chan error, 8)
@@ -42,7 +43,7 @@
 	v := n.dial().say(setUp(idA, "paid", ""))
 	m := b.next(t, "open")
 	silent := n.dial()
-	eventually(t, "taken", func() bool {
+	eventually(t, "both connections accepted", func() bool {
 		n.viewerConns.mu.Lock()
 		defer n.viewerConns.mu.Unlock()
 		return len(n.viewerConns.conns) == 2
@@ -50,11 +51,11 @@
 	for range 3 {
 		acceptErrors <- &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
-	n.dial() // what accept waits in is over; the next ones fail
-	eventually(t, "all failures met", func() bool { return len(acceptErrors) == 0 })
+	n.dial() // completes the blocked accept call; the next calls fail
+	eventually(t, "all accept errors returned", func() bool { return len(acceptErrors) == 0 })
 	last := n.dial().say(setUp(idB, "free", ""))
 	if _, err := silent.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the silent one: %v", err)
+		t.Errorf("read on the silent connection: %v, want EOF", err)
 	}
 	ready(m)
 	v.want(idA, 200)
@@ -62,7 +63,7 @@
 	last.want(idB, 200)
 }
 
-// shortListener fails to accept as told.
+// failingListener returns queued errors from Accept before it accepts connections.
 type failingListener struct {
 	net.Listener
 	errors chan error
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// isClosed tells whether a channel is closed.
+// isClosed reports whether a channel is closed.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -16,24 +16,26 @@
 	}
 }
 
-// leave ends a front node's service. What still arrives is served, and sessions play on: they end with the node
-// that holds them. It goes shortly before it may be killed, and then only what is not answered by its deadline fails.
+// waitBeforeShutdown delays the shutdown. Requests that still arrive are served, and sessions keep playing, since they
+// end with the node that holds them. The node exits shortly before it may be killed, so that only requests with a
+// deadline after that fail.
 func (n *Node) waitBeforeShutdown() {
-	n.Log.Info("leaving")
+	n.Log.Info("shutting down")
 	time.Sleep(n.shutdownDelay())
 }
 
-// staysFor is how long after SIGTERM the node stays: most of what arrives has its deadline by then, and the earliest
-// kill is not near. Where all deadlines are short it stays until the last requests have come: one that found nobody
-// listening would be lost.
+// shutdownDelay returns how long the node keeps serving after SIGTERM. By then the deadlines of most requests have
+// passed, and shutdownMargin is left before the earliest kill. If all deadlines are short, the node stays until the
+// last requests have arrived: a request that finds no listener would be lost.
 func (n *Node) shutdownDelay() time.Duration {
 	return max(n.ArrivalWindow+n.longestDeadline()-shutdownMargin, n.ArrivalWindow-lastArrivalMargin)
 }
 
-// maxCountedDeadline is what the platform takes for a longer deadline when it says when a node may be killed.
+// maxCountedDeadline caps a class's deadline where the platform computes the earliest time at which a node may be
+// killed.
 const maxCountedDeadline = 3 * time.Second
 
-// longest is the longest deadline of a class, as the platform counts it.
+// longestDeadline returns the longest deadline of all classes, capped as the platform does.
 func (n *Node) longestDeadline() (d time.Duration) {
 	for _, k := range n.Config.Set.Classes {
 		d = max(d, k.Deadline)
@@ -41,7 +43,8 @@
 	return min(d, maxCountedDeadline)
 }
 
-// shutDown ends everything in the order in which nothing that is owed is lost: requests, servers, the owner, viewers.
+// shutDown stops all parts of the node in the order in which no pending message is lost: requests, connections to
+// servers, the orchestrator, connections to viewers.
 func (n *Node) shutDown(listener net.Listener, serveDone <-chan struct{}, stopOrchestrator context.CancelFunc, orchestratorDone <-chan struct{}) {
 	n.viewerConns.shuttingDown.Store(true)
 	n.viewerConns.stopListening(listener)
@@ -49,12 +52,13 @@
 	pollUntil(backlogTimeout, func() bool { return isClosed(serveDone) })
 	_ = listener.Close()
 	<-serveDone
-	// Servers first: what they have said is passed on, what they say from now on they keep for the next instance. With the
-	// owner stopped first, releases that came in the last moments were heard and told nobody (seen: 35 sessions in 279 restarts).
+	// Connections to servers are closed before the orchestrator stops: messages received so far are passed on, and
+	// servers keep later ones for the next instance. With the orchestrator stopped first, releases received in the
+	// last moments were not forwarded to viewers (observed for 35 sessions in 279 restarts).
 	n.pool.shutDown()
 	stopOrchestrator()
 	<-orchestratorDone
 	n.viewerConns.closeAll()
 	n.goroutines.Wait()
-	n.Log.Info("ended", "sessions", n.orchestrator.Stats.Open.Load(), "near", &n.nearMisses)
+	n.Log.Info("shutdown complete", "sessions", n.orchestrator.Stats.Open.Load(), "near", &n.nearMisses)
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -15,10 +15,10 @@
 
 const (
 	watchInterval = 200 * time.Millisecond
-	checkTimeout  = 1200 * time.Millisecond // a handshake that got lost is sent again after a second (RFC 6298)
+	checkTimeout  = 1200 * time.Millisecond // exceeds the 1 s after which a lost SYN is retransmitted (RFC 6298)
 )
 
-// every calls do at once and then at each interval, until ctx ends.
+// runEvery calls fn at once and then at each interval, until ctx ends.
 func runEvery(ctx context.Context, interval time.Duration, fn func()) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -32,11 +32,12 @@
 	}
 }
 
-// watch holds one connection to each server with sessions: it looks at all servers once. Those that need a connection get one in the order in which they lost their last.
+// checkServers checks all servers once, and keeps one connection open to each server with sessions. Servers without
+// any connection come first, in the order in which they lost their last one.
 func (p *pool) checkServers(ctx context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed { // what a server said on a connection that nobody reads would be lost for the next instance
+	if p.closed { // a message on a connection that nothing reads would be lost to the next instance of this node
 		return
 	}
 	now := p.node.now()
@@ -52,7 +53,7 @@
 		case liveness.Check:
 			due = append(due, s)
 		case liveness.Lost:
-			p.loseSessions(s, "no connection comes up")
+			p.loseSessions(s, "server unreachable")
 		}
 	}
 	slices.SortFunc(due, func(a, b *server) int {
@@ -69,7 +70,8 @@
 	p.removeGoneServers()
 }
 
-// verdict asks the failure detector of a server with sessions. One whose connection ended has another opened anyway.
+// nextVerdict returns the failure detector's verdict on a server with sessions. It also returns Check if a scheduled
+// reconnect is due.
 func (p *pool) nextVerdict(s *server, now time.Duration) liveness.Verdict {
 	verdict := s.detector.Next(now, p.node.Config.Set.LinkNoteInterval, len(s.conns), s.state != control.Gone)
 	if verdict == liveness.Wait && s.reconnectAt > 0 && now >= s.reconnectAt && s.detector.BeginCheck(now) {
@@ -78,11 +80,11 @@
 	return verdict
 }
 
-// expire forgets what a server need not be told, and what it told, any more.
+// expire drops releases that have waited for too long, and session ends that no adoption has claimed in time.
 func (p *pool) expire(s *server, now time.Duration) {
 	for _, id := range s.pendingReleases.Expire(now) {
 		p.node.nearMisses.releasesExpired.Add(1)
-		p.node.Log.Warn("server not told to end a session: no connection came up", "session", id, "server", s.id)
+		p.node.Log.Warn("release not delivered to server: no connection could be established in time", "session", id, "server", s.id)
 	}
 	for id, e := range s.earlyEnds {
 		if now-e.receivedAt > earlyEndTimeout {
@@ -91,9 +93,10 @@
 	}
 }
 
-// check tries to connect with the connection reserved for it, a second time beside the first where that does not come
-// up as fast as settings say: one lost handshake, or one that comes late, proves nothing (seen: two late ones in a row,
-// and sessions that played on were released). A connection that comes up is kept.
+// checkServer checks whether a server accepts a connection, in the slot reserved for it. If the first dial takes
+// longer than ConnectTimeout, a second one starts in parallel: a single lost or late handshake is no evidence of a
+// failure. Observed: after two late handshakes in a row, sessions that were still playing were released. A connection
+// that is established is kept.
 func (p *pool) checkServer(ctx context.Context, s *server) {
 	var second sync.WaitGroup
 	defer second.Wait()
@@ -115,15 +118,15 @@
 	}
 }
 
-// tryOnce dials on a reserved connection. It tells whether the try has a result already that a second one would not
-// change.
+// dialForCheckOnce dials in a reserved slot. It reports whether the result is conclusive, so that a second dial would
+// not change it.
 func (p *pool) dialForCheckOnce(ctx context.Context, s *server) bool {
 	l, err := p.dial(ctx, s, checkTimeout, dialForCheck)
 	if err == nil {
 		p.putBack(l)
 		return true
 	}
-	p.node.Log.Debug("no connection", "server", s.id, "error", err)
+	p.node.Log.Debug("no connection to server", "server", s.id, "error", err)
 	if errors.Is(err, errNoSlot) || errors.Is(err, errLocal) || errors.Is(err, errServerChanged) || ctx.Err() != nil {
 		p.mu.Lock()
 		s.detector.DiscardCheck(p.node.now())
