--- a/internal/planner/copies.go
+++ b/internal/planner/copies.go
@@ -18,31 +18,33 @@
 
 const (
 	copyInterval          = 250 * time.Millisecond
-	titleListInterval     = 5 * time.Second // a box's titles are read so often at the least: who plays what shifts
+	titleListInterval     = 5 * time.Second // longest time between reads of a box's titles: session counts change
 	driftInterval         = 10 * time.Second
 	driftHalfLife         = 2 * time.Minute
-	driftHorizon          = 10 * time.Minute // what a copy gains by drift is reckoned over this
+	driftHorizon          = 10 * time.Minute // the gain of a drift copy is estimated over this time
 	copyCommandTimeout    = 2 * time.Second
-	maxConcurrentCommands = 64 // under way at once
-	copyTimeMargin        = 0.8
+	maxConcurrentCommands = 64
+	copyTimeMargin        = 0.8 // share of the available time that copies are planned to take
 )
 
-// copyBoard is the planner's side of copies; guarded by Planner.mu. manager is nil where nobody manages.
+// copyState is the planner's state of title copies; guarded by Planner.mu. manager is nil where the site does not
+// have copies managed.
 type copyState struct {
 	manager        *copies.Manager
 	decisions      *mapping.Board
 	drift          *mapping.Drift
-	titleSizes     map[string]float64 // of titles, as boxes tell
-	lastChoice     mapping.Choice     // the last
+	titleSizes     map[string]float64 // kB, as boxes report them
+	lastChoice     mapping.Choice
 	lastDriftAt    int64
-	driftCopies    []mapping.Copy // by drift
+	driftCopies    []mapping.Copy // wanted because of drifting popularity, without an announced peak
 	commandsSent   int
 	commandsFailed int
 }
 
 func (p *Planner) newCopyState() copyState {
 	settings := p.Site.Copies
-	state := copyState{decisions: mapping.NewBoard(), drift: mapping.NewDrift(driftHalfLife), titleSizes: map[string]float64{}}
+	state := copyState{decisions: mapping.NewBoard(), drift: mapping.NewDrift(driftHalfLife),
+		titleSizes: map[string]float64{}}
 	if settings.Managed {
 		state.manager = copies.New(copies.Rules{Least: settings.Least, AtOnce: settings.AtOnce, Share: settings.Share,
 			Grace: settings.Grace.D(), Patience: settings.Patience.D(), Backoff: settings.Backoff.D()})
@@ -50,7 +52,7 @@
 	return state
 }
 
-// titleList is a box's answer to GET /titles. Sizes in kB.
+// titleList is the body of a box's answer to GET /titles. Sizes are in kB.
 type titleList struct {
 	Boot    string       `json:"boot"`
 	Version uint64       `json:"titles_version"`
@@ -68,11 +70,13 @@
 	Error   string  `json:"error"`
 }
 
-// readTitles asks a box what it holds, where that may have changed. One that has no such list (404) holds
-// what its cells say; one that gives none at all when the planner starts counts as holding nothing, or it
-// would keep the list of all others from being published.
-func (p *Planner) refreshTitles(ctx context.Context, addr string, check HealthCheck, knownVersion *uint64, lastRead *time.Time, misses *int) {
-	if p.copyState.manager == nil || !check.Answered || *knownVersion == check.TitlesVersion+1 && time.Since(*lastRead) < titleListInterval {
+// refreshTitles reads a box's list of titles if it may have changed. A box without such a list (404) is assumed to
+// have the titles of its cell. A box that returns no valid list when the planner starts counts as having no titles;
+// otherwise it would prevent the titles of all other boxes from being published.
+func (p *Planner) refreshTitles(ctx context.Context, addr string, check HealthCheck,
+	knownVersion *uint64, lastRead *time.Time, misses *int) {
+	if p.copyState.manager == nil || !check.Answered ||
+		*knownVersion == check.TitlesVersion+1 && time.Since(*lastRead) < titleListInterval {
 		return
 	}
 	requestCtx, cancel := context.WithTimeout(ctx, p.Site.Planner.CheckFor.D())
@@ -86,14 +90,15 @@
 		if *misses++; *misses < p.Site.Planner.GoneAfter || *knownVersion > 0 {
 			return
 		}
-		p.Log.Warn("box does not tell its titles: it counts as having none", "server", addr, "error", err)
+		p.Log.Warn("reading the titles of a box failed; treating it as having none", "server", addr, "error", err)
 	}
 	*knownVersion, *lastRead, *misses = list.Version+1, time.Now(), 0
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	inventory := copies.Inventory{Boot: list.Boot, Free: list.Free, Copies: map[string]copies.Copy{}}
 	for _, t := range list.Titles {
-		inventory.Copies[t.Name] = copies.Copy{Whole: t.Whole, Copying: t.Copying, Done: t.Done, Size: t.Size, Playing: t.Playing, Error: t.Error}
+		inventory.Copies[t.Name] = copies.Copy{Whole: t.Whole, Copying: t.Copying, Done: t.Done, Size: t.Size,
+			Playing: t.Playing, Error: t.Error}
 		if t.Size > 0 && p.copyState.titleSizes[t.Name] != t.Size {
 			p.copyState.titleSizes[t.Name] = t.Size
 			p.updateManagerTitle(t.Name)
@@ -104,6 +109,7 @@
 	p.updateHolders()
 }
 
+// titlesFromCells returns the titles whose cells include the box's cell.
 func (p *Planner) titlesFromCells(addr string) (list titleList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,7 +121,7 @@
 	return list
 }
 
-// base are the boxes where a title lies at rest. p.mu is held.
+// baseBoxes returns the boxes in a title's cells, which have it permanently. p.mu is held.
 func (p *Planner) baseBoxes(t view.Title) (ids []string) {
 	for id, state := range p.monitor.boxes {
 		if n := p.Site.Cells; t.CellSpan > 0 && ((state.box.Cell-t.HomeCell)%n+n)%n < t.CellSpan {
@@ -126,7 +132,7 @@
 	return ids
 }
 
-// tellTitle brings a title's size and place at rest to the manager. p.mu is held.
+// updateManagerTitle passes a title's size and permanent boxes to the copy manager. p.mu is held.
 func (p *Planner) updateManagerTitle(name string) {
 	manager := p.copyState.manager
 	if manager == nil {
@@ -140,7 +146,7 @@
 	manager.SetTitle(copies.Title{Name: name, Size: p.copyState.titleSizes[name], Base: p.baseBoxes(t)})
 }
 
-// tellBoxes brings the watch's boxes to the manager. p.mu is held.
+// updateManagerBoxes passes the monitored boxes to the copy manager. p.mu is held.
 func (p *Planner) updateManagerBoxes() {
 	if p.copyState.manager == nil {
 		return
@@ -149,13 +155,14 @@
 	for id, b := range p.monitor.boxes {
 		if b.effectiveState() != view.StateGone {
 			link := b.box.Weight * float64(p.Site.Links.PerWeight)
-			boxes = append(boxes, copies.Box{ID: id, Ready: b.effectiveState() == view.StateReady, Link: link, Busy: b.linkUtilization * link})
+			boxes = append(boxes, copies.Box{ID: id, Ready: b.effectiveState() == view.StateReady, Link: link,
+				Busy: b.linkUtilization * link})
 		}
 	}
 	p.copyState.manager.SetBoxes(boxes)
 }
 
-// holders brings who holds what into the view. p.mu is held.
+// updateHolders sets the holders of each title in the view from the copy manager. p.mu is held.
 func (p *Planner) updateHolders() {
 	manager := p.copyState.manager
 	if manager == nil || !manager.Known() {
@@ -170,7 +177,7 @@
 	p.publishView()
 }
 
-// copying has copies made and dropped until ctx ends.
+// runCopies decides about copies and sends the commands for them to boxes until ctx ends.
 func (p *Planner) runCopies(ctx context.Context) {
 	if p.copyState.manager == nil {
 		return
@@ -189,8 +196,8 @@
 		p.mu.Lock()
 		viewPublished := p.published.Version > 0
 		p.mu.Unlock()
-		if !viewPublished { // before all boxes are known, and hours decided, a planner that restarts would give back what
-			continue // its forerunner had made for them
+		if !viewPublished { // a restarted planner that does not know all boxes yet would drop the copies that the
+			continue // previous process had made for peaks
 		}
 		p.chooseCopies()
 		p.mu.Lock()
@@ -199,7 +206,7 @@
 		p.updateWantedCopies(now)
 		commands := p.copyState.manager.Step(now)
 		p.copyState.commandsSent += len(commands)
-		p.updateHolders() // what is told no more is known before anything is dropped
+		p.updateHolders() // publishes the removal of a holder before its copy is dropped
 		p.mu.Unlock()
 		for _, c := range commands {
 			wg.Add(1)
@@ -212,7 +219,7 @@
 	}
 }
 
-// command tells a box to fetch or drop, and takes its answer.
+// sendCopyCommand sends a fetch or drop command to a box and records its answer.
 func (p *Planner) sendCopyCommand(ctx context.Context, c copies.Command) {
 	requestCtx, cancel := context.WithTimeout(ctx, copyCommandTimeout)
 	defer cancel()
@@ -245,10 +252,11 @@
 		p.copyState.commandsFailed++
 	}
 	p.mu.Unlock()
-	p.Log.Info("copy", "title", c.Title, "server", c.Box, "do", method, "from", c.From, "rate", c.Rate, "taken", answer == copies.Taken, "error", err)
+	p.Log.Info("copy command sent", "title", c.Title, "server", c.Box, "do", method, "from", c.From, "rate", c.Rate,
+		"taken", answer == copies.Taken, "error", err)
 }
 
-// tellWants tells the manager which copies are wanted beyond those at rest. p.mu is held.
+// updateWantedCopies passes to the copy manager which copies are wanted beyond the permanent ones. p.mu is held.
 func (p *Planner) updateWantedCopies(now int64) {
 	state := &p.copyState
 	state.decisions.Keep(func(id string) bool {
@@ -268,8 +276,8 @@
 	state.manager.Want(keys)
 }
 
-// copiesFor tells that copies for an hour should lie now: from ahead of it until its last viewers are through,
-// unless it is cancelled or given up. p.mu is held.
+// needsCopies reports whether the copies for a peak should exist now: from the site's lead time before its earliest
+// start until its last sessions end, unless it is cancelled or no longer expected. p.mu is held.
 func (p *Planner) needsCopies(a *peaks.Announcement, now int64) bool {
 	if a.Cancelled || now < a.Start-a.Uncertain-p.Site.Copies.Ahead.D().Milliseconds() ||
 		now > a.Start+a.Uncertain+a.Length+p.sessionLength(a).Milliseconds() {
@@ -279,7 +287,7 @@
 	return now < a.Start || follower == nil || follower.Begun() || follower.Expect(now, a, p.sessionLength(a)).Rate > 0
 }
 
-// driftCopies follows popularity by what boxes say plays. p.mu is held.
+// planDriftCopies chooses copies by the popularity of titles, as the session counts of boxes show it. p.mu is held.
 func (p *Planner) planDriftCopies(now int64) []mapping.Copy {
 	playing := p.copyState.manager.Playing()
 	p.copyState.drift.Saw(now, playing)
@@ -291,36 +299,40 @@
 	}
 	var titles []mapping.Hour
 	for name := range p.monitor.titles {
-		titles = append(titles, mapping.Hour{Title: name, Size: p.copyState.titleSizes[name], Rate: topRate, Worth: meanWorth, Plays: driftHorizon.Seconds(),
-			Zone: -1, Holders: p.baseBoxes(p.monitor.titles[name])})
+		titles = append(titles, mapping.Hour{Title: name, Size: p.copyState.titleSizes[name], Rate: topRate,
+			Worth: meanWorth, Plays: driftHorizon.Seconds(), Zone: -1, Holders: p.baseBoxes(p.monitor.titles[name])})
 	}
 	slices.SortFunc(titles, func(a, b mapping.Hour) int { return strings.Compare(a.Title, b.Title) })
 	return p.copyState.drift.Copies(boxes, disk, titles, p.copyBounds(fleet, driftHorizon.Seconds()))
 }
 
+// mappingBoxes returns the boxes of the fleet for the choice of copies, with their free disk in kB. p.mu is held.
 func (p *Planner) mappingBoxes(fleet *peaks.Fleet) (boxes []mapping.Box, disk map[string]float64) {
 	disk = map[string]float64{}
 	for _, b := range fleet.Boxes {
 		state := p.monitor.boxes[b.ID]
-		boxes = append(boxes, mapping.Box{ID: b.ID, Zone: p.Site.Zone(state.box.Zone), Rack: b.Rack, Cell: b.Cell, Link: b.Link, Busy: b.Busy,
-			Streams: max(b.Streams-b.Playing, 0)})
+		boxes = append(boxes, mapping.Box{ID: b.ID, Zone: p.Site.Zone(state.box.Zone), Rack: b.Rack, Cell: b.Cell,
+			Link: b.Link, Busy: b.Busy, Streams: max(b.Streams-b.Playing, 0)})
 		disk[b.ID] = p.copyState.manager.Free(b.ID)
 	}
 	return boxes, disk
 }
 
-// copyBounds reckons with copies as lower effort: one goes as fast as its share of the links and what viewers
-// leave of them allow, and takes nothing from them but what CopyPrice says.
+// copyBounds returns the limits for the choice of copies. Copies have lower priority than viewers: each is made at
+// the rate that its share of the links and the capacity left by viewers allow, and costs viewers only CopyPrice.
 func (p *Planner) copyBounds(fleet *peaks.Fleet, within float64) mapping.Bounds {
 	settings := p.Site.Copies
 	ratePerCopy := 0.0
 	for _, b := range fleet.Boxes {
-		ratePerCopy += max(min(settings.Share*b.Link, b.Link-b.Busy), 0) / float64(len(fleet.Boxes)*max(settings.AtOnce, 1))
+		ratePerCopy += max(min(settings.Share*b.Link, b.Link-b.Busy), 0) /
+			float64(len(fleet.Boxes)*max(settings.AtOnce, 1))
 	}
-	return mapping.Bounds{Fill: peaks.Fill, Price: fleet.CopyPrice(), Copies: settings.Most, Each: ratePerCopy, Within: copyTimeMargin * within}
+	return mapping.Bounds{Fill: peaks.Fill, Price: fleet.CopyPrice(), Copies: settings.Most, Each: ratePerCopy,
+		Within: copyTimeMargin * within}
 }
 
-// chooseCopies decides for the hours that are open. The program is solved without the lock.
+// chooseCopies chooses copies for the peaks without a valid decision. It solves the linear program without holding
+// p.mu.
 func (p *Planner) chooseCopies() {
 	p.mu.Lock()
 	now := time.Now().UnixMilli()
@@ -336,7 +348,8 @@
 	}
 	var open []peaks.Announcement
 	for _, a := range p.peakState.book.List() {
-		if p.needsCopies(&a, now) && p.copyState.decisions.Open(a.ID, a.Version, readyCount, ready) && p.copyState.manager.Known() {
+		if p.needsCopies(&a, now) && p.copyState.decisions.Open(a.ID, a.Version, readyCount, ready) &&
+			p.copyState.manager.Known() {
 			open = append(open, a)
 		}
 	}
@@ -366,12 +379,15 @@
 		p.copyState.decisions.Decide(a.ID, a.Version, readyCount, ready, choice.Copies)
 	}
 	p.copyState.lastChoice = choice
-	p.Log.Info("copies chosen", "hours", len(open), "copies", len(choice.Copies), "by", choice.By, "worth_without", choice.None,
-		"worth_greedy", choice.Greedy, "worth", choice.Best, "took", choice.Took, "within_s", bounds.Within, "each_kb_s", bounds.Each)
+	p.Log.Info("copies chosen", "hours", len(open), "copies", len(choice.Copies), "by", choice.By,
+		"worth_without", choice.None, "worth_greedy", choice.Greedy, "worth", choice.Best, "took", choice.Took,
+		"within_s", bounds.Within, "each_kb_s", bounds.Each)
 }
 
-// hour is what a title of an hour will ask, with the copies that are decided already as holders. p.mu is held.
-func (p *Planner) copyDemand(a *peaks.Announcement, name string, fleet *peaks.Fleet, ready func(string) bool) (peaks.Demand, mapping.Hour, bool) {
+// copyDemand returns the expected demand for one title of a peak. The boxes of copies that are already decided count
+// as holders. The result is false where no demand is expected. p.mu is held.
+func (p *Planner) copyDemand(a *peaks.Announcement, name string, fleet *peaks.Fleet,
+	ready func(string) bool) (peaks.Demand, mapping.Hour, bool) {
 	d, _ := p.peakDemand(a, name, a.Rate/float64(len(a.Titles)), time.Duration(a.Length)*time.Millisecond)
 	if d.Count <= 0 {
 		return d, mapping.Hour{}, false
@@ -386,7 +402,8 @@
 	d.Count = fleet.Wanted(&d)
 	rung := fleet.EvenRung(&d)
 	class := fleet.Classes[d.Class]
-	return d, mapping.Hour{Peak: a.ID, Title: name, Size: p.copyState.titleSizes[name], Rate: d.Count * fleet.Ladder[rung] * class.Factor, Streams: d.Count,
-		Worth: d.Count * d.Worth * fleet.Worths[rung], Plays: float64(a.Length)/1000 + p.sessionLength(a).Seconds(), Zone: p.Site.Zone(a.Zone),
-		Holders: d.Holders}, true
+	return d, mapping.Hour{Peak: a.ID, Title: name, Size: p.copyState.titleSizes[name],
+		Rate: d.Count * fleet.Ladder[rung] * class.Factor, Streams: d.Count,
+		Worth: d.Count * d.Worth * fleet.Worths[rung], Plays: float64(a.Length)/1000 + p.sessionLength(a).Seconds(),
+		Zone: p.Site.Zone(a.Zone), Holders: d.Holders}, true
 }
--- a/internal/planner/keep.go
+++ b/internal/planner/keep.go
@@ -11,13 +11,15 @@
 	"rainpulley/internal/view"
 )
 
-// told is what operators told through the API beyond the site file; it outlives a restart.
+// overrides are the drains and titles that operators set through the API in addition to the site file. They are
+// stored and survive a restart.
 type overrides struct {
 	Drains []string              `json:"drains"`
-	Titles map[string]view.Title `json:"titles"` // a span of 0: removed
+	Titles map[string]view.Title `json:"titles"` // a span of 0 marks a removed title
 }
 
-// keepFile writes a value beside the old file, syncs it and renames it, so that a crash leaves one of the two.
+// writeStateFile writes a value as JSON to a new file, syncs it and renames it to path, so that a crash leaves
+// either the old or the new file.
 func writeStateFile(path string, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -38,7 +40,8 @@
 	return nil
 }
 
-// readKept reads such a file; false where there is none or it cannot be used, which is logged.
+// readStateFile reads a file that writeStateFile wrote. It returns false if the file is missing or unusable, and
+// logs the latter.
 func (p *Planner) readStateFile(path string, into any) bool {
 	b, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -48,14 +51,15 @@
 		err = json.Unmarshal(b, into)
 	}
 	if err != nil {
-		p.Log.Error("kept file not used", "file", path, "error", err)
+		p.Log.Error("state file is unusable; ignoring it", "file", path, "error", err)
 	}
 	return err == nil
 }
 
 func (p *Planner) overridesPath() string { return filepath.Join(p.State, "told.json") }
 
-// tell changes what operators told, on disk first. p.mu is held.
+// changeOverrides applies a change to a copy of the overrides and stores it on disk before it takes effect. p.mu is
+// held.
 func (p *Planner) changeOverrides(change func(*overrides)) error {
 	next := overrides{slices.Clone(p.overrides.Drains), map[string]view.Title{}}
 	for k, v := range p.overrides.Titles {
@@ -71,8 +75,8 @@
 	return nil
 }
 
-// loadTold takes up what an earlier planner was told. What names boxes or cells that the site no longer
-// has is dropped.
+// loadOverrides restores the overrides that an earlier process stored. Those for boxes or cells that the site no
+// longer has are dropped.
 func (p *Planner) loadOverrides() {
 	var saved overrides
 	if p.State == "" || !p.readStateFile(p.overridesPath(), &saved) {
@@ -80,7 +84,7 @@
 	}
 	for _, id := range saved.Drains {
 		if !p.monitor.SetDrain(id, true) {
-			p.Log.Warn("drain of before dropped: no such box", "server", id)
+			p.Log.Warn("dropped a stored drain: the site has no such box", "server", id)
 			continue
 		}
 		p.overrides.Drains = append(p.overrides.Drains, id)
@@ -88,7 +92,7 @@
 	p.overrides.Titles = map[string]view.Title{}
 	for name, title := range saved.Titles {
 		if title.Name != name || title.HomeCell < 0 || title.HomeCell >= p.Site.Cells || title.CellSpan < 0 || title.CellSpan > p.Site.Cells {
-			p.Log.Warn("title of before dropped: it does not fit the cells", "title", name)
+			p.Log.Warn("dropped a stored title: it does not fit the site's cells", "title", name)
 			continue
 		}
 		p.monitor.SetTitle(title)
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -9,14 +9,16 @@
 	"rainpulley/internal/view"
 )
 
-// metrics serves the planner's state in Prometheus' text format.
+// metrics returns a handler that serves the planner's state in the Prometheus text format.
 func (p *Planner) metrics() http.Handler {
 	registry := prometheus.NewRegistry()
 	gauge := func(name, help string, labels prometheus.Labels, read func() float64) {
-		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "rainpulley_planner_" + name, Help: help, ConstLabels: labels},
-			func() float64 { p.mu.Lock(); defer p.mu.Unlock(); return read() }))
+		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "rainpulley_planner_" + name,
+			Help: help, ConstLabels: labels}, func() float64 { p.mu.Lock(); defer p.mu.Unlock(); return read() }))
 	}
-	gauge("view_version", "Version of the view that is published; 0: none yet.", nil, func() float64 { return float64(p.published.Version) })
+	gauge("view_version", "Version of the view that is published; 0: none yet.", nil, func() float64 {
+		return float64(p.published.Version)
+	})
 	gauge("titles", "Titles of the view.", nil, func() float64 { return float64(len(p.published.Titles)) })
 	for _, state := range []view.State{view.StateReady, view.StateDraining} {
 		gauge("boxes", "Boxes of the view by state.", prometheus.Labels{"state": string(state)}, func() (n float64) {
@@ -28,7 +30,9 @@
 			return n
 		})
 	}
-	gauge("peaks", "Announcements in the book, cancelled ones too.", nil, func() float64 { return float64(len(p.peakState.book.List())) })
+	gauge("peaks", "Announcements in the book, cancelled ones too.", nil, func() float64 {
+		return float64(len(p.peakState.book.List()))
+	})
 	gauge("held_kilobytes_per_second", "Room held for peaks.", nil, func() (kb float64) {
 		for _, h := range p.peakState.ledger.Held() {
 			kb += h.Rate
@@ -36,12 +40,20 @@
 		return kb
 	})
 	gauge("plan_seconds", "Time that the last plan took.", nil, func() float64 { return p.peakState.plan.Took.Seconds() })
-	gauge("plan_worth_per_second", "What the last plan is thought to earn.", nil, func() float64 { return p.peakState.plan.Value })
+	gauge("plan_worth_per_second", "What the last plan is thought to earn.", nil, func() float64 {
+		return p.peakState.plan.Value
+	})
 	if manager := p.copyState.manager; manager != nil {
 		gauge("copies_under_way", "Copies that boxes are making.", nil, func() float64 { return float64(manager.Jobs()) })
-		gauge("copies_wanted", "Copies beyond those at rest that are decided.", nil, func() float64 { return float64(len(p.copyState.decisions.Copies()) + len(p.copyState.driftCopies)) })
-		gauge("copies_commands", "Commands to boxes so far.", nil, func() float64 { return float64(p.copyState.commandsSent) })
-		gauge("copies_refused", "Commands that boxes did not take.", nil, func() float64 { return float64(p.copyState.commandsFailed) })
+		gauge("copies_wanted", "Copies beyond those at rest that are decided.", nil, func() float64 {
+			return float64(len(p.copyState.decisions.Copies()) + len(p.copyState.driftCopies))
+		})
+		gauge("copies_commands", "Commands to boxes so far.", nil, func() float64 {
+			return float64(p.copyState.commandsSent)
+		})
+		gauge("copies_refused", "Commands that boxes did not take.", nil, func() float64 {
+			return float64(p.copyState.commandsFailed)
+		})
 		gauge("copies_outdated", "1: boxes obey a later planner, this one commands no more.", nil, func() float64 {
 			if manager.Outdated() {
 				return 1
--- a/internal/planner/peaks.go
+++ b/internal/planner/peaks.go
@@ -20,30 +20,32 @@
 const (
 	planInterval     = time.Second
 	holdLease        = 3 * time.Second
-	usageReportTTL   = 5 * time.Second // an edge's report counts for so long
+	usageReportTTL   = 5 * time.Second // how long an edge's report stays valid
 	solveBudget      = 500 * time.Millisecond
 	maxBodyBytes     = 1 << 20
-	arrivalCountLead = 2 * time.Minute // arrivals are counted so long before the earliest start
+	arrivalCountLead = 2 * time.Minute // how long before the earliest start edges begin to count arrivals
 )
 
-// peakBoard is the planner's side of announced peaks; guarded by Planner.mu.
+// peakState is the planner's state of announced peaks; guarded by Planner.mu.
 type peakState struct {
 	book            *peaks.Book
 	ledger          *peaks.Ledger
 	followers       map[string]*peaks.Follower // by peak
-	lastArrivals    map[string]float64         // last count of an edge instance's peak and title
+	lastArrivals    map[string]float64         // last reported count, by edge instance, peak and title
 	pendingArrivals map[string]float64         // arrivals since the last plan, by peak
-	edgeInstances   map[string]string          // of the edge at each position, as last heard
+	edgeInstances   map[string]string          // instance of the edge at each position, from its last report
 	publishedHolds  *view.Holds
 	plan            *peaks.Plan
-	fileReadTimes   map[string]time.Time // announcement files by when they were read
+	fileReadTimes   map[string]time.Time // modification time of each announcement file when it was read
 }
 
 func newPeakState() peakState {
 	return peakState{book: peaks.NewBook(), ledger: peaks.NewLedger(), followers: map[string]*peaks.Follower{},
-		lastArrivals: map[string]float64{}, pendingArrivals: map[string]float64{}, edgeInstances: map[string]string{}, plan: &peaks.Plan{}, fileReadTimes: map[string]time.Time{}}
+		lastArrivals: map[string]float64{}, pendingArrivals: map[string]float64{}, edgeInstances: map[string]string{},
+		plan: &peaks.Plan{}, fileReadTimes: map[string]time.Time{}}
 }
 
+// knownNames returns the zones, classes and titles that an announcement may refer to. p.mu is held.
 func (p *Planner) knownNames() peaks.Known {
 	known := peaks.Known{Zones: p.Site.Zones, Titles: map[string]bool{}}
 	for _, c := range p.Site.Classes {
@@ -55,7 +57,8 @@
 	return known
 }
 
-// announce takes one announcement and keeps the book on disk before it says so.
+// announce adds one announcement to the book and stores the book on disk before it returns. It reports whether the
+// book changed.
 func (p *Planner) announce(a peaks.Announcement) (bool, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,7 +66,8 @@
 	if err != nil || !changed {
 		return changed, err
 	}
-	p.Log.Info("peak", "id", a.ID, "version", a.Version, "cancelled", a.Cancelled, "start_ms", a.Start, "rate", a.Rate)
+	p.Log.Info("peak announcement accepted", "id", a.ID, "version", a.Version, "cancelled", a.Cancelled,
+		"start_ms", a.Start, "rate", a.Rate)
 	return true, p.saveBook()
 }
 
@@ -76,7 +80,8 @@
 	return writeStateFile(p.bookPath(), p.peakState.book.List())
 }
 
-// loadBook reads what an earlier planner was told. What is past is dropped, what is broken refused whole.
+// loadBook restores the announcements that an earlier process stored. Those that are over or invalid are dropped;
+// a file that cannot be decoded is ignored as a whole.
 func (p *Planner) loadBook() {
 	var list []peaks.Announcement
 	if p.State == "" || !p.readStateFile(p.bookPath(), &list) {
@@ -84,7 +89,7 @@
 	}
 	for _, a := range list {
 		if _, err := p.peakState.book.Announce(a, p.knownNames(), time.Now().UnixMilli()); err != nil {
-			p.Log.Warn("announcement of before dropped", "id", a.ID, "error", err)
+			p.Log.Warn("dropped a stored announcement", "id", a.ID, "error", err)
 		}
 	}
 }
@@ -92,8 +97,9 @@
 func (p *Planner) registerPeakRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /v1/peaks", func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock()
-		response := map[string]any{"peaks": p.peakState.book.List(), "holds": p.peakState.ledger.Held(), "accounts": p.peakState.ledger.Accounts(),
-			"plan": map[string]any{"by": p.peakState.plan.By, "value": p.peakState.plan.Value, "took_ms": p.peakState.plan.Took.Seconds() * 1000}}
+		response := map[string]any{"peaks": p.peakState.book.List(), "holds": p.peakState.ledger.Held(),
+			"accounts": p.peakState.ledger.Accounts(), "plan": map[string]any{"by": p.peakState.plan.By,
+				"value": p.peakState.plan.Value, "took_ms": p.peakState.plan.Took.Seconds() * 1000}}
 		p.mu.Unlock()
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(response)
@@ -136,7 +142,7 @@
 	}
 }
 
-// cancelPeak cancels with the next version.
+// cancelPeak cancels a peak by announcing its next version as cancelled.
 func (p *Planner) cancelPeak(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	a, ok := p.peakState.book.Get(r.PathValue("id"))
@@ -154,8 +160,8 @@
 	p.writePeakResult(w, changed, err)
 }
 
-// takeUse takes an edge's report. Arrivals are counted from one report to the next, so that one that is
-// lost or comes twice counts none twice.
+// handleUsage processes an edge's usage report. Arrivals are the difference between the counts of two reports, so
+// that a lost or repeated report counts no arrival twice.
 func (p *Planner) handleUsage(w http.ResponseWriter, r *http.Request) {
 	var report view.UsageReport
 	if err := readJSON(w, r, &report); err != nil {
@@ -164,13 +170,14 @@
 	}
 	uses := make([]peaks.Use, 0, len(report.Usage))
 	for _, x := range report.Usage {
-		uses = append(uses, peaks.Use{Key: peaks.Key{Peak: x.Peak, Title: x.Title, Box: x.Box}, Rate: x.Rate, Streams: x.Streams})
+		uses = append(uses, peaks.Use{Key: peaks.Key{Peak: x.Peak, Title: x.Title, Box: x.Box}, Rate: x.Rate,
+			Streams: x.Streams})
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	state := &p.peakState
 	position, _, _ := strings.Cut(report.Edge, ".")
-	if old := state.edgeInstances[position]; old != report.Edge { // restarted: what it took over it reports itself
+	if old := state.edgeInstances[position]; old != report.Edge { // restarted: it reports the sessions it took over
 		state.ledger.Drop(old)
 		state.edgeInstances[position] = report.Edge
 	}
@@ -187,7 +194,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// planning works plans out until ctx ends.
+// runPlanning plans the holds for peaks at each planInterval until ctx ends.
 func (p *Planner) runPlanning(ctx context.Context) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
@@ -215,6 +222,7 @@
 	}
 }
 
+// planHolds plans holds in the way that Options.Holds selects.
 func (p *Planner) planHolds(solver *peaks.Solver, fleet *peaks.Fleet, demands []peaks.Demand) *peaks.Plan {
 	switch p.Holds {
 	case "none":
@@ -224,7 +232,7 @@
 	}
 	plan, err := solver.Plan(fleet, demands)
 	if err != nil {
-		p.Log.Warn("greedy plan stands in", "error", err)
+		p.Log.Warn("linear program failed; using the greedy plan", "error", err)
 	}
 	if p.Holds == "all" {
 		return plan
@@ -232,7 +240,8 @@
 	return peaks.Paying(fleet, demands, plan)
 }
 
-// outlook is the fleet and what is expected of each peak. p.mu is held.
+// forecast returns the fleet, the demand expected from each peak, and the sessions still expected by peak and title.
+// p.mu is held.
 func (p *Planner) forecast(now int64) (*peaks.Fleet, []peaks.Demand, map[string]float64) {
 	state := &p.peakState
 	state.book.Forget(now)
@@ -263,7 +272,8 @@
 	return p.planFleet(), demands, expectedSessions
 }
 
-// plays is how long a peak's sessions play, by its first title where it does not say.
+// sessionLength returns how long sessions of a peak play. Without an announced length it is the length of the peak's
+// first title, or else one minute. p.mu is held.
 func (p *Planner) sessionLength(a *peaks.Announcement) time.Duration {
 	lengthMs := a.Session
 	if lengthMs <= 0 && len(a.Titles) > 0 {
@@ -275,8 +285,10 @@
 	return timeconv.Milliseconds(lengthMs)
 }
 
-// demand is what a title of a peak needs at once, and for how many seconds viewers still come.
-func (p *Planner) peakDemand(a *peaks.Announcement, name string, rate float64, arrivalsFor time.Duration) (peaks.Demand, float64) {
+// peakDemand returns the concurrent demand for one title of a peak, at the given rate of new sessions a second, and
+// for how many more seconds viewers arrive. p.mu is held.
+func (p *Planner) peakDemand(a *peaks.Announcement, name string, rate float64,
+	arrivalsFor time.Duration) (peaks.Demand, float64) {
 	t, ok := p.monitor.titles[name]
 	if !ok {
 		return peaks.Demand{}, 0
@@ -288,11 +300,12 @@
 		worth = p.Site.Classes[class].Worth
 	}
 	zone := p.Site.Zone(a.Zone)
-	return peaks.Demand{Peak: a.ID, Title: name, Class: class, Home: t.HomeCell, Span: t.CellSpan, Worth: worth, Holders: titleHolders(t), Zoned: zone >= 0, Zone: zone,
+	return peaks.Demand{Peak: a.ID, Title: name, Class: class, Home: t.HomeCell, Span: t.CellSpan, Worth: worth,
+		Holders: titleHolders(t), Zoned: zone >= 0, Zone: zone,
 		Count: rate * min(sessionSeconds, float64(a.Length)/1000)}, arrivalsFor.Seconds()
 }
 
-// holders of a title by name; nil where its cells say.
+// titleHolders returns a copy of a title's list of holders; nil where its cells define the holders.
 func titleHolders(t view.Title) []string {
 	if !t.Listed {
 		return nil
@@ -300,11 +313,12 @@
 	return append([]string{}, t.Holders...)
 }
 
-// planFleet is the fleet as the watch sees it; what boxes carry beside peaks is what they report less
-// what edges report for peaks. p.mu is held.
+// planFleet returns the fleet of ready boxes for planning, with the loads that the monitor last received. The load
+// of a box from sessions outside peaks is its reported load minus the load that edges report for peaks. p.mu is held.
 func (p *Planner) planFleet() *peaks.Fleet {
 	site := p.Site
-	fleet := &peaks.Fleet{Uplinks: make([]float64, site.Racks), Cells: site.Cells, Edges: len(site.Edges), ZonePrice: site.Prices.Zone}
+	fleet := &peaks.Fleet{Uplinks: make([]float64, site.Racks), Cells: site.Cells, Edges: len(site.Edges),
+		ZonePrice: site.Prices.Zone}
 	for i := range fleet.Uplinks {
 		fleet.Uplinks[i] = float64(site.Links.Uplink)
 	}
@@ -332,20 +346,23 @@
 		if state == nil {
 			continue
 		}
-		box := peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Zone: site.Zone(b.Zone), Link: b.Weight * float64(site.Links.PerWeight), Warm: rampShare(site, b.StartedMs, now)}
+		box := peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Zone: site.Zone(b.Zone),
+			Link: b.Weight * float64(site.Links.PerWeight), Warm: rampShare(site, b.StartedMs, now)}
 		if k := site.Kind(b.Kind); k >= 0 {
 			box.Streams = float64(site.Kinds[k].Streams)
 		}
 		used := peakUse[b.ID]
 		box.Busy, box.Playing = max(state.linkUtilization*box.Link-used.Rate, 0), max(state.streams-used.Streams, 0)
 		fleet.Boxes = append(fleet.Boxes, box)
-		sizes[b.ID] = peaks.Size{Rate: box.Link, Streams: box.Streams, Busy: state.linkUtilization * box.Link, Playing: state.streams}
+		sizes[b.ID] = peaks.Size{Rate: box.Link, Streams: box.Streams, Busy: state.linkUtilization * box.Link,
+			Playing: state.streams}
 	}
 	p.peakState.ledger.Resize(sizes)
 	return fleet
 }
 
-// warm is the share of its capacity that a started box has reached.
+// rampShare returns the share of its capacity that a box has reached in its slow start. It is 1 after the ramp, and
+// where the start is not known.
 func rampShare(site *config.Site, startedMs int64, now time.Time) float64 {
 	ramp := site.Rules.Ramp.D()
 	age := now.Sub(time.UnixMilli(startedMs))
@@ -355,23 +372,27 @@
 	return site.Rules.StartShare + (1-site.Rules.StartShare)*max(age.Seconds(), 0)/ramp.Seconds()
 }
 
-// tellHolds makes the holds in force known to the streams. p.mu is held.
+// publishHolds sends the current holds, and the titles whose arrivals edges should count, to all streams. p.mu is
+// held.
 func (p *Planner) publishHolds() {
 	state := &p.peakState
 	holds := &view.Holds{LeaseMs: holdLease.Milliseconds()}
 	for _, x := range state.ledger.Held() {
-		holds.Entries = append(holds.Entries, view.Hold{Title: x.Title, Class: p.Site.Classes[x.Class].Name, Box: x.Box, Rate: x.Rate, Streams: x.Streams})
+		holds.Entries = append(holds.Entries, view.Hold{Title: x.Title, Class: p.Site.Classes[x.Class].Name, Box: x.Box,
+			Rate: x.Rate, Streams: x.Streams})
 	}
 	now := time.Now().UnixMilli()
 	for _, a := range state.book.List() {
-		if a.Cancelled || now < a.Start-a.Uncertain-arrivalCountLead.Milliseconds() || now > a.Start+a.Uncertain+2*a.Length+arrivalCountLead.Milliseconds() {
+		if a.Cancelled || now < a.Start-a.Uncertain-arrivalCountLead.Milliseconds() ||
+			now > a.Start+a.Uncertain+2*a.Length+arrivalCountLead.Milliseconds() {
 			continue
 		}
 		for _, t := range a.Titles {
 			holds.CountedTitles = append(holds.CountedTitles, view.CountedTitle{Peak: a.ID, Title: t, Class: a.Class})
 		}
 	}
-	if len(holds.Entries)+len(holds.CountedTitles) == 0 && (state.publishedHolds == nil || len(state.publishedHolds.Entries)+len(state.publishedHolds.CountedTitles) == 0) {
+	if len(holds.Entries)+len(holds.CountedTitles) == 0 &&
+		(state.publishedHolds == nil || len(state.publishedHolds.Entries)+len(state.publishedHolds.CountedTitles) == 0) {
 		return
 	}
 	state.publishedHolds = holds
@@ -379,8 +400,8 @@
 	p.updated = make(chan struct{})
 }
 
-// readFiles takes announcements from the folder of Jsonnet files, each an object or a list. A file that
-// cannot be read changes nothing, and is read again when it was written again.
+// readAnnouncementFiles announces the peaks of the Jsonnet files in the announcement folder. A file is read when its
+// modification time changes, also after an error. A file with any invalid announcement is rejected as a whole.
 func (p *Planner) readAnnouncementFiles() {
 	if p.Announcements == "" {
 		return
@@ -398,18 +419,19 @@
 			err = p.validateAnnouncements(list)
 		}
 		if err != nil {
-			p.Log.Error("announcement file not taken", "file", name, "error", err)
+			p.Log.Error("announcement file rejected", "file", name, "error", err)
 			continue
 		}
 		for _, a := range list {
 			if _, err := p.announce(a); err != nil {
-				p.Log.Error("announcement not taken", "file", name, "id", a.ID, "error", err)
+				p.Log.Error("announcement rejected", "file", name, "id", a.ID, "error", err)
 			}
 		}
 	}
 }
 
-// checkAll finds the first fault of any, before one is taken.
+// validateAnnouncements returns the first error of a list, so that an invalid list is rejected before any of its
+// announcements is accepted.
 func (p *Planner) validateAnnouncements(list []peaks.Announcement) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -421,7 +443,7 @@
 	return nil
 }
 
-// ReadAnnouncements reads a Jsonnet file: an object with a list under "peaks".
+// ReadAnnouncements reads the announcements of a Jsonnet file, which is an object with a list under "peaks".
 func ReadAnnouncements(name string) ([]peaks.Announcement, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -24,13 +24,13 @@
 // Options of a planner.
 type Options struct {
 	Site          *config.Site
-	Listener      net.Listener // nil: as the site says
+	Listener      net.Listener // nil: listens on the site's address
 	Log           *slog.Logger
 	Sources       []registry.Source // in order of preference; nil: the site's Consul, or the site file alone
-	State         string            // folder for what must outlive a restart; "" keeps nothing
-	Announcements string            // folder of announcement files that is watched; "" none
+	State         string            // folder for state that survives a restart; "": nothing is stored
+	Announcements string            // watched folder of announcement files; "": none
 	Copies        string            // "lp" (default), "greedy" or "none": how copies for peaks are chosen
-	Holds         string            // "lp" (default: what pays), "all", "greedy" or "none": how peaks' room is planned
+	Holds         string            // "lp" (default: what pays), "all", "greedy" or "none": how holds are planned
 }
 
 // Planner is a running planner.
@@ -41,22 +41,24 @@
 	mu          sync.Mutex
 	monitor     *Monitor
 	published   view.View
-	updated     chan struct{} // closed and replaced at each change
+	updated     chan struct{} // closed and replaced at each change of the view or the holds
 	peakState   peakState
 	overrides   overrides
 	copyState   copyState
 	sourceState sourceState
 	wg          sync.WaitGroup
-	epoch       uint64 // boxes obey no planner with a lower one
+	epoch       uint64 // boxes reject commands with a lower epoch than the highest they received
 
-	healthChecks *healthChecks // while it runs
-	currentSite  *config.Site  // as last reloaded
+	healthChecks *healthChecks // nil before Run
+	currentSite  *config.Site  // from the last reload
 }
 
-// New makes a planner. Its versions begin at the time, so that a restarted one is above its forerunner.
+// New makes a planner. Its versions and its epoch start at the current time, so that those of a restarted planner
+// are above those of the previous process.
 func New(o Options) *Planner {
-	p := &Planner{Options: o, monitor: NewMonitor(o.Site.Planner.GoneAfter, uint64(time.Now().UnixMilli())), updated: make(chan struct{}),
-		client: &http1.Client{Limits: http1.DefaultLimits(), ConnectTimeout: o.Site.Planner.CheckFor.D()}}
+	p := &Planner{Options: o, monitor: NewMonitor(o.Site.Planner.GoneAfter, uint64(time.Now().UnixMilli())),
+		updated: make(chan struct{}),
+		client:  &http1.Client{Limits: http1.DefaultLimits(), ConnectTimeout: o.Site.Planner.CheckFor.D()}}
 	for _, b := range o.Site.Boxes {
 		p.monitor.Add(p.siteBox(b))
 	}
@@ -71,12 +73,12 @@
 		p.updateManagerTitle(name)
 	}
 	if err := p.openSources(); err != nil {
-		p.Log.Error("sources not opened: the site file stands", "error", err)
+		p.Log.Error("opening the sources failed; using the site file alone", "error", err)
 	}
 	return p
 }
 
-// Run serves until ctx ends.
+// Run serves the API and runs health checks, planning and copies until ctx ends.
 func (p *Planner) Run(ctx context.Context) error {
 	if p.Listener == nil {
 		var err error
@@ -103,13 +105,17 @@
 	mux.HandleFunc("GET /v1/stream", p.streamView)
 	mux.HandleFunc("GET /v1/view", p.serveView)
 	mux.HandleFunc("GET /v1/boxes", p.handleListBoxes)
-	mux.HandleFunc("POST /v1/boxes/{id}/drain", func(w http.ResponseWriter, r *http.Request) { p.handleDrain(w, r, true) })
-	mux.HandleFunc("DELETE /v1/boxes/{id}/drain", func(w http.ResponseWriter, r *http.Request) { p.handleDrain(w, r, false) })
+	mux.HandleFunc("POST /v1/boxes/{id}/drain", func(w http.ResponseWriter, r *http.Request) {
+		p.handleDrain(w, r, true)
+	})
+	mux.HandleFunc("DELETE /v1/boxes/{id}/drain", func(w http.ResponseWriter, r *http.Request) {
+		p.handleDrain(w, r, false)
+	})
 	mux.HandleFunc("PUT /v1/titles/{name}", p.handleSetTitle)
 	mux.HandleFunc("DELETE /v1/titles/{name}", p.handleSetTitle)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10,
-		BaseContext: func(net.Listener) context.Context { return ctx }}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second,
+		MaxHeaderBytes: 16 << 10, BaseContext: func(net.Listener) context.Context { return ctx }}
 	stop := context.AfterFunc(ctx, func() {
 		shutdownCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -118,7 +124,8 @@
 		}
 	})
 	defer stop()
-	p.Log.Info("planner serves", "address", p.Listener.Addr().String(), "boxes", len(p.Site.Boxes), "titles", len(p.Site.Titles))
+	p.Log.Info("planner is serving", "address", p.Listener.Addr().String(), "boxes", len(p.Site.Boxes),
+		"titles", len(p.Site.Titles))
 	err := server.Serve(p.Listener)
 	wg.Wait()
 	if errors.Is(err, http.ErrServerClosed) {
@@ -127,12 +134,14 @@
 	return err
 }
 
-// publish makes the watch's view known if it changed. p.mu is held.
+// publishView publishes the monitor's view if it changed. The first view waits until sources have reported, every
+// box has been checked and the holders of all titles are known. p.mu is held.
 func (p *Planner) publishView() {
 	if p.published.Version == 0 && p.sourceState.reconciler != nil && p.sourceState.statuses == nil {
-		return // no source has spoken: an empty fleet would be told
+		return // no source has reported yet: the view would be an empty fleet
 	}
-	if p.published.Version == 0 && (!p.monitor.AllChecked() || p.copyState.manager != nil && !p.copyState.manager.Known()) {
+	if p.published.Version == 0 && (!p.monitor.AllChecked() ||
+		p.copyState.manager != nil && !p.copyState.manager.Known()) {
 		return
 	}
 	next, viewChanged := p.monitor.View()
@@ -144,7 +153,7 @@
 	p.updated = make(chan struct{})
 }
 
-// health is what a box says of itself.
+// healthResponse is the body of a box's answer to GET /health.
 type healthResponse struct {
 	State         string `json:"state"`
 	Boot          string `json:"boot"`
@@ -152,7 +161,8 @@
 	TitlesVersion uint64 `json:"titles_version"`
 }
 
-// check asks one box again and again. Boxes are asked at different parts of the period.
+// runHealthChecks checks one box at each interval until ctx ends. The number spreads the checks of the boxes over
+// the interval.
 func (p *Planner) runHealthChecks(ctx context.Context, addr string, number int) {
 	interval := p.Site.Planner.CheckEvery.D()
 	var knownVersion uint64
@@ -179,12 +189,15 @@
 		after := p.published.Version
 		p.mu.Unlock()
 		if after != before {
-			p.Log.Info("view", "version", after, "cause", addr, "answered", check.Answered, "draining", check.Draining, "boot", check.BootID)
+			p.Log.Info("view published", "version", after, "cause", addr, "answered", check.Answered,
+				"draining", check.Draining, "boot", check.BootID)
 		}
-		p.refreshTitles(ctx, addr, check, &knownVersion, &lastRead, &misses) // after the state is known: a drain waits for nothing
+		// Titles are read after the state is published, so that a drain takes effect without delay.
+		p.refreshTitles(ctx, addr, check, &knownVersion, &lastRead, &misses)
 	}
 }
 
+// checkHealth sends one health check to a box. A failed request or an invalid answer counts as not answered.
 func (p *Planner) checkHealth(ctx context.Context, addr string) HealthCheck {
 	requestCtx, cancel := context.WithTimeout(ctx, p.Site.Planner.CheckFor.D())
 	defer cancel()
@@ -193,7 +206,8 @@
 	if err != nil || r.Status != 200 || json.Unmarshal(r.Body, &health) != nil {
 		return HealthCheck{}
 	}
-	check := HealthCheck{Answered: true, Draining: health.State == "draining", BootID: health.Boot, TitlesVersion: health.TitlesVersion, AnsweredAt: time.Now()}
+	check := HealthCheck{Answered: true, Draining: health.State == "draining", BootID: health.Boot,
+		TitlesVersion: health.TitlesVersion, AnsweredAt: time.Now()}
 	if load := cmsd.Parse(r.Get("cmsd-dynamic")); load != nil {
 		if load.LinkUtilization != nil {
 			check.LinkUtilization = *load.LinkUtilization
@@ -210,10 +224,10 @@
 
 const (
 	heartbeatInterval  = time.Second
-	streamWriteTimeout = 5 * time.Second // an edge that takes nothing for so long is let go
+	streamWriteTimeout = 5 * time.Second // the connection to an edge is closed after a write takes this long
 )
 
-// stream sends the whole view, then each change, and a heartbeat in between.
+// streamView sends the whole view, then each change, with heartbeats in between.
 func (p *Planner) streamView(w http.ResponseWriter, r *http.Request) {
 	controller := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "application/x-ndjson")
@@ -225,7 +239,7 @@
 		p.mu.Lock()
 		v, updated, holds := p.published, p.updated, p.peakState.publishedHolds
 		p.mu.Unlock()
-		if v.Version == 0 { // nothing settled yet
+		if v.Version == 0 { // no view published yet
 			select {
 			case <-r.Context().Done():
 				return
@@ -236,7 +250,8 @@
 		line := view.Update{Version: v.Version}
 		switch {
 		case first:
-			line = view.Update{Version: v.Version, Full: true, Boxes: v.Boxes, Titles: v.Titles, NowMs: time.Now().UnixMilli()}
+			line = view.Update{Version: v.Version, Full: true, Boxes: v.Boxes, Titles: v.Titles,
+				NowMs: time.Now().UnixMilli()}
 		case v.Version != sent.Version:
 			line = view.Diff(sent, v)
 			line.NowMs = time.Now().UnixMilli()
@@ -265,9 +280,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(view.Update{Version: v.Version, Full: true, Boxes: v.Boxes, Titles: v.Titles, NowMs: time.Now().UnixMilli()})
+	_ = json.NewEncoder(w).Encode(view.Update{Version: v.Version, Full: true, Boxes: v.Boxes, Titles: v.Titles,
+		NowMs: time.Now().UnixMilli()})
 }
 
+// handleDrain starts or ends an operator's drain of a box.
 func (p *Planner) handleDrain(w http.ResponseWriter, r *http.Request, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -291,6 +308,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// handleSetTitle sets a title (PUT) or removes it (DELETE) as an operator's override.
 func (p *Planner) handleSetTitle(w http.ResponseWriter, r *http.Request) {
 	t := view.Title{Name: r.PathValue("name")}
 	if r.Method == http.MethodPut {
--- a/internal/planner/reload.go
+++ b/internal/planner/reload.go
@@ -8,11 +8,11 @@
 	"rainpulley/internal/view"
 )
 
-// checks are the goroutines that ask boxes; guarded by Planner.mu.
+// healthChecks are the goroutines that check boxes; guarded by Planner.mu.
 type healthChecks struct {
 	ctx         context.Context
 	wg          *sync.WaitGroup
-	cancelByBox map[string]context.CancelFunc // by box
+	cancelByBox map[string]context.CancelFunc
 }
 
 func (p *Planner) siteBox(b config.Box) view.Box {
@@ -23,7 +23,7 @@
 	return view.Title{Name: t.Name, HomeCell: t.Home, CellSpan: t.Span, LengthMs: t.Length.D().Milliseconds()}
 }
 
-// checkFrom begins to ask a box. p.mu is held.
+// startHealthChecks starts the goroutine that checks a box. p.mu is held.
 func (p *Planner) startHealthChecks(addr string, number int) {
 	ctx, cancel := context.WithCancel(p.healthChecks.ctx)
 	p.healthChecks.cancelByBox[addr] = cancel
@@ -31,8 +31,9 @@
 	go func() { defer p.healthChecks.wg.Done(); p.runHealthChecks(ctx, addr, number) }()
 }
 
-// Reload takes a site's boxes and titles as they are now. What operators told through the API stays over
-// the file; all else of the site is settled when the planner starts, and a change of it is named.
+// Reload applies the boxes and titles of a changed site file. Overrides that operators set through the API take
+// precedence over the file. All other settings are fixed when the planner starts; changes of them are logged as
+// needing a restart.
 func (p *Planner) Reload(site *config.Site) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +67,7 @@
 	p.Log.Info("site reloaded", "boxes", len(site.Boxes), "titles", len(site.Titles), "needs_restart", needsRestart)
 }
 
-// reloadTitles changes those that the file changed, not those that operators told otherwise.
+// applySiteTitles applies the titles that the site file changed, except those that operators overrode. p.mu is held.
 func (p *Planner) applySiteTitles(titles []config.Title) {
 	old := map[string]config.Title{}
 	for _, t := range p.currentSite.Titles {
--- a/internal/planner/sources.go
+++ b/internal/planner/sources.go
@@ -21,25 +21,25 @@
 
 const (
 	reconcileInterval = 250 * time.Millisecond
-	diskSource        = "disk" // the source that stands in until others speak
+	diskSource        = "disk" // name of the source for the last stored snapshot
 )
 
-// sourceBoard is the planner's side of registries; guarded by Planner.mu. believer is nil where the site file
-// alone tells the fleet.
+// sourceState is the planner's state of registry sources; guarded by Planner.mu. reconciler is nil where only the
+// site file describes the fleet.
 type sourceState struct {
 	reconciler     *reconcile.Reconciler
 	sources        []registry.Source
-	boxes          map[string]registry.Box // as the source that is believed describes them
+	boxes          map[string]registry.Box // as the source in effect describes them
 	boxesBySource  map[string]map[string]registry.Box
 	statuses       []reconcile.Status
-	titleNames     map[string]bool // that sources told
+	titleNames     map[string]bool // titles of the last snapshot that describes titles
 	lastFaults     string
-	lastOutcomes   map[string]view.Outcome // last counts of an edge instance and box
+	lastOutcomes   map[string]view.Outcome // last reported counts, by edge instance and box
 	store          *viewstore.Store
 	writtenVersion uint64
 }
 
-// openSources makes the believer for the sources in their order of preference, the last view on disk behind them.
+// openSources makes the reconciler for the sources in their order of preference, followed by the snapshot on disk.
 func (p *Planner) openSources() error {
 	state := &p.sourceState
 	state.sources = p.Sources
@@ -54,13 +54,15 @@
 		return nil
 	}
 	rules := reconcile.DefaultRules()
-	rules.SourceTimeout = max(rules.SourceTimeout, p.Site.Consul.Wait.D()*5/4+5*time.Second) // between answers of a blocking query nothing is heard
+	// A blocking query may deliver nothing for the whole of its wait.
+	rules.SourceTimeout = max(rules.SourceTimeout, p.Site.Consul.Wait.D()*5/4+5*time.Second)
 	var names []string
 	for _, s := range state.sources {
 		names = append(names, s.Name())
 	}
 	state.reconciler = reconcile.New(rules, append(names, diskSource)...)
-	state.boxes, state.boxesBySource, state.titleNames, state.lastOutcomes = map[string]registry.Box{}, map[string]map[string]registry.Box{}, map[string]bool{}, map[string]view.Outcome{}
+	state.boxes, state.boxesBySource, state.titleNames, state.lastOutcomes = map[string]registry.Box{},
+		map[string]map[string]registry.Box{}, map[string]bool{}, map[string]view.Outcome{}
 	if p.State != "" {
 		state.store = viewstore.Open(filepath.Join(p.State, "sources.view"))
 		p.restoreSnapshot()
@@ -68,25 +70,26 @@
 	return nil
 }
 
-// readLast takes the last word that was kept, with its age. p is not running yet.
+// restoreSnapshot applies the snapshot that was last stored on disk, with its age. It is called before p runs.
 func (p *Planner) restoreSnapshot() {
 	saved, err := p.sourceState.store.Read()
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
 	if err != nil {
-		p.Log.Error("last word of sources not used", "error", err)
+		p.Log.Error("reading the stored snapshot of sources failed", "error", err)
 	}
 	var snapshot registry.Snapshot
 	if saved == nil || json.Unmarshal(saved.Body, &snapshot) != nil {
 		return
 	}
-	p.Log.Info("started from the last word of sources", "file", saved.Path, "age", time.Since(saved.WrittenAt).Round(time.Second), "boxes", len(snapshot.Boxes))
+	p.Log.Info("started from the stored snapshot of sources", "file", saved.Path,
+		"age", time.Since(saved.WrittenAt).Round(time.Second), "boxes", len(snapshot.Boxes))
 	snapshot.Source = diskSource
 	p.applySnapshot(snapshot, saved.WrittenAt.UnixMilli())
 }
 
-// watchSources follows all sources until ctx ends.
+// watchSources watches all sources, and reconciles them at each interval, until ctx ends.
 func (p *Planner) watchSources(ctx context.Context) {
 	if p.sourceState.reconciler == nil {
 		return
@@ -96,7 +99,7 @@
 		go func() {
 			defer p.wg.Done()
 			s.Watch(ctx, func(x registry.Snapshot) { p.handleSnapshot(x) }, func(err error) {
-				p.Log.Warn("source not heard, its last word ages", "source", s.Name(), "error", err)
+				p.Log.Warn("reading a source failed; its last snapshot ages", "source", s.Name(), "error", err)
 			})
 		}()
 	}
@@ -114,7 +117,8 @@
 	}
 }
 
-// heard takes a word, believes at once (a drain must not wait for the next look) and keeps it on disk.
+// handleSnapshot applies a snapshot, reconciles at once so that a drain does not wait for the next interval, and
+// stores the snapshot on disk if its version is new and it has boxes.
 func (p *Planner) handleSnapshot(snapshot registry.Snapshot) {
 	now := time.Now().UnixMilli()
 	p.mu.Lock()
@@ -131,37 +135,40 @@
 		err = p.sourceState.store.Write(body, time.Now())
 	}
 	if err != nil {
-		p.Log.Error("word of sources not kept", "error", err)
+		p.Log.Error("storing the snapshot of sources failed", "error", err)
 	}
 }
 
-// take hands a word to the believer. p.mu is held, or p is not running yet.
+// applySnapshot passes a snapshot received at a time to the reconciler. p.mu is held, or p does not run yet.
 func (p *Planner) applySnapshot(snapshot registry.Snapshot, at int64) {
 	state := &p.sourceState
 	entries := make([]reconcile.Entry, 0, len(snapshot.Boxes))
 	byID := make(map[string]registry.Box, len(snapshot.Boxes))
 	for _, box := range snapshot.Boxes {
-		if p.Site.Zone(box.Zone) < 0 || p.Site.Kind(box.Kind) < 0 || box.Cell < 0 || box.Cell >= p.Site.Cells || !(box.Weight > 0) {
-			continue // of another site: from disk, where it was never checked
+		if p.Site.Zone(box.Zone) < 0 || p.Site.Kind(box.Kind) < 0 || box.Cell < 0 ||
+			box.Cell >= p.Site.Cells || !(box.Weight > 0) {
+			continue // does not fit the site: a snapshot from disk is not validated when it is read
 		}
 		entries = append(entries, box.Entry)
 		byID[box.ID] = box
 	}
 	state.boxesBySource[snapshot.Source] = byID
 	if err := state.reconciler.UpdateSource(snapshot.Source, entries, at); err != nil {
-		p.Log.Error("word not taken", "error", err)
+		p.Log.Error("snapshot rejected", "error", err)
 		return
 	}
 	if faults := strings.Join(snapshot.Faults, "; "); faults != state.lastFaults {
 		state.lastFaults = faults
-		p.Log.Warn("entries kept out", "source", snapshot.Source, "count", len(snapshot.Faults), "faults", faults)
+		p.Log.Warn("left out invalid entries of a source", "source", snapshot.Source, "count", len(snapshot.Faults),
+			"faults", faults)
 	}
 	if snapshot.Titles != nil {
 		p.applySourceTitles(snapshot.Titles)
 	}
 }
 
-// takeTitles makes a source's titles those of the view, but for what operators told.
+// applySourceTitles replaces the titles of the view by a source's titles, except those that operators overrode.
+// p.mu is held, or p does not run yet.
 func (p *Planner) applySourceTitles(titles []view.Title) {
 	set := func(t view.Title) {
 		if _, overridden := p.overrides.Titles[t.Name]; !overridden {
@@ -184,8 +191,8 @@
 	p.sourceState.titleNames = listed
 }
 
-// believe brings what is believed into the watch: which boxes there are, and which of them get no new work. p.mu
-// is held.
+// reconcileSources applies the reconciled statuses to the monitor: which boxes exist, and which of them get no new
+// sessions. It starts and stops health checks accordingly. p.mu is held.
 func (p *Planner) reconcileSources(now int64) {
 	state := &p.sourceState
 	state.statuses = state.reconciler.Evaluate(now)
@@ -193,13 +200,14 @@
 	for _, status := range state.statuses {
 		box, known := state.boxesBySource[status.Source][status.ID]
 		if !known {
-			if box, known = state.boxes[status.ID]; !known { // named long ago by a source that names it no more
+			if box, known = state.boxes[status.ID]; !known { // no remaining description of the box
 				continue
 			}
 		}
 		present[status.ID] = true
 		described := p.siteBox(config.Box{Addr: box.ID, Zone: box.Zone, Kind: box.Kind, Cell: box.Cell, Weight: box.Weight})
-		if old, ok := state.boxes[status.ID]; !ok || old.Zone != box.Zone || old.Kind != box.Kind || old.Cell != box.Cell || old.Weight != box.Weight {
+		if old, ok := state.boxes[status.ID]; !ok || old.Zone != box.Zone || old.Kind != box.Kind ||
+			old.Cell != box.Cell || old.Weight != box.Weight {
 			p.monitor.Update(described)
 		}
 		state.boxes[status.ID] = box
@@ -222,8 +230,8 @@
 	p.publishView()
 }
 
-// evidence takes what set-ups went through at edges. Counts rise from an edge's start, so that a report that is lost
-// or comes twice counts nothing twice. p.mu is held.
+// recordOutcomes passes the outcomes of set-ups at an edge to the reconciler. Edges report totals since their start,
+// so that a lost or repeated report counts no outcome twice. p.mu is held.
 func (p *Planner) recordOutcomes(edge string, list []view.Outcome, now int64) {
 	state := &p.sourceState
 	if state.reconciler == nil {
@@ -242,7 +250,7 @@
 	}
 }
 
-// BoxLine is a box as `rainpulley boxes` shows it.
+// BoxStatus is a box as `rainpulley boxes` shows it.
 type BoxStatus struct {
 	ID     string `json:"id"`
 	State  string `json:"state"`
@@ -251,7 +259,7 @@
 	Reason string `json:"reason"`
 }
 
-// listBoxes tells each box's state in the view, whose word it is, how old, and why.
+// handleListBoxes responds with each box's state in the view, the source it comes from, its age and the reason.
 func (p *Planner) handleListBoxes(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	states := map[string]view.State{}
@@ -264,7 +272,9 @@
 		if s, ok := states[id]; ok {
 			status.State = string(s)
 		}
-		if i := slices.IndexFunc(p.sourceState.statuses, func(reconciled reconcile.Status) bool { return reconciled.ID == id }); i >= 0 {
+		if i := slices.IndexFunc(p.sourceState.statuses, func(reconciled reconcile.Status) bool {
+			return reconciled.ID == id
+		}); i >= 0 {
 			reconciled := p.sourceState.statuses[i]
 			status.Source, status.AgeMs, status.Reason = reconciled.Source, reconciled.Age.Milliseconds(), reconciled.Reason
 		}
--- a/internal/planner/watch.go
+++ b/internal/planner/watch.go
@@ -1,4 +1,4 @@
-// Package planner watches the fleet and publishes the versioned view that edges follow.
+// Package planner monitors the fleet and publishes the versioned view that edges follow.
 package planner
 
 import (
@@ -9,21 +9,21 @@
 	"rainpulley/internal/view"
 )
 
-// Check is what one health check of a box found.
+// HealthCheck is the result of one health check of a box.
 type HealthCheck struct {
 	Answered        bool
 	Draining        bool
-	BootID          string    // changes when the box's process starts anew
-	Started         time.Time // zero: not told; by the box's clock
-	AnsweredAt      time.Time // when it was answered, by the planner's clock; zero: not known
-	LinkUtilization float64   // asked of its link over what it gives, as it reports
-	Streams         float64   // that it runs
-	TitlesVersion   uint64    // changes when its titles do
+	BootID          string    // changes when the box's process restarts
+	Started         time.Time // by the box's clock; zero: not reported
+	AnsweredAt      time.Time // by the planner's clock; zero: not known
+	LinkUtilization float64   // demand on the box's link divided by its capacity, as the box reports it
+	Streams         float64   // that the box runs
+	TitlesVersion   uint64    // changes when the box's titles do
 }
 
-// Watch turns checks into the view. It does no I/O and reads no clock: what to believe of checks is
-// settled here. A box is listed once a check was answered; one that misses several in a row is gone; one
-// that answers with another boot has restarted, and its start counts as told by the box.
+// Monitor derives the view from health checks. It does no I/O and reads no clock. A box is listed after its first
+// answered check. A box that misses several checks in a row is gone. A box that answers with another boot ID has
+// restarted, and the start time that it reports is used.
 type Monitor struct {
 	goneAfter int
 	boxes     map[string]*boxState
@@ -34,24 +34,24 @@
 
 type boxState struct {
 	box           view.Box
-	answered      bool // ever answered
-	missedChecks  int
+	answered      bool // has answered a check at least once
+	missedChecks  int  // in a row
 	bootID        string
-	lastAnswerAt  time.Time  // last answer under that boot
-	operatorDrain bool       // told by an operator, whatever the box says
-	reportedState view.State // what sources are believed to say; "": nobody else speaks of it
+	lastAnswerAt  time.Time  // last answer under that boot ID
+	operatorDrain bool       // applies whatever the box reports
+	reportedState view.State // reconciled from the sources; "": no source reports the box
 
 	linkUtilization, streams float64 // last reported
 }
 
-// NewWatch begins with nothing known. Versions rise from first, which must be above those of an earlier
-// planner of the same fleet.
+// NewMonitor makes a Monitor without boxes and titles. Versions rise from first, which must be above the versions of
+// any earlier planner of the same fleet.
 func NewMonitor(goneAfter int, first uint64) *Monitor {
 	return &Monitor{goneAfter: max(goneAfter, 1), boxes: map[string]*boxState{}, titles: map[string]view.Title{},
 		version: first, lastView: view.View{Version: first}}
 }
 
-// Add makes a box known; it is not listed before it answers.
+// Add adds a box; it is not listed in the view before it answers.
 func (m *Monitor) Add(b view.Box) {
 	if m.boxes[b.ID] == nil {
 		b.State = view.StateGone
@@ -59,7 +59,7 @@
 	}
 }
 
-// Update changes what is known of a box from its installation; its state and start stay.
+// Update changes the configuration of a box, or adds the box; its state and start time stay.
 func (m *Monitor) Update(b view.Box) {
 	if old := m.boxes[b.ID]; old != nil {
 		b.State, b.StartedMs = old.box.State, old.box.StartedMs
@@ -69,10 +69,10 @@
 	m.Add(b)
 }
 
-// Remove forgets a box.
+// Remove removes a box.
 func (m *Monitor) Remove(id string) { delete(m.boxes, id) }
 
-// Drain marks a box for draining, or ends that.
+// SetDrain starts or ends an operator's drain of a box. It returns false if there is no such box.
 func (m *Monitor) SetDrain(id string, on bool) bool {
 	b := m.boxes[id]
 	if b == nil {
@@ -82,7 +82,7 @@
 	if on && b.box.State == view.StateReady {
 		b.box.State = view.StateDraining
 	} else if !on && b.box.State == view.StateDraining {
-		b.box.State = view.StateReady // the next check says otherwise where the box itself drains
+		b.box.State = view.StateReady // the next check sets Draining again if the box itself drains
 	}
 	return true
 }
@@ -93,13 +93,13 @@
 		delete(m.titles, t.Name)
 		return
 	}
-	if old, ok := m.titles[t.Name]; ok && !t.Listed { // who holds it is not for the installation to say
+	if old, ok := m.titles[t.Name]; ok && !t.Listed { // the configuration of a title does not change its holders
 		t.Listed, t.Holders = old.Listed, old.Holders
 	}
 	m.titles[t.Name] = t
 }
 
-// Saw takes a check.
+// RecordCheck applies the result of a health check.
 func (m *Monitor) RecordCheck(id string, c HealthCheck) {
 	b := m.boxes[id]
 	if b == nil {
@@ -125,9 +125,9 @@
 	}
 }
 
-// began is when a box's process started, by the planner's clock. The box's own clock may be apart: one that is
-// behind would let a cold box pass for a warm one, and be pushed over. It cannot have started before the
-// last answer under its old boot, nor after this one.
+// startTime returns when a box's process started, by the planner's clock. The box's own clock may differ: if it is
+// behind, a box in its slow start would count as fully ramped up and be overloaded. The start is therefore limited
+// to the time between the last answer under the previous boot ID and this answer.
 func (b *boxState) startTime(c HealthCheck) time.Time {
 	started := c.Started
 	if b.bootID != "" && started.Before(b.lastAnswerAt) {
@@ -139,8 +139,8 @@
 	return started
 }
 
-// Believe takes what other sources are believed to say of a box: it gets no better state than that. A start that
-// they tell later than the box's own is believed.
+// SetReported sets the state of a box that is reconciled from the sources; its state in the view is never better
+// than that. A start time from the sources replaces the box's own if it is later.
 func (m *Monitor) SetReported(id string, s view.State, started int64) {
 	b := m.boxes[id]
 	if b == nil {
@@ -152,7 +152,7 @@
 	}
 }
 
-// state is a box's state in the view: the worse of its own checks and of what is believed of other sources.
+// effectiveState returns a box's state in the view: the worse of the state by its own checks and the reported one.
 func (b *boxState) effectiveState() view.State {
 	switch {
 	case b.box.State == view.StateGone || b.reportedState == view.StateGone:
@@ -163,8 +163,8 @@
 	return b.box.State
 }
 
-// Settled tells that every box was heard of or missed often enough. Before that the view is not worth
-// publishing: a planner that starts would tell its edges that the whole fleet is gone.
+// AllChecked reports whether every box has answered a check or missed enough checks to be gone. Before that, a view
+// must not be published: a starting planner would report to its edges that the whole fleet is gone.
 func (m *Monitor) AllChecked() bool {
 	for _, b := range m.boxes {
 		if !b.answered && b.missedChecks < m.goneAfter {
@@ -174,7 +174,7 @@
 	return true
 }
 
-// View is the view as it stands, with a higher version if anything changed since the last call.
+// View returns the current view, with a higher version if anything changed since the last call.
 func (m *Monitor) View() (next view.View, changed bool) {
 	for _, b := range m.boxes {
 		if state := b.effectiveState(); state != view.StateGone {
--- a/internal/reconcile/belief.go
+++ b/internal/reconcile/belief.go
@@ -1,9 +1,9 @@
-// Package belief decides what to believe of a fleet of which several sources speak: a catalogue with health
-// checks, a planner, a file, a last view on disk, and what sessions themselves go through. It does no I/O
-// and reads no clock; times are Unix milliseconds.
+// Package reconcile derives the state of each box from several sources that may disagree: a catalogue with
+// health checks, a planner, a file, the last view on disk, and the outcomes of sessions. It does no I/O and
+// reads no clock; times are Unix milliseconds.
 //
-// Never: a box of which a drain was told gets new work before the one who told it takes it back; a box is
-// believed ready that no source names; a mass failure of checks alone empties the fleet.
+// Invariants: a box that a source reported as draining gets no new work until that source withdraws the drain;
+// a box that no source lists is never ready; a mass failure of health checks alone never empties the fleet.
 package reconcile
 
 import (
@@ -13,106 +13,108 @@
 	"time"
 )
 
-// Health is what a source's checks say of a box.
+// Health is the result of a source's health checks of a box.
 type Health int
 
-// Healths, from best to worst.
+// Health values, from best to worst.
 const (
 	Passing Health = iota
 	Warning
 	Critical
 )
 
-// State is what is believed of a box.
+// State is the reconciled state of a box.
 type State string
 
-// States.
+// States of a box.
 const (
 	Ready    State = "ready"
-	Draining State = "draining" // no new work; what plays goes on
+	Draining State = "draining" // no new sessions; playing sessions continue
 	Gone     State = "gone"
 )
 
-// Entry is a source's word on a box.
+// Entry is what one source reports of a box.
 type Entry struct {
 	ID      string
 	Address string
 	Health  Health
-	Drain   bool  // maintenance, or told by an operator
-	Started int64 // 0: not told
+	Drain   bool  // in maintenance mode, or drained by an operator
+	Started int64 // start of the box's process; 0: not reported
 }
 
-// Rules of believing.
+// Rules are the time limits and thresholds of a Reconciler.
 type Rules struct {
-	SourceTimeout       time.Duration // a source not heard for so long no longer leads
-	MissingGrace        time.Duration // an entry that is missing counts on for so long
-	ServedGrace         time.Duration // a box whose check fails is used on for so long while its sessions are served
-	FailureThreshold    int           // set-ups failed in a row, at all edges, that speak against a passing check
-	Cooldown            time.Duration // such a box rests so long before it is tried again, doubled up to 8 times
-	FlapThreshold       int           // changes of health within Flapping that make a box flap
+	SourceTimeout       time.Duration // after this time without a list, a source no longer takes precedence
+	MissingGrace        time.Duration // how long an entry that is missing from the list remains in effect
+	ServedGrace         time.Duration // how long a box with a failing check stays in use while its sessions are served
+	FailureThreshold    int           // consecutive failed set-ups, over all edges, that override a passing check
+	Cooldown            time.Duration // pause before such a box is tried again, doubled each time up to 8 times
+	FlapThreshold       int           // changes of health within FlapWindow that mark a box as flapping
 	FlapWindow          time.Duration
-	MassFailureShare    float64 // of the ready boxes: when checks take away more than this within MassSpan, the checks are suspect
-	MassFailureWindow   time.Duration
-	MassFailureMinBoxes int // fleets with fewer ready boxes know no mass failure
+	MassFailureShare    float64       // share of the ready boxes; checks that remove more of them at once are suspect
+	MassFailureWindow   time.Duration // removals this far apart count as one mass failure
+	MassFailureMinBoxes int           // no mass failure is detected in fleets with fewer ready boxes
 }
 
-// Defaults are for fleets of tens to hundreds of boxes that are checked each second or two.
+// DefaultRules suit fleets of tens to hundreds of boxes that are checked each second or two.
 func DefaultRules() Rules {
-	return Rules{SourceTimeout: 15 * time.Second, MissingGrace: 5 * time.Second, ServedGrace: 20 * time.Second, FailureThreshold: 4, Cooldown: 2 * time.Second,
-		FlapThreshold: 6, FlapWindow: time.Minute, MassFailureShare: 0.4, MassFailureWindow: 10 * time.Second, MassFailureMinBoxes: 4}
+	return Rules{SourceTimeout: 15 * time.Second, MissingGrace: 5 * time.Second, ServedGrace: 20 * time.Second,
+		FailureThreshold: 4, Cooldown: 2 * time.Second, FlapThreshold: 6, FlapWindow: time.Minute,
+		MassFailureShare: 0.4, MassFailureWindow: 10 * time.Second, MassFailureMinBoxes: 4}
 }
 
-// Judged is what is believed of a box, and why.
+// Status is the reconciled state of a box, with the source and the reason.
 type Status struct {
 	Entry
 	State  State
-	Source string        // whose word it is
-	Age    time.Duration // of that word
+	Source string        // name of the source that the entry comes from
+	Age    time.Duration // since that source last listed the box
 	Reason string
 
-	unavailableSince int64 // of what speaks against it
+	unavailableSince int64 // later of the first failing check and the first list without the box; 0: neither
 }
 
-// source is one that speaks of the fleet.
+// source is the last known list of one source.
 type source struct {
 	name         string
-	lastListAt   int64 // last whole word
+	lastListAt   int64 // 0: no list received yet
 	entries      map[string]reportedEntry
-	drainedSince map[string]int64 // told by it and not taken back, since when
+	drainedSince map[string]int64 // boxes whose drain the source reported and has not withdrawn
 }
 
 type reportedEntry struct {
 	Entry
-	listedAt     int64 // last named
-	missingSince int64 // not named since; 0: named
+	listedAt     int64 // time of the last list that has the entry
+	missingSince int64 // time of the first list without the entry; 0: the last list has it
 }
 
-// box is what is remembered of a box beside sources' words.
+// boxHistory is the health and the set-up outcomes of a box, over all sources.
 type boxHistory struct {
-	failures      int // in a row
+	failures      int // consecutive failed set-ups
 	lastServedAt  int64
 	cooldowns     int
 	cooldownUntil int64
-	healthChanges []int64 // of health, lately
+	healthChanges []int64 // times within FlapWindow
 	health        Health
 	hasHealth     bool
-	criticalSince int64 // its check fails since; 0: it passes
-	wasReady      bool  // ready when the checks were last believed
+	criticalSince int64 // start of the current check failure; 0: the check does not fail
+	wasReady      bool  // ready when the checks were last trusted
 }
 
-// Believer holds what was told. Sources are in order of preference, the most preferred first.
+// Reconciler keeps what the sources reported. Sources are in order of preference, the most preferred first.
 type Reconciler struct {
 	Rules
 	sources          []*source
 	boxes            map[string]*boxHistory
-	massFailureSince int64 // checks are suspect since; 0: they are not
+	massFailureSince int64 // since when checks are suspect; 0: they are trusted
 }
 
-// New makes one for sources in their order of preference.
+// New makes a Reconciler for the named sources, given in order of preference.
 func New(rules Rules, names ...string) *Reconciler {
 	reconciler := &Reconciler{Rules: rules, boxes: map[string]*boxHistory{}}
 	for _, n := range names {
-		reconciler.sources = append(reconciler.sources, &source{name: n, entries: map[string]reportedEntry{}, drainedSince: map[string]int64{}})
+		reconciler.sources = append(reconciler.sources, &source{name: n, entries: map[string]reportedEntry{},
+			drainedSince: map[string]int64{}})
 	}
 	return reconciler
 }
@@ -132,11 +134,12 @@
 	return r.boxes[id]
 }
 
-// Heard takes a source's whole word on the fleet.
+// UpdateSource replaces a source's list of the fleet. An entry that the list lacks is kept for ten times
+// MissingGrace.
 func (r *Reconciler) UpdateSource(name string, list []Entry, now int64) error {
 	s := r.source(name)
 	if s == nil {
-		return fmt.Errorf("belief: no source %q", name)
+		return fmt.Errorf("reconcile: unknown source %q", name)
 	}
 	s.lastListAt = now
 	listed := map[string]bool{}
@@ -144,7 +147,7 @@
 		listed[e.ID] = true
 		old, known := s.entries[e.ID]
 		if known && old.Address == e.Address && e.Started < old.Started {
-			e.Started = old.Started // a start does not go back: an older word, or a clock that was set
+			e.Started = old.Started // an earlier start comes from an outdated report or an adjusted clock
 		}
 		s.entries[e.ID] = reportedEntry{Entry: e, listedAt: now}
 		if e.Drain {
@@ -171,13 +174,15 @@
 	return nil
 }
 
-// checked notes a change of a box's health.
+// recordHealth updates a box's health and records when it changes.
 func (r *Reconciler) recordHealth(e Entry, now int64) {
 	history := r.history(e.ID)
 	if history.hasHealth && history.health != e.Health {
 		history.healthChanges = append(history.healthChanges, now)
 	}
-	history.healthChanges = slices.DeleteFunc(history.healthChanges, func(at int64) bool { return now-at > r.FlapWindow.Milliseconds() })
+	history.healthChanges = slices.DeleteFunc(history.healthChanges, func(at int64) bool {
+		return now-at > r.FlapWindow.Milliseconds()
+	})
 	history.health, history.hasHealth = e.Health, true
 	switch {
 	case e.Health != Critical:
@@ -187,13 +192,14 @@
 	}
 }
 
-// Served and Failed are what set-ups went through at a box, at any edge. A refusal for want of room is neither.
+// RecordServed records a successful set-up at a box, from any edge. A refusal for lack of capacity counts neither
+// as served nor as failed.
 func (r *Reconciler) RecordServed(id string, now int64) {
 	history := r.history(id)
 	history.failures, history.lastServedAt, history.cooldowns, history.cooldownUntil = 0, now, 0, 0
 }
 
-// Failed is a set-up that failed, or was not answered.
+// RecordFailure records a set-up that failed or was not answered.
 func (r *Reconciler) RecordFailure(id string, now int64) {
 	history := r.history(id)
 	if history.failures++; history.failures >= r.FailureThreshold && now >= history.cooldownUntil {
@@ -202,7 +208,8 @@
 	}
 }
 
-// lead is the source whose word on the fleet stands: the most preferred that is fresh, else the freshest.
+// leadingSource returns the source whose list is in effect: the most preferred one within SourceTimeout, else the
+// one with the latest list.
 func (r *Reconciler) leadingSource(now int64) *source {
 	var latest *source
 	for _, s := range r.sources {
@@ -219,7 +226,8 @@
 	return latest
 }
 
-// View is what is believed now, by id. Calling it settles what the next call compares with.
+// Evaluate returns the status of every listed box, in order of their ids. Each call updates which boxes were ready,
+// which the next call compares with to detect a mass failure.
 func (r *Reconciler) Evaluate(now int64) []Status {
 	s := r.leadingSource(now)
 	if s == nil {
@@ -236,8 +244,8 @@
 	return r.suppressMassFailure(statuses, now)
 }
 
-// drained tells who told of a drain that was not taken back. Any source's drain counts, whoever leads: its
-// word was given to keep work off.
+// drainReportedBy returns the source with the earliest drain of a box that was not withdrawn. A drain from any
+// source is honoured, whichever source leads, because it was set to keep new sessions off the box.
 func (r *Reconciler) drainReportedBy(id string) (sourceName string, since int64) {
 	for _, s := range r.sources {
 		if at := s.drainedSince[id]; at > 0 && (since == 0 || at < since) {
@@ -273,9 +281,10 @@
 	return Ready, "named and passing"
 }
 
-// massFailure keeps the last good view where checks alone take away too much at once: it is likelier that the
-// health system failed than so many boxes at one moment. Drains, and boxes of which set-ups fail too, are taken
-// away all the same. It ends when most of what was kept is seen ready again, or its sessions fail.
+// suppressMassFailure keeps boxes ready where checks alone would remove too many of them at once: a failure of the
+// health system is then likelier than simultaneous failures of that many boxes. Draining boxes, and boxes whose
+// set-ups also fail, are removed all the same. The suppression ends when most of the kept boxes pass their checks
+// again, or their sessions fail.
 func (r *Reconciler) suppressMassFailure(statuses []Status, now int64) []Status {
 	readyBefore, removed := 0, 0
 	for i := range statuses {
@@ -298,7 +307,8 @@
 	for i := range statuses {
 		status, history := &statuses[i], r.history(statuses[i].ID)
 		if r.massFailureSince > 0 && history.wasReady && r.removedByChecks(status, history) {
-			status.State, status.Reason = Ready, fmt.Sprintf("kept: checks took away %d of %d boxes at once (%s)", removed, readyBefore, status.Reason)
+			status.State, status.Reason = Ready, fmt.Sprintf("kept: checks took away %d of %d boxes at once (%s)",
+				removed, readyBefore, status.Reason)
 			continue
 		}
 		if r.massFailureSince == 0 {
@@ -308,21 +318,24 @@
 	return statuses
 }
 
-// byChecks tells a box that is taken away by the word of checks or lists alone.
+// removedByChecks reports whether a box is gone because of checks or lists alone, with fewer failed set-ups than
+// FailureThreshold.
 func (r *Reconciler) removedByChecks(status *Status, history *boxHistory) bool {
 	return status.State == Gone && history.failures < r.FailureThreshold
 }
 
-// settle takes what is believed as good. A box that fell is forgotten as good only after the span within which
-// a mass failure shows: the first of many to fall must count with the last.
+// updateWasReady records whether a box is ready. A box that is gone counts as ready before until
+// MassFailureWindow and MissingGrace have passed, so that the first box of a mass failure is counted together
+// with the last.
 func (r *Reconciler) updateWasReady(status *Status, history *boxHistory, now int64) {
 	switch {
 	case status.State == Ready:
 		history.wasReady = true
-	case status.State == Draining, now-status.unavailableSince > r.MassFailureWindow.Milliseconds()+r.MissingGrace.Milliseconds():
+	case status.State == Draining,
+		now-status.unavailableSince > r.MassFailureWindow.Milliseconds()+r.MissingGrace.Milliseconds():
 		history.wasReady = false
 	}
 }
 
-// Suspect tells since when the checks are not believed; 0: they are.
+// MassFailureSince returns since when the checks are suspect; 0: they are trusted.
 func (r *Reconciler) MassFailureSince() int64 { return r.massFailureSince }
--- a/internal/reconcile/belief_test.go
+++ b/internal/reconcile/belief_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is a believer with ten boxes that a catalogue names, and a clock.
+// fleet is a Reconciler with ten boxes that the catalogue lists, and a simulated clock.
 type fleet struct {
 	*Reconciler
 	now  int64
@@ -52,11 +52,11 @@
 		}
 	}
 	if want != Gone {
-		t.Errorf("%s is not named", id)
+		t.Errorf("%s is not listed", id)
 	}
 }
 
-func TestWhatIsBelieved(t *testing.T) {
+func TestReconciledStates(t *testing.T) {
 	for name, c := range map[string]func(t *testing.T, f *fleet){
 		"check fails, nothing served": func(t *testing.T, f *fleet) {
 			f.list[0].Health = Critical
@@ -70,7 +70,7 @@
 			f.expect(t, "b0", Ready, "sessions are served")
 			f.advance(t, 25*time.Second)
 			f.RecordServed("b0", f.now)
-			f.expect(t, "b0", Gone, "check fails") // not for ever
+			f.expect(t, "b0", Gone, "check fails") // ServedGrace is over
 		},
 		"check passes, sessions fail": func(t *testing.T, f *fleet) {
 			for range 3 {
@@ -80,10 +80,10 @@
 			f.RecordFailure("b0", f.now)
 			f.expect(t, "b0", Draining, "4 set-ups failed")
 			f.advance(t, 3*time.Second)
-			f.expect(t, "b0", Ready, "") // a trial
+			f.expect(t, "b0", Ready, "") // the cooldown is over: the box is tried again
 			f.RecordFailure("b0", f.now)
 			f.advance(t, 3*time.Second)
-			f.expect(t, "b0", Draining, "") // rests longer
+			f.expect(t, "b0", Draining, "") // the second cooldown is twice as long
 			f.advance(t, 2*time.Second)
 			f.RecordServed("b0", f.now)
 			f.expect(t, "b0", Ready, "named and passing")
@@ -102,7 +102,7 @@
 			f.advance(t, time.Minute)
 			f.expect(t, "b0", Ready, "")
 		},
-		"vanished": func(t *testing.T, f *fleet) {
+		"missing from the list": func(t *testing.T, f *fleet) {
 			f.list = f.list[1:]
 			f.advance(t, time.Second)
 			f.expect(t, "b0", Ready, "missing")
@@ -127,7 +127,7 @@
 			f.RecordFailure("b2", f.now)
 			f.RecordFailure("b2", f.now)
 			f.RecordFailure("b2", f.now)
-			f.expect(t, "b2", Gone, "check fails") // its sessions say so too
+			f.expect(t, "b2", Gone, "check fails") // its set-ups fail too
 			f.list[1].Drain = true
 			f.advance(t, time.Second)
 			f.expect(t, "b1", Draining, "drain told")
@@ -137,10 +137,10 @@
 			f.advance(t, time.Second)
 			f.expect(t, "b0", Ready, "named and passing")
 			if f.MassFailureSince() != 0 {
-				t.Error("the checks stay suspect")
+				t.Error("the checks are still suspect after the boxes passed them again")
 			}
 		},
-		"boxes that fall one by one": func(t *testing.T, f *fleet) {
+		"boxes that fail one by one": func(t *testing.T, f *fleet) {
 			for i := range 6 {
 				f.list[i].Health = Critical
 				f.advance(t, 20*time.Second)
@@ -157,7 +157,7 @@
 			f.report(t, "planner")
 			f.expect(t, "b0", Ready, "")
 		},
-		"the catalogue is lost": func(t *testing.T, f *fleet) {
+		"the catalogue is not reached": func(t *testing.T, f *fleet) {
 			f.list[0].Drain = true
 			f.report(t, "catalogue")
 			f.list[0].Drain = false
@@ -165,26 +165,26 @@
 			f.report(t, "planner")
 			v := f.Evaluate(f.now)
 			if v[1].Source != "planner" || v[1].Age != 0 {
-				t.Errorf("%+v", v[1])
+				t.Errorf("want the planner's entry of age 0, have %+v", v[1])
 			}
 			f.expect(t, "b0", Draining, "drain told by catalogue")
 			f.now += 60_000
 			if v = f.Evaluate(f.now); v[1].Source != "planner" || v[1].Age != time.Minute || len(v) != 10 {
-				t.Errorf("nobody fresh: %+v", v)
+				t.Errorf("no source is fresh, want the planner's list of 10 boxes: %+v", v)
 			}
 		},
-		"started anew on the same address": func(t *testing.T, f *fleet) {
+		"restarted on the same address": func(t *testing.T, f *fleet) {
 			f.list[0].Started = 5000
 			f.advance(t, time.Second)
-			f.list[0].Started = 4000 // an older word
+			f.list[0].Started = 4000 // an outdated report
 			f.advance(t, time.Second)
 			if v := f.Evaluate(f.now); v[0].Started != 5000 {
-				t.Errorf("started %d", v[0].Started)
+				t.Errorf("started at %d, want 5000", v[0].Started)
 			}
 			f.list[0].Address, f.list[0].Started = "elsewhere", 4500
 			f.advance(t, time.Second)
 			if v := f.Evaluate(f.now); v[0].Started != 4500 || v[0].Address != "elsewhere" {
-				t.Errorf("%+v", v[0])
+				t.Errorf("a new address does not bring its own start time: %+v", v[0])
 			}
 		},
 	} {
@@ -196,13 +196,13 @@
 	}
 	f := newFleet()
 	if f.Evaluate(f.now) != nil || f.UpdateSource("nobody", nil, 1) == nil {
-		t.Error("believes what nobody said")
+		t.Error("a status without any report, or a report of an unknown source is accepted")
 	}
 }
 
-// Whatever is told: a drain holds until the one who told it takes it back, every believed box is named by a
-// source, and checks alone never take most of the fleet at once.
-func TestBeliefProperty(t *testing.T) {
+// For any sequence of reports: a drain remains in effect until the source that reported it withdraws it, every
+// box with a status is listed by a source, and checks alone never remove most of the fleet at once.
+func TestReconcileProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
 		f.advance(t, 12*time.Second)
@@ -227,12 +227,12 @@
 				drains[source][e.ID] = e.Drain
 			}
 			for _, j := range f.Evaluate(f.now) {
-				told := drains["catalogue"][j.ID] || drains["planner"][j.ID] || drains["disk"][j.ID]
-				if told && j.State == Ready {
-					t.Fatalf("%s is ready (%s), a drain was told", j.ID, j.Reason)
+				drained := drains["catalogue"][j.ID] || drains["planner"][j.ID] || drains["disk"][j.ID]
+				if drained && j.State == Ready {
+					t.Fatalf("%s is ready (%s) although a source reports a drain", j.ID, j.Reason)
 				}
 				if !slices.ContainsFunc(f.list, func(e Entry) bool { return e.ID == j.ID }) || j.Reason == "" || j.Source == "" {
-					t.Fatalf("%+v", j)
+					t.Fatalf("not listed by a source, or without reason or source: %+v", j)
 				}
 			}
 		}
@@ -250,8 +250,9 @@
 		}
 		f.now += 100
 		f.report(t, "catalogue")
-		if after := ready(); before >= f.MassFailureMinBoxes+2 && after < before/2 && f.leadingSource(f.now).name == "catalogue" {
-			t.Fatalf("checks took %d of %d boxes at once", before-after, before)
+		if after := ready(); before >= f.MassFailureMinBoxes+2 && after < before/2 &&
+			f.leadingSource(f.now).name == "catalogue" {
+			t.Fatalf("checks removed %d of %d boxes at once", before-after, before)
 		}
 	})
 }
--- a/internal/registry/consul.go
+++ b/internal/registry/consul.go
@@ -25,18 +25,20 @@
 const (
 	minRetryDelay      = 200 * time.Millisecond
 	maxRetryDelay      = 15 * time.Second
-	minQueryInterval   = 100 * time.Millisecond // between answers of one query: a catalogue in uproar is not asked as fast as it answers
-	queryTimeoutMargin = 5 * time.Second        // beyond the wait, which the server lengthens by up to a sixteenth
+	minQueryInterval   = 100 * time.Millisecond // limits the query rate while the catalogue changes all the time
+	queryTimeoutMargin = 5 * time.Second        // added to the wait, which the server lengthens by up to a sixteenth
 	maxEntries         = 20000
 )
 
-// NewConsul makes a client; nothing is asked yet.
+// NewConsul makes a client without sending a request.
 func NewConsul(site *config.Site) (*Consul, error) {
 	c := site.Consul
 	clientConfig := api.DefaultNonPooledConfig()
-	clientConfig.Address, clientConfig.Scheme, clientConfig.Datacenter, clientConfig.Namespace = c.Address, c.Scheme, c.Datacentre, c.Namespace
+	clientConfig.Address, clientConfig.Scheme, clientConfig.Datacenter, clientConfig.Namespace =
+		c.Address, c.Scheme, c.Datacentre, c.Namespace
 	clientConfig.TokenFile = c.TokenFile
-	clientConfig.TLSConfig = api.TLSConfig{Address: c.TLS.ServerName, CAFile: c.TLS.CA, CertFile: c.TLS.Cert, KeyFile: c.TLS.Key}
+	clientConfig.TLSConfig = api.TLSConfig{Address: c.TLS.ServerName, CAFile: c.TLS.CA, CertFile: c.TLS.Cert,
+		KeyFile: c.TLS.Key}
 	client, err := api.NewClient(clientConfig)
 	if err != nil {
 		return nil, fmt.Errorf("registry: consul: %w", err)
@@ -44,10 +46,10 @@
 	return &Consul{Site: site, Config: c, client: client}, nil
 }
 
-// Name of the source.
+// Name returns the name of the source.
 func (c *Consul) Name() string { return "consul" }
 
-// options of one blocking query.
+// queryOptions returns the options of one blocking query from an index on.
 func (c *Consul) queryOptions(ctx context.Context, index uint64) *api.QueryOptions {
 	q := &api.QueryOptions{WaitIndex: index, WaitTime: c.Config.Wait.D(), Filter: c.Config.Filter}
 	switch c.Config.Consistency {
@@ -59,18 +61,19 @@
 	return q.WithContext(ctx)
 }
 
-// Watch delivers after each change of boxes or titles, until ctx ends and its queries are over.
+// Watch delivers a snapshot after each answer on boxes or titles, and returns once ctx has ended and the queries
+// have stopped. The first snapshot waits for answers on both.
 func (c *Consul) Watch(ctx context.Context, deliver func(Snapshot), onError func(error)) {
 	var mu sync.Mutex
 	var snapshot Snapshot
-	var faults [2][]string // faults of boxes and of titles
+	var faults [2][]string // of boxes and of titles
 	received := [2]bool{false, c.Config.Titles == ""}
 	update := func(part int, apply func()) {
 		mu.Lock()
 		defer mu.Unlock()
 		apply()
 		received[part] = true
-		if received[0] && received[1] { // half a word would remove all titles, or all boxes
+		if received[0] && received[1] { // a snapshot without one part would remove all titles, or all boxes
 			out := snapshot
 			out.Source, out.Faults = c.Name(), slices.Concat(faults[0], faults[1])
 			deliver(out)
@@ -101,7 +104,7 @@
 		go func() {
 			defer wg.Done()
 			c.runBlockingQuery(ctx, "titles", onError, func(q *api.QueryOptions) (*api.QueryMeta, func(), error) {
-				q.Filter = "" // the key-value store knows no filters
+				q.Filter = "" // the key-value store has no filters
 				list, meta, err := c.client.KV().List(c.Config.Titles, q)
 				if err != nil {
 					return meta, nil, err
@@ -115,11 +118,13 @@
 	wg.Wait()
 }
 
-// follow asks one query again and again. The published rules of blocking queries: an index that goes backwards
-// is reset, and never waits from 0 on; a wait is lengthened by the server by up to a sixteenth. Every answer is
-// taken, also one at the same index: its age is news. Errors wait longer each time, by a random part, so that
-// fronts do not come back to a restarted catalogue together.
-func (c *Consul) runBlockingQuery(ctx context.Context, subject string, onError func(error), query func(*api.QueryOptions) (*api.QueryMeta, func(), error)) {
+// runBlockingQuery repeats one blocking query until ctx ends. It follows Consul's rules for blocking queries: an
+// index that goes backwards is reset to 0, and an index is at least 1, because a query from 0 does not wait; the
+// server lengthens a wait by up to a sixteenth. Every answer is applied, also one at the same index, because it
+// renews the age. The delay after an error doubles and is randomized, so that fronts do not return to a restarted
+// catalogue at the same time.
+func (c *Consul) runBlockingQuery(ctx context.Context, subject string, onError func(error),
+	query func(*api.QueryOptions) (*api.QueryMeta, func(), error)) {
 	index, retryDelay := uint64(0), minRetryDelay
 	for ctx.Err() == nil {
 		queryCtx, cancel := context.WithTimeout(ctx, c.Config.Wait.D()*17/16+queryTimeoutMargin)
@@ -130,13 +135,13 @@
 		}
 		delay := minQueryInterval
 		if err == nil && !meta.KnownLeader && c.Config.Consistency != "stale" {
-			err = errors.New("the server knows no leader")
+			err = errors.New("the server has no cluster leader")
 		}
 		if err != nil {
 			onError(fmt.Errorf("registry: consul: %s: %w", subject, err))
 			delay = retryDelay/2 + rand.N(retryDelay)
 			retryDelay = min(2*retryDelay, maxRetryDelay)
-			index = 0 // a whole answer at once, when it is back
+			index = 0 // the next query is answered at once, with the whole list
 		} else {
 			retryDelay = minRetryDelay
 			if meta.LastIndex < index {
@@ -154,14 +159,16 @@
 	}
 }
 
-// Register makes this program known with a TTL check, keeps it passing until ctx ends, and then leaves in order.
-// A catalogue that cannot be reached, or has forgotten the program, is told again.
+// Register registers this program with a TTL check, keeps the check passing until ctx ends, and then deregisters
+// the program. It registers again after any error, such as a catalogue that was not reached or that lost the
+// registration.
 func (c *Consul) Register(ctx context.Context, id, name, host string, port int, onError func(error)) {
 	ttl := c.Config.TTL.D()
 	check := "service:" + id
 	register := func() error {
-		return c.client.Agent().ServiceRegisterOpts(&api.AgentServiceRegistration{ID: id, Name: name, Address: host, Port: port,
-			Check: &api.AgentServiceCheck{CheckID: check, TTL: ttl.String(), DeregisterCriticalServiceAfter: (20 * ttl).String()}},
+		return c.client.Agent().ServiceRegisterOpts(&api.AgentServiceRegistration{ID: id, Name: name, Address: host,
+			Port: port, Check: &api.AgentServiceCheck{CheckID: check, TTL: ttl.String(),
+				DeregisterCriticalServiceAfter: (20 * ttl).String()}},
 			api.ServiceRegisterOpts{}.WithContext(ctx))
 	}
 	registered := false
--- a/internal/registry/consul_test.go
+++ b/internal/registry/consul_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is a catalogue of three boxes and a title, and one that watches it.
+// fixture is a simulated catalogue with three boxes and a title, and what a Consul that watches it delivered.
 type fixture struct {
 	t         *testing.T
 	catalogue *standin.Catalogue
@@ -63,13 +63,13 @@
 		r.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(stopped)
 		c.Watch(ctx, func(s Snapshot) { r.mu.Lock(); r.last, r.snapshots = s, r.snapshots+1; r.mu.Unlock() },
 			func(err error) { r.mu.Lock(); r.errs = append(r.errs, err.Error()); r.mu.Unlock() })
 	}()
-	r.t.Cleanup(func() { stop(); <-over })
+	r.t.Cleanup(func() { stop(); <-stopped })
 }
 
 func (r *fixture) waitFor(what string, ok func(s Snapshot) bool) {
@@ -83,36 +83,40 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	r.t.Fatalf("in vain: %s; last %+v, errors %v", what, r.last, r.errs)
+	r.t.Fatalf("timed out waiting for: %s; last snapshot %+v, errors %v", what, r.last, r.errs)
 }
 
 func (r *fixture) change(i int, do func(s *standin.Service)) {
 	r.catalogue.Change(func(s map[string]*standin.Service, _ map[string]string) { do(s[fmt.Sprint("box", i)]) })
 }
 
-// Boxes and titles are read by the official client, and every change is told: health, maintenance, registration anew.
-func TestConsulTells(t *testing.T) {
+// Boxes and titles are read through the official client, and every change is delivered: health, maintenance mode, a
+// new address, and deregistration.
+func TestConsulDeliversChanges(t *testing.T) {
 	r := newFixture(t, nil)
 	r.watch()
-	r.waitFor("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 && len(s.Titles) == 1 })
+	r.waitFor("all boxes and titles", func(s Snapshot) bool { return len(s.Boxes) == 3 && len(s.Titles) == 1 })
 	if b := r.last.Boxes[1]; b.ID != "127.0.0.1:9001" || b.Cell != 1 || b.Weight != 2.5 || b.Zone != "east" || b.Started != 1700000000000 || r.last.Titles[0].CellSpan != 3 {
-		t.Errorf("%+v", r.last)
+		t.Errorf("wrong fields in snapshot %+v", r.last)
 	}
 	r.change(0, func(s *standin.Service) { s.Checks["alive"] = "critical" })
 	r.change(1, func(s *standin.Service) { s.Checks["_service_maintenance:box1"] = "critical" })
 	r.change(2, func(s *standin.Service) { s.Checks["alive"], s.Meta[MetaDrain] = "warning", "true" })
-	r.waitFor("states", func(s Snapshot) bool {
-		return s.Boxes[0].Health == reconcile.Critical && !s.Boxes[0].Drain && s.Boxes[1].Drain && s.Boxes[1].Health == reconcile.Passing &&
-			s.Boxes[2].Drain && s.Boxes[2].Health == reconcile.Warning
+	r.waitFor("health and drain of all boxes", func(s Snapshot) bool {
+		return s.Boxes[0].Health == reconcile.Critical && !s.Boxes[0].Drain && s.Boxes[1].Drain &&
+			s.Boxes[1].Health == reconcile.Passing && s.Boxes[2].Drain && s.Boxes[2].Health == reconcile.Warning
 	})
 	r.change(0, func(s *standin.Service) { s.Port, s.Meta[MetaStarted] = 9100, "1700000005000" })
 	r.waitFor("a new address under the same id", func(s Snapshot) bool { return s.Boxes[2].ID == "127.0.0.1:9100" && s.Boxes[2].Started == 1700000005000 })
-	r.catalogue.Change(func(s map[string]*standin.Service, k map[string]string) { delete(s, "box1"); delete(k, "clips/one") })
-	r.waitFor("what is gone", func(s Snapshot) bool { return len(s.Boxes) == 2 && len(s.Titles) == 0 })
+	r.catalogue.Change(func(s map[string]*standin.Service, k map[string]string) {
+		delete(s, "box1")
+		delete(k, "clips/one")
+	})
+	r.waitFor("removal of a box and a title", func(s Snapshot) bool { return len(s.Boxes) == 2 && len(s.Titles) == 0 })
 }
 
-// A broken entry or key is named and kept out, and hurts no other.
-func TestBrokenEntries(t *testing.T) {
+// An invalid entry or key is left out and reported as a fault, without effect on the others.
+func TestInvalidEntries(t *testing.T) {
 	r := newFixture(t, nil)
 	breaks := map[string]func(s *standin.Service){
 		MetaZone: func(s *standin.Service) { s.Meta[MetaZone] = "nowhere" }, MetaKind: func(s *standin.Service) { delete(s.Meta, MetaKind) },
@@ -130,7 +134,7 @@
 		k["clips/half"], k["clips/wide"], k["clips/a b"], k["clips/x"] = `{"home":1,`, `{"home":1,"span":99}`, `{"home":1,"span":1}`, `{"home":0,"span":1,"holders":["h"]}`
 	})
 	r.watch()
-	r.waitFor("the good ones", func(s Snapshot) bool {
+	r.waitFor("valid entries and one fault for each invalid one", func(s Snapshot) bool {
 		return len(s.Boxes) == 3 && len(s.Titles) == 1 && len(s.Faults) == len(breaks)+4
 	})
 	all := strings.Join(r.last.Faults, "\n")
@@ -146,68 +150,70 @@
 	}
 }
 
-// Through each trouble of the catalogue nothing false is delivered, and afterwards what changed meanwhile is.
-func TestOutages(t *testing.T) {
+// During each fault of the catalogue no wrong snapshot is delivered; after the fault, changes made meanwhile are.
+func TestCatalogueFaults(t *testing.T) {
 	for name, f := range map[string]standin.CatalogueFault{"hangs": {Hang: true}, "500s": {Status: 500}, "429s": {Status: 429}, "truncated": {Truncate: true},
 		"no leader": {NoLeader: true}, "not found": {Status: 404}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newFixture(t, func(s *config.Site) { s.Consul.Titles = "" })
 			r.watch()
-			r.waitFor("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 })
+			r.waitFor("all boxes", func(s Snapshot) bool { return len(s.Boxes) == 3 })
 			r.catalogue.Set(f)
-			if f.Hang { // what waits is answered by the trouble; a new query hangs until its time is over
+			if f.Hang { // setting the fault ends the waiting query; the next query hangs until its timeout
 				time.Sleep(300 * time.Millisecond)
 			} else {
-				r.waitFor("an error", func(Snapshot) bool { return len(r.errs) > 1 })
+				r.waitFor("errors", func(Snapshot) bool { return len(r.errs) > 1 })
 			}
 			r.change(0, func(s *standin.Service) { s.Meta[MetaDrain] = "true" })
 			if len(r.last.Boxes) != 3 || r.last.Boxes[0].Drain {
-				t.Errorf("delivered %+v", r.last.Boxes)
+				t.Errorf("delivered wrong boxes %+v", r.last.Boxes)
 			}
 			r.catalogue.Set(standin.CatalogueFault{})
 			r.waitFor("the drain", func(s Snapshot) bool { return s.Boxes[0].Drain })
 		})
 	}
-	t.Run("refused and back", func(t *testing.T) {
+	t.Run("connections are refused, then accepted", func(t *testing.T) {
 		t.Parallel()
 		r := newFixture(t, nil)
 		r.watch()
-		r.waitFor("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 })
+		r.waitFor("all boxes", func(s Snapshot) bool { return len(s.Boxes) == 3 })
 		r.catalogue.Stop()
-		r.waitFor("an error", func(Snapshot) bool { return len(r.errs) > 1 })
+		r.waitFor("errors", func(Snapshot) bool { return len(r.errs) > 1 })
 		r.change(1, func(s *standin.Service) { s.Meta[MetaDrain] = "true" })
 		if _, err := r.catalogue.Start(r.site.Consul.Address); err != nil {
 			t.Fatal(err)
 		}
 		r.waitFor("the drain", func(s Snapshot) bool { return s.Boxes[1].Drain })
 	})
-	t.Run("index goes back during a drain", func(t *testing.T) {
+	t.Run("the index goes backwards during a drain", func(t *testing.T) {
 		t.Parallel()
 		r := newFixture(t, nil)
 		r.watch()
-		r.waitFor("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 })
+		r.waitFor("all boxes", func(s Snapshot) bool { return len(s.Boxes) == 3 })
 		r.catalogue.Set(standin.CatalogueFault{Back: 50})
 		r.change(1, func(s *standin.Service) { s.Meta[MetaDrain] = "true" })
 		begin := time.Now()
 		r.waitFor("the drain", func(s Snapshot) bool { return s.Boxes[1].Drain })
 		if took := time.Since(begin); took > time.Second {
-			t.Errorf("told after %v", took)
+			t.Errorf("the drain was delivered after %v, want a second at most", took)
 		}
 	})
-	t.Run("a slow trickle", func(t *testing.T) {
+	t.Run("answers arrive slowly", func(t *testing.T) {
 		t.Parallel()
 		r := newFixture(t, nil)
 		r.catalogue.Set(standin.CatalogueFault{Trickle: 2 * time.Millisecond})
 		r.watch()
-		r.waitFor("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 && len(s.Titles) == 1 })
+		r.waitFor("all boxes and titles", func(s Snapshot) bool { return len(s.Boxes) == 3 && len(s.Titles) == 1 })
 	})
-	t.Run("a stale reader says so", func(t *testing.T) {
+	t.Run("a stale read reports its age", func(t *testing.T) {
 		t.Parallel()
 		r := newFixture(t, func(s *config.Site) { s.Consul.Consistency = "stale" })
 		r.catalogue.Set(standin.CatalogueFault{Contact: 7 * time.Second})
 		r.watch()
-		r.waitFor("all of it, aged", func(s Snapshot) bool { return len(s.Boxes) == 3 && s.Age == 7*time.Second })
+		r.waitFor("all boxes, with an age of 7 s", func(s Snapshot) bool {
+			return len(s.Boxes) == 3 && s.Age == 7*time.Second
+		})
 	})
 	t.Run("the token is revoked", func(t *testing.T) {
 		t.Parallel()
@@ -218,22 +224,23 @@
 		r := newFixture(t, func(s *config.Site) { s.Consul.TokenFile = file })
 		r.catalogue.Token("good")
 		r.watch()
-		r.waitFor("all of it", func(s Snapshot) bool { return len(s.Boxes) == 3 })
+		r.waitFor("all boxes", func(s Snapshot) bool { return len(s.Boxes) == 3 })
 		r.catalogue.Token("other")
-		r.waitFor("an error", func(Snapshot) bool {
+		r.waitFor("errors", func(Snapshot) bool {
 			return slices.ContainsFunc(r.errs, func(e string) bool { return strings.Contains(e, "403") })
 		})
 		if len(r.last.Boxes) != 3 {
-			t.Errorf("%+v", r.last)
+			t.Errorf("want the 3 boxes read before, have %+v", r.last)
 		}
 	})
 }
 
-// Many watchers come back from an outage apart, and none leaks.
-func TestThunderingReturn(t *testing.T) {
+// Many watchers spread their queries after an outage instead of returning at the same time, and none leaks a
+// goroutine.
+func TestThunderingHerd(t *testing.T) {
 	r := newFixture(t, func(s *config.Site) { s.Consul.Titles = "" })
 	ctx, stop := context.WithCancel(context.Background())
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	got := map[int]int{}
 	for i := range 100 {
@@ -241,9 +248,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		work.Add(1)
+		wg.Add(1)
 		go func() {
-			defer work.Done()
+			defer wg.Done()
 			c.Watch(ctx, func(s Snapshot) { mu.Lock(); got[i] = len(s.Boxes); mu.Unlock() }, func(error) {})
 		}()
 	}
@@ -260,7 +267,7 @@
 			return n == 100
 		}
 	}
-	r.waitFor("all watch", all(3))
+	r.waitFor("all watchers to receive 3 boxes", all(3))
 	r.catalogue.Stop()
 	time.Sleep(time.Second)
 	r.catalogue.Change(func(s map[string]*standin.Service, _ map[string]string) { delete(s, "box2") })
@@ -268,7 +275,7 @@
 	if _, err := r.catalogue.Start(r.site.Consul.Address); err != nil {
 		t.Fatal(err)
 	}
-	r.waitFor("all heard", all(2))
+	r.waitFor("all watchers to receive 2 boxes", all(2))
 	after, _ := r.catalogue.Asked()
 	most := 0
 	for _, at := range after[len(before):] {
@@ -285,10 +292,11 @@
 	}
 	t.Logf("at most %d of %d requests within 50 ms", most, len(after)-len(before))
 	stop()
-	work.Wait()
+	wg.Wait()
 }
 
-// A program registers, stays passing, comes back to a catalogue that forgot it, and leaves in order.
+// A program registers, keeps its check passing, registers again after the catalogue lost it, and deregisters at the
+// end.
 func TestRegister(t *testing.T) {
 	r := newFixture(t, nil)
 	c, err := NewConsul(r.site)
@@ -296,25 +304,25 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(stopped)
 		c.Register(ctx, "edge-0", "rainpulley-edge", "127.0.0.1", 8000, func(error) {})
 	}()
 	passing := func(Snapshot) bool {
 		s, ok := r.catalogue.Service("edge-0")
 		return ok && s.Checks["service:edge-0"] == "passing" && s.Port == 8000
 	}
-	r.waitFor("registered", passing)
+	r.waitFor("the registration", passing)
 	time.Sleep(1500 * time.Millisecond) // beyond its TTL
 	if !passing(Snapshot{}) {
-		t.Error("not kept passing")
+		t.Error("the check does not pass after its TTL")
 	}
 	r.catalogue.Change(func(s map[string]*standin.Service, _ map[string]string) { delete(s, "edge-0") })
-	r.waitFor("registered again", passing)
+	r.waitFor("the second registration", passing)
 	stop()
-	<-over
+	<-stopped
 	if _, ok := r.catalogue.Service("edge-0"); ok {
-		t.Error("still registered")
+		t.Error("still registered after ctx ended")
 	}
 }
--- a/internal/registry/mapping.go
+++ b/internal/registry/mapping.go
@@ -18,24 +18,25 @@
 	"rainpulley/internal/view"
 )
 
-// Meta of a service that describes a box. Consul allows letters, digits, - and _ in keys of meta.
+// Keys of the service metadata that describes a box. Consul allows letters, digits, - and _ in these keys.
 const (
 	MetaZone    = "rainpulley-zone"
 	MetaKind    = "rainpulley-kind"
 	MetaCell    = "rainpulley-cell"
 	MetaWeight  = "rainpulley-weight"
 	MetaStarted = "rainpulley-started-ms"
-	MetaDrain   = "rainpulley-drain" // "true": takes nothing new
+	MetaDrain   = "rainpulley-drain" // "true": the box gets no new sessions
 )
 
-// Checks that Consul makes for maintenance mode.
+// IDs of the checks that Consul adds in maintenance mode; that of a service has the service's ID appended.
 const (
 	nodeMaintenance    = "_node_maintenance"
 	serviceMaintenance = "_service_maintenance"
 )
 
-// boxes maps service entries. One that does not fit the site is kept out and named; it hurts no other. Of two
-// entries with one address, the one with the later start stands.
+// parseBoxes turns service entries into boxes in order of their ids. An entry that does not fit the site is left
+// out and reported as a fault, without effect on the others. Of two entries with the same address, the one with
+// the later start is used.
 func parseBoxes(site *config.Site, entries []*api.ServiceEntry) (out []Box, faults []string) {
 	byID := map[string]Box{}
 	for _, e := range entries {
@@ -60,11 +61,12 @@
 	return out, faults
 }
 
+// parseBox turns a service entry into a box and validates it against the site.
 func parseBox(site *config.Site, e *api.ServiceEntry) (Box, error) {
 	if e == nil || e.Service == nil {
-		return Box{}, fmt.Errorf("entry without a service")
+		return Box{}, fmt.Errorf("entry has no service")
 	}
-	host := e.Service.Address // empty: the node's (Consul, "Service Address")
+	host := e.Service.Address // empty: the node's address applies (Consul API, "Service Address")
 	if host == "" && e.Node != nil {
 		host = e.Node.Address
 	}
@@ -73,28 +75,28 @@
 		return Box{}, fmt.Errorf("service %q at %s: %s: %s", e.Service.ID, id, key, fmt.Sprintf(format, a...))
 	}
 	if host == "" || e.Service.Port < 1 || e.Service.Port > 65535 {
-		return invalid("address", "no host or port")
+		return invalid("address", "host is missing or port is out of range")
 	}
 	meta := e.Service.Meta
 	b := Box{Entry: reconcile.Entry{ID: id, Address: id}, Zone: meta[MetaZone], Kind: meta[MetaKind], Weight: 1}
 	if site.Zone(b.Zone) < 0 {
-		return invalid(MetaZone, "%q is no zone of the site", b.Zone)
+		return invalid(MetaZone, "%q is not a zone of the site", b.Zone)
 	}
 	if site.Kind(b.Kind) < 0 {
-		return invalid(MetaKind, "%q is no kind of the site", b.Kind)
+		return invalid(MetaKind, "%q is not a kind of the site", b.Kind)
 	}
 	var err error
 	if b.Cell, err = strconv.Atoi(meta[MetaCell]); err != nil || b.Cell < 0 || b.Cell >= site.Cells {
-		return invalid(MetaCell, "%q: 0 to %d", meta[MetaCell], site.Cells-1)
+		return invalid(MetaCell, "%q is not a number from 0 to %d", meta[MetaCell], site.Cells-1)
 	}
 	if w, given := meta[MetaWeight]; given {
 		if b.Weight, err = strconv.ParseFloat(w, 64); err != nil || !(b.Weight > 0) || math.IsInf(b.Weight, 0) {
-			return invalid(MetaWeight, "%q: a number above 0", w)
+			return invalid(MetaWeight, "%q is not a finite number above 0", w)
 		}
 	}
 	if s, given := meta[MetaStarted]; given {
 		if b.Started, err = strconv.ParseInt(s, 10, 64); err != nil || b.Started < 0 || b.Started > timeconv.MaxUnixMilli {
-			return invalid(MetaStarted, "%q: Unix milliseconds", s)
+			return invalid(MetaStarted, "%q is not a valid time in Unix milliseconds", s)
 		}
 	}
 	b.Drain = meta[MetaDrain] == "true"
@@ -102,7 +104,8 @@
 	return b, nil
 }
 
-// health is the worst of an entry's checks. Maintenance is a drain and no failure: what plays goes on.
+// worstHealth returns the worst health of an entry's checks. Maintenance mode sets drain and is no failure,
+// because playing sessions continue.
 func worstHealth(checks api.HealthChecks, drain *bool) reconcile.Health {
 	worst := reconcile.Passing
 	for _, c := range checks {
@@ -113,19 +116,20 @@
 			worst = max(worst, reconcile.Critical)
 		case c.Status == api.HealthWarning:
 			worst = max(worst, reconcile.Warning)
-		case c.Status != api.HealthPassing: // a word that this program does not know says nothing good
+		case c.Status != api.HealthPassing: // an unknown status is treated as a warning
 			worst = max(worst, reconcile.Warning)
 		}
 	}
 	return worst
 }
 
-// titles maps keys under the prefix: each is a title's name, its value {"home","span","length_ms"}.
+// parseTitles reads titles from the key-value pairs under the prefix: the rest of a key is the title's name, the
+// value is {"home","span","length_ms"}.
 func parseTitles(site *config.Site, prefix string, pairs api.KVPairs) (out []view.Title, faults []string) {
 	out = []view.Title{}
 	for _, pair := range pairs {
 		name := strings.TrimPrefix(pair.Key, prefix)
-		if name == "" { // the folder itself
+		if name == "" { // the key of the folder itself
 			continue
 		}
 		t := view.Title{Name: name}
@@ -135,13 +139,13 @@
 		switch {
 		case err != nil:
 		case t.Name != name || !config.Segment(name):
-			err = fmt.Errorf("name %q does not fit the key, or a URL", t.Name)
+			err = fmt.Errorf("name %q differs from the key, or is no valid URL path segment", t.Name)
 		case t.HomeCell < 0 || t.HomeCell >= site.Cells || t.CellSpan < 1 || t.CellSpan > site.Cells:
 			err = fmt.Errorf("home %d and span %d do not fit %d cells", t.HomeCell, t.CellSpan, site.Cells)
 		case t.LengthMs < 0 || t.LengthMs > timeconv.MaxDuration.Milliseconds():
-			err = fmt.Errorf("length_ms %d", t.LengthMs)
+			err = fmt.Errorf("length_ms %d is out of range", t.LengthMs)
 		case t.Listed || t.Holders != nil:
-			err = fmt.Errorf("holders are not for the catalogue to say")
+			err = fmt.Errorf("holders must not be set in the catalogue")
 		}
 		if err != nil {
 			faults = append(faults, fmt.Sprintf("key %s: %v", pair.Key, err))
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry reads the fleet from where it is described: a site file, or a Consul catalogue. Every
-// source delivers whole lists, each with its version, its age and the source's name; what to believe of them
-// is package belief's.
+// Package registry reads the list of boxes and titles from a site file or a Consul catalogue. Every source delivers
+// complete lists, each with its version, its age and the source's name; package reconcile resolves differences
+// between them.
 package registry
 
 import (
@@ -12,7 +12,7 @@
 	"rainpulley/internal/view"
 )
 
-// Box is one box as a source describes it.
+// Box is a source's description of one box.
 type Box struct {
 	reconcile.Entry
 	Zone, Kind string
@@ -20,33 +20,33 @@
 	Weight     float64
 }
 
-// Snapshot is a source's whole word at one moment.
+// Snapshot is a source's complete list at one moment.
 type Snapshot struct {
 	Source  string
-	Version uint64        // rises with each change; of a source that starts anew it may begin again
-	Age     time.Duration // of the word when it was heard: a stale reader's distance from its leader
+	Version uint64        // rises with each change; may restart when the source restarts
+	Age     time.Duration // of the list when it was received; a stale read reports its lag behind the leader
 	Boxes   []Box         // in order of their ids
-	Titles  []view.Title  // nil: the source says nothing of titles
-	Faults  []string      // entries that were kept out, and why
+	Titles  []view.Title  // nil: the source does not describe titles
+	Faults  []string      // entries that were left out, with the reason
 }
 
-// Source delivers the fleet until ctx ends. An error that passes is told to fault and tried again; nothing is
-// delivered meanwhile, so that the last word ages.
+// Source delivers snapshots of the fleet until ctx ends. A temporary error is passed to onError and the read is
+// retried; nothing is delivered meanwhile, so that the age of the last snapshot grows.
 type Source interface {
 	Name() string
-	Watch(ctx context.Context, deliver func(Snapshot), fault func(error))
+	Watch(ctx context.Context, deliver func(Snapshot), onError func(error))
 }
 
-// Static is the site file's word. It is delivered again and again, as it does not age.
+// Static delivers the boxes of the site file. It repeats them at each interval, so that they count as current.
 type Static struct {
 	Site     func() *config.Site
 	Interval time.Duration
 }
 
-// Name of the source.
+// Name returns the name of the source.
 func (s *Static) Name() string { return "site" }
 
-// Watch delivers.
+// Watch delivers a snapshot at once and then at each interval, until ctx ends.
 func (s *Static) Watch(ctx context.Context, deliver func(Snapshot), _ func(error)) {
 	ticker := time.NewTicker(s.Interval)
 	defer ticker.Stop()
@@ -54,7 +54,8 @@
 		site := s.Site()
 		snapshot := Snapshot{Source: s.Name(), Version: n}
 		for _, b := range site.Boxes {
-			snapshot.Boxes = append(snapshot.Boxes, Box{Entry: reconcile.Entry{ID: b.Addr, Address: b.Addr}, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, Weight: b.Weight})
+			snapshot.Boxes = append(snapshot.Boxes, Box{Entry: reconcile.Entry{ID: b.Addr, Address: b.Addr},
+				Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, Weight: b.Weight})
 		}
 		deliver(snapshot)
 		select {
