--- a/internal/edge/adopt.go
+++ b/internal/edge/adopt.go
@@ -43,55 +43,55 @@
 }
 
 // adopt takes over a session of an earlier instance, unless its viewer was quicker and has a new one.
-func (e *Edge) adoptSession(server string, h heldSession) {
-	class := e.Site.Class(h.Class)
-	title, ok := e.fleet.Load().titles[h.Title]
-	fromEarlierInstance := strings.HasPrefix(h.ID, e.requestIDPrefix()) && !strings.HasPrefix(h.ID, e.requestIDPrefix()+e.instanceID)
-	if !fromEarlierInstance || class < 0 || !ok || !isURLSafe(h.Viewer) || h.Rung < 0 || h.Rung >= len(e.settings.Ladder) || h.Since < 0 {
-		e.Log.Warn("held session not taken over", "session", h.ID, "server", server, "title", h.Title, "class", h.Class)
+func (e *Edge) adoptSession(server string, held heldSession) {
+	class := e.Site.Class(held.Class)
+	title, ok := e.fleet.Load().titles[held.Title]
+	fromEarlierInstance := strings.HasPrefix(held.ID, e.requestIDPrefix()) && !strings.HasPrefix(held.ID, e.requestIDPrefix()+e.instanceID)
+	if !fromEarlierInstance || class < 0 || !ok || !isURLSafe(held.Viewer) || held.Rung < 0 || held.Rung >= len(e.settings.Ladder) || held.Since < 0 {
+		e.Log.Warn("held session not taken over", "session", held.ID, "server", server, "title", held.Title, "class", held.Class)
 		return
 	}
 	ctx, cancel := context.WithTimeout(e.ctx, 2*time.Second)
 	defer cancel()
-	m, track, err := e.readManifest(ctx, server, h)
+	m, track, err := e.readManifest(ctx, server, held)
 	if err != nil {
-		e.Log.Warn("held session let go: its manifest could not be read", "session", h.ID, "server", server, "error", err)
-		e.boxes.Release(h.ID, server, 0)
+		e.Log.Warn("held session let go: its manifest could not be read", "session", held.ID, "server", server, "error", err)
+		e.boxes.Release(held.ID, server, 0)
 		return
 	}
 	limits := &e.settings.Classes[class]
-	maxRung := min(max(h.Best, limits.MinRung), limits.MaxRung)
-	s := e.sessions.getOrAdd([]byte(h.Class+"/"+h.Title+"/"+h.Viewer), func(name string) *session {
-		return &session{name: name, viewerKey: h.Viewer, class: class, title: title, maxRung: maxRung}
+	maxRung := min(max(held.Best, limits.MinRung), limits.MaxRung)
+	s := e.sessions.getOrAdd([]byte(held.Class+"/"+held.Title+"/"+held.Viewer), func(name string) *session {
+		return &session{name: name, viewerKey: held.Viewer, class: class, title: title, maxRung: maxRung}
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.state != admission.None {
-		e.Log.Info("held session let go: its viewer has a new one", "session", h.ID, "server", server)
-		e.boxes.Release(h.ID, server, 0)
+		e.Log.Info("held session let go: its viewer has a new one", "session", held.ID, "server", server)
+		e.boxes.Release(held.ID, server, 0)
 		return
 	}
-	p := &placementRequest{id: h.ID, session: s, edge: e, answered: make(chan struct{}), closed: make(chan struct{})}
+	p := &placementRequest{id: held.ID, session: s, edge: e, answered: make(chan struct{}), closed: make(chan struct{})}
 	close(p.answered)
 	now := e.now()
 	s.request, s.requestCount, s.state, s.stateSince, s.hasPlayed = p, 1, admission.Playing, now, true
-	s.contentStart = now - timeconv.Milliseconds(h.Since)
-	s.server, s.manifest, s.publishedRung, s.wantedRung = server, m, h.Rung, h.Rung
+	s.contentStart = now - timeconv.Milliseconds(held.Since)
+	s.server, s.manifest, s.publishedRung, s.wantedRung = server, m, held.Rung, held.Rung
 	s.window.SetSource("http://"+server, sessionQuery(p.id), track, 0)
 	s.window.StartAt(track.SegmentAt((now - s.contentStart).Seconds()))
 	s.lastSeenAt.Store(int64(now))
 	e.boxes.addSession(server, p.id)
-	remaining := max(timeconv.Milliseconds(title.LengthMs)-timeconv.Milliseconds(h.Since), 0)
+	remaining := max(timeconv.Milliseconds(title.LengthMs)-timeconv.Milliseconds(held.Since), 0)
 	r := control.Request{ID: p.id, Class: class, Viewer: hash(s.viewerKey), Title: hash(title.Name), HomeCell: title.HomeCell, CellSpan: title.CellSpan,
 		BestRung: maxRung, GiveUpAt: now, ExpectedLength: remaining, Server: server}
 	if title.Listed {
 		r.Holders = title.Holders
 	}
-	go e.orchestrator.Adopt(r, h.Rung, p) // the owner may wait for this session's lock
+	go e.orchestrator.Adopt(r, held.Rung, p) // the owner may wait for this session's lock
 }
 
-func (e *Edge) readManifest(ctx context.Context, server string, h heldSession) (*manifest, *hls.Track, error) {
-	path := "/t/" + h.Title + "/index.m3u8"
+func (e *Edge) readManifest(ctx context.Context, server string, held heldSession) (*manifest, *hls.Track, error) {
+	path := "/t/" + held.Title + "/index.m3u8"
 	resp, err := e.boxes.http.Do(ctx, server, "GET", path, nil, nil)
 	if err != nil {
 		return nil, nil, err
@@ -100,6 +100,6 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	t, err := e.playlists.rungTrack(ctx, server, m, h.Rung)
+	t, err := e.playlists.rungTrack(ctx, server, m, held.Rung)
 	return m, t, err
 }
--- a/internal/edge/boxes.go
+++ b/internal/edge/boxes.go
@@ -71,14 +71,14 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.outcomes[server]
-	if c.Box = server; served {
-		c.Served++
+	counts := b.outcomes[server]
+	if counts.Box = server; served {
+		counts.Served++
 	} else {
-		c.Failed++
+		counts.Failed++
 	}
-	if len(b.outcomes) < maxCounted || c.Served+c.Failed > 1 {
-		b.outcomes[server], b.outcomesChanged = c, true
+	if len(b.outcomes) < maxCounted || counts.Served+counts.Failed > 1 {
+		b.outcomes[server], b.outcomesChanged = counts, true
 	}
 }
 
@@ -90,8 +90,8 @@
 		return nil
 	}
 	b.outcomesChanged = false
-	for _, c := range b.outcomes {
-		out = append(out, c)
+	for _, counts := range b.outcomes {
+		out = append(out, counts)
 	}
 	return out
 }
@@ -337,11 +337,11 @@
 	return true
 }
 
-func (b *boxClient) reportLost(server string, f *follower, isLost func(id string, since time.Duration) bool) {
+func (b *boxClient) reportLost(server string, f *follower, isLost func(id string, addedAt time.Duration) bool) {
 	b.mu.Lock()
 	var ids []string
-	for id, since := range f.sessions {
-		if isLost(id, since) {
+	for id, addedAt := range f.sessions {
+		if isLost(id, addedAt) {
 			ids = append(ids, id)
 			delete(f.sessions, id)
 		}
@@ -367,11 +367,11 @@
 		for _, id := range event.Sessions {
 			running[id] = true
 		}
-		b.reportLost(server, f, func(id string, since time.Duration) bool {
-			return since < opened && !running[id]
+		b.reportLost(server, f, func(id string, addedAt time.Duration) bool {
+			return addedAt < opened && !running[id]
 		})
-		for _, h := range event.Held {
-			b.edge.spawn(func() { b.edge.adoptSession(server, h) })
+		for _, held := range event.Held {
+			b.edge.spawn(func() { b.edge.adoptSession(server, held) })
 		}
 	case event.End:
 		b.reportLost(server, f, func(id string, _ time.Duration) bool { return id == event.Session })
--- a/internal/edge/handle.go
+++ b/internal/edge/handle.go
@@ -212,12 +212,12 @@
 }
 
 // cutName splits class/title/key from what follows.
-func cutSessionName(p []byte) (name, rest []byte, ok bool) {
-	n := 0
-	for i, c := range p {
+func cutSessionName(path []byte) (name, rest []byte, ok bool) {
+	slashes := 0
+	for i, c := range path {
 		if c == '/' {
-			if n++; n == 3 {
-				return p[:i], p[i+1:], true
+			if slashes++; slashes == 3 {
+				return path[:i], path[i+1:], true
 			}
 		}
 	}
@@ -263,8 +263,8 @@
 }
 
 // startFits tells a <best>/<start> of which the start is a time that was, without allocating.
-func isPastStart(p []byte, now time.Duration) bool {
-	start := p[bytes.LastIndexByte(p, '/')+1:]
+func isPastStart(path []byte, now time.Duration) bool {
+	start := path[bytes.LastIndexByte(path, '/')+1:]
 	if len(start) == 0 || len(start) > 12 { // longer ones are beyond every moment, and could overflow
 		return false
 	}
@@ -286,29 +286,29 @@
 const maxClockSkew = time.Minute
 
 func (e *Edge) parseReload(name, rest []byte) (viewerRequest, error) {
-	parts := strings.Split(string(name), "/")
-	tail := strings.Split(string(rest), "/")
-	req := viewerRequest{sessionName: bytes.Clone(name), class: e.Site.Class(parts[0]), title: parts[1], viewerKey: parts[2]}
-	if req.class < 0 || len(tail) != 3 || !isURLSafe(req.viewerKey) {
+	nameParts := strings.Split(string(name), "/")
+	restParts := strings.Split(string(rest), "/")
+	req := viewerRequest{sessionName: bytes.Clone(name), class: e.Site.Class(nameParts[0]), title: nameParts[1], viewerKey: nameParts[2]}
+	if req.class < 0 || len(restParts) != 3 || !isURLSafe(req.viewerKey) {
 		return req, fmt.Errorf("no such class, or malformed path")
 	}
 	class := &e.settings.Classes[req.class]
-	best, err := strconv.Atoi(tail[0])
+	best, err := strconv.Atoi(restParts[0])
 	if err != nil || best < class.MinRung || best > class.MaxRung {
 		return req, fmt.Errorf("best: no rung of the class")
 	}
-	start, err := strconv.ParseInt(tail[1], 36, 64)
-	if err != nil || !isPastStart([]byte(tail[1]), e.now()) {
+	start, err := strconv.ParseInt(restParts[1], 36, 64)
+	if err != nil || !isPastStart([]byte(restParts[1]), e.now()) {
 		return req, fmt.Errorf("start: no time, or one to come")
 	}
 	if _, ok := e.fleet.Load().titles[req.title]; !ok {
 		return req, errUnknownTitle
 	}
-	if n, ok := strings.CutPrefix(strings.TrimSuffix(tail[2], ".m3u8"), "r"); ok {
+	if n, ok := strings.CutPrefix(strings.TrimSuffix(restParts[2], ".m3u8"), "r"); ok {
 		if req.playlist, err = strconv.Atoi(n); err != nil || req.playlist < 1 {
 			return req, fmt.Errorf("no such playlist")
 		}
-	} else if tail[2] != "media.m3u8" {
+	} else if restParts[2] != "media.m3u8" {
 		return req, fmt.Errorf("no such playlist")
 	}
 	req.maxRung, req.patience = best, class.Deadline
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -56,8 +56,8 @@
 
 type sessionTable struct {
 	shards [shardCount]struct {
-		mu   sync.RWMutex
-		byID map[string]*session
+		mu     sync.RWMutex
+		byName map[string]*session
 	}
 	size atomic.Int64
 }
@@ -65,52 +65,52 @@
 func newSessionTable() *sessionTable {
 	t := &sessionTable{}
 	for i := range t.shards {
-		t.shards[i].byID = map[string]*session{}
+		t.shards[i].byName = map[string]*session{}
 	}
 	return t
 }
 
 // place is FNV-1a, which needs no state.
 func shardIndex(name []byte) int {
-	hash := uint32(2166136261)
+	sum := uint32(2166136261)
 	for _, c := range name {
-		hash = (hash ^ uint32(c)) * 16777619
+		sum = (sum ^ uint32(c)) * 16777619
 	}
-	return int(hash % shardCount)
+	return int(sum % shardCount)
 }
 
 func (t *sessionTable) find(name []byte) *session {
-	sh := &t.shards[shardIndex(name)]
-	sh.mu.RLock()
-	defer sh.mu.RUnlock()
-	return sh.byID[string(name)]
+	shard := &t.shards[shardIndex(name)]
+	shard.mu.RLock()
+	defer shard.mu.RUnlock()
+	return shard.byName[string(name)]
 }
 
 // add returns the session of a name, made by fresh where there is none.
 func (t *sessionTable) getOrAdd(name []byte, create func(name string) *session) *session {
-	sh := &t.shards[shardIndex(name)]
-	sh.mu.Lock()
-	defer sh.mu.Unlock()
-	if s := sh.byID[string(name)]; s != nil {
+	shard := &t.shards[shardIndex(name)]
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	if s := shard.byName[string(name)]; s != nil {
 		return s
 	}
 	s := create(string(name))
-	sh.byID[s.name] = s
+	shard.byName[s.name] = s
 	t.size.Add(1)
 	return s
 }
 
 func (t *sessionTable) forEach(f func(*session) (keep bool)) {
 	for i := range t.shards {
-		sh := &t.shards[i]
-		sh.mu.Lock()
-		for name, s := range sh.byID {
+		shard := &t.shards[i]
+		shard.mu.Lock()
+		for name, s := range shard.byName {
 			if !f(s) {
-				delete(sh.byID, name)
+				delete(shard.byName, name)
 				t.size.Add(-1)
 			}
 		}
-		sh.mu.Unlock()
+		shard.mu.Unlock()
 	}
 }
 
