--- a/internal/edge/adopt.go
+++ b/internal/edge/adopt.go
@@ -12,7 +12,8 @@
 	"rainpulley/internal/view"
 )
 
-// heldLine is a session that a box runs for this edge, as it lists it when the edge's stream opens.
+// heldSession is a session that a box runs for an earlier instance of this edge. The box lists it when the edge
+// opens its event stream.
 type heldSession struct {
 	ID     string `json:"id"`
 	Title  string `json:"title"`
@@ -20,14 +21,15 @@
 	Viewer string `json:"viewer"`
 	Rung   int    `json:"rung"`
 	Best   int    `json:"best"`
-	Since  int64  `json:"since_ms"` // how long it has run
+	Since  int64  `json:"since_ms"` // time since the session started
 }
 
-// adoptFor is how long, after a restart with a last view, reloads of unknown sessions wait for boxes to
-// tell what they run: set up anew beside its old stream, a session would be held twice.
+// reclaimWait is how long, after a restart with a saved view, reloads of unknown sessions wait until boxes have
+// listed what they run. A session that is set up again while its old stream runs would occupy capacity twice.
 const reclaimWait = 700 * time.Millisecond
 
-// reclaim asks all boxes of the last view for what an earlier instance of this edge left playing.
+// reclaimSessions opens the event streams of all boxes in the saved view, which list the sessions that an
+// earlier instance of this edge left playing.
 func (e *Edge) reclaimSessions(v view.View) {
 	e.reclaimDone = make(chan struct{})
 	for _, b := range v.Boxes {
@@ -42,20 +44,25 @@
 	})
 }
 
-// adopt takes over a session of an earlier instance, unless its viewer was quicker and has a new one.
+// adoptSession takes over a session of an earlier instance of this edge. The session is released instead if its
+// viewer has a new one already.
 func (e *Edge) adoptSession(server string, held heldSession) {
 	class := e.Site.Class(held.Class)
 	title, ok := e.fleet.Load().titles[held.Title]
-	fromEarlierInstance := strings.HasPrefix(held.ID, e.requestIDPrefix()) && !strings.HasPrefix(held.ID, e.requestIDPrefix()+e.instanceID)
-	if !fromEarlierInstance || class < 0 || !ok || !isURLSafe(held.Viewer) || held.Rung < 0 || held.Rung >= len(e.settings.Ladder) || held.Since < 0 {
-		e.Log.Warn("held session not taken over", "session", held.ID, "server", server, "title", held.Title, "class", held.Class)
+	fromEarlierInstance := strings.HasPrefix(held.ID, e.requestIDPrefix()) &&
+		!strings.HasPrefix(held.ID, e.requestIDPrefix()+e.instanceID)
+	if !fromEarlierInstance || class < 0 || !ok || !isURLSafe(held.Viewer) || held.Rung < 0 ||
+		held.Rung >= len(e.settings.Ladder) || held.Since < 0 {
+		e.Log.Warn("session of an earlier instance not adopted", "session", held.ID, "server", server,
+			"title", held.Title, "class", held.Class)
 		return
 	}
 	ctx, cancel := context.WithTimeout(e.ctx, 2*time.Second)
 	defer cancel()
 	m, track, err := e.readManifest(ctx, server, held)
 	if err != nil {
-		e.Log.Warn("held session let go: its manifest could not be read", "session", held.ID, "server", server, "error", err)
+		e.Log.Warn("session of an earlier instance released: its manifest could not be read",
+			"session", held.ID, "server", server, "error", err)
 		e.boxes.Release(held.ID, server, 0)
 		return
 	}
@@ -67,7 +74,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.state != admission.None {
-		e.Log.Info("held session let go: its viewer has a new one", "session", held.ID, "server", server)
+		e.Log.Info("session of an earlier instance released: its viewer has a new one", "session", held.ID, "server", server)
 		e.boxes.Release(held.ID, server, 0)
 		return
 	}
@@ -82,14 +89,16 @@
 	s.lastSeenAt.Store(int64(now))
 	e.boxes.addSession(server, p.id)
 	remaining := max(timeconv.Milliseconds(title.LengthMs)-timeconv.Milliseconds(held.Since), 0)
-	r := control.Request{ID: p.id, Class: class, Viewer: hash(s.viewerKey), Title: hash(title.Name), HomeCell: title.HomeCell, CellSpan: title.CellSpan,
-		BestRung: maxRung, GiveUpAt: now, ExpectedLength: remaining, Server: server}
+	r := control.Request{ID: p.id, Class: class, Viewer: hash(s.viewerKey), Title: hash(title.Name),
+		HomeCell: title.HomeCell, CellSpan: title.CellSpan, BestRung: maxRung, GiveUpAt: now, ExpectedLength: remaining,
+		Server: server}
 	if title.Listed {
 		r.Holders = title.Holders
 	}
-	go e.orchestrator.Adopt(r, held.Rung, p) // the owner may wait for this session's lock
+	go e.orchestrator.Adopt(r, held.Rung, p) // in a goroutine: the orchestrator may wait for the lock of this session
 }
 
+// readManifest reads the manifest of a held session, and the playlist of its rung, from the box.
 func (e *Edge) readManifest(ctx context.Context, server string, held heldSession) (*manifest, *hls.Track, error) {
 	path := "/t/" + held.Title + "/index.m3u8"
 	resp, err := e.boxes.http.Do(ctx, server, "GET", path, nil, nil)
--- a/internal/edge/boxes.go
+++ b/internal/edge/boxes.go
@@ -19,7 +19,8 @@
 	"rainpulley/internal/view"
 )
 
-// boxes carries the module's actions to streaming servers over HTTP, and hears their notes.
+// boxClient is the core.Executor of an edge: it sends the module's actions to boxes over HTTP, and reads the
+// notes in their event streams.
 type boxClient struct {
 	edge         *Edge
 	http         *http1.Client
@@ -27,16 +28,17 @@
 
 	mu              sync.Mutex
 	followers       map[string]*follower    // by server
-	outcomes        map[string]view.Outcome // counts, by server
-	outcomesChanged bool                    // of them since the last report
+	outcomes        map[string]view.Outcome // counts of set-ups, by server
+	outcomesChanged bool                    // since the last call of takeOutcomes
 }
 
+// releaseRequest asks a box to end a session that was set up by the given attempt.
 type releaseRequest struct {
 	id, server string
 	attempt    int
 }
 
-// setup is what a set-up brought back.
+// setUpResult is what a successful set-up returned.
 type setUpResult struct {
 	manifest *manifest
 	track    *hls.Track
@@ -51,19 +53,22 @@
 
 func newBoxClient(e *Edge) *boxClient {
 	limits := http1.DefaultLimits()
-	return &boxClient{edge: e, followers: map[string]*follower{}, outcomes: map[string]view.Outcome{}, releaseQueue: make(chan releaseRequest, releaseQueueSize),
-		http: &http1.Client{Limits: limits, ConnectTimeout: e.Site.Attempts.ConnectTimeout.D()}}
+	return &boxClient{edge: e, followers: map[string]*follower{}, outcomes: map[string]view.Outcome{},
+		releaseQueue: make(chan releaseRequest, releaseQueueSize),
+		http:         &http1.Client{Limits: limits, ConnectTimeout: e.Site.Attempts.ConnectTimeout.D()}}
 }
 
-// SetUp asks a box to start a session: POST /sessions/<id>. What proves that it never ran is told apart
-// from what may have run: no connection or 503 with a reason never ran; all else may have.
+// SetUp asks a box to start a session: POST /sessions/<id>. Its outcome separates failures that prove that the
+// session never ran (no connection, or 503 with a Rainpulley-Reason field) from all others, after which it may
+// run.
 func (b *boxClient) SetUp(ctx context.Context, a core.Attempt) core.Result {
 	r := b.sendSetUp(ctx, a)
 	b.countOutcome(ctx, a.Server, r.Outcome)
 	return r
 }
 
-// count keeps what set-ups came to, for the planner: sessions that fail speak against a check that passes.
+// countOutcome counts the outcome of a set-up for the report to the planner, so that failing set-ups can
+// overrule a health check that passes.
 func (b *boxClient) countOutcome(ctx context.Context, server string, outcome control.Outcome) {
 	served := outcome == control.Served
 	if outcome == control.Full || !served && errors.Is(ctx.Err(), context.Canceled) {
@@ -82,7 +87,7 @@
 	}
 }
 
-// outcomes are all counts; nil where nothing was added since the last call.
+// takeOutcomes returns all counts, or nil if none changed since the last call.
 func (b *boxClient) takeOutcomes() (out []view.Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,6 +101,7 @@
 	return out
 }
 
+// sendSetUp sends the set-up and reads the manifest and the playlist of the session's rung.
 func (b *boxClient) sendSetUp(ctx context.Context, a core.Attempt) core.Result {
 	b.ensureFollowing(a.Server)
 	title, viewer, maxRung := "", "", 0
@@ -103,7 +109,8 @@
 		title, viewer, maxRung = p.title, p.session.viewerKey, p.maxRung
 	}
 	query := url.Values{"title": {title}, "class": {b.edge.Site.Classes[a.Class].Name}, "rung": {strconv.Itoa(a.Rung)},
-		"attempt": {strconv.Itoa(a.Number)}, "edge": {b.edge.instanceName()}, "viewer": {viewer}, "best": {strconv.Itoa(maxRung)}}
+		"attempt": {strconv.Itoa(a.Number)}, "edge": {b.edge.instanceName()}, "viewer": {viewer},
+		"best": {strconv.Itoa(maxRung)}}
 	resp, err := b.http.Do(ctx, a.Server, "POST", "/sessions/"+a.ID+"?"+query.Encode(), nil, nil)
 	if err != nil {
 		b.edge.Log.Debug("set-up", "session", a.ID, "server", a.Server, "error", err)
@@ -126,26 +133,28 @@
 		out.track, err = b.edge.playlists.rungTrack(ctx, a.Server, m, a.Rung)
 	}
 	if err != nil {
-		b.edge.Log.Warn("set-up without a playlist that can be used", "session", a.ID, "server", a.Server, "error", err)
+		b.edge.Log.Warn("set-up returned no usable manifest or playlist", "session", a.ID, "server", a.Server, "error", err)
 		return core.Result{Outcome: classifyErrorAfterStart(ctx, err), Load: load}
 	}
 	return core.Result{Outcome: control.Served, Load: load, Setup: out}
 }
 
+// classifySetUpError returns the outcome of a set-up that got no response.
 func classifySetUpError(ctx context.Context, err error) control.Outcome {
 	var e *http1.Error
 	switch {
 	case errors.Is(err, http1.ErrNotSent):
 		return control.ConnectFailed
 	case ctx.Err() != nil:
-		return control.Reset // core puts in why it was given up
+		return control.Reset // core replaces it by the reason why the attempt was cancelled
 	case errors.As(err, &e):
 		return control.Failed
 	}
 	return control.Reset
 }
 
-// setUpRan is for what fails after the box has said that it runs.
+// classifyErrorAfterStart returns the outcome of an error after the box confirmed that the session runs. It is
+// never ConnectFailed, which would say that the session did not start.
 func classifyErrorAfterStart(ctx context.Context, err error) control.Outcome {
 	if outcome := classifySetUpError(ctx, err); outcome != control.ConnectFailed {
 		return outcome
@@ -153,7 +162,7 @@
 	return control.Reset
 }
 
-// readLoad takes a box's load from its answer.
+// parseLoadReport returns the load that a box reports in its response, or nil if it reports none.
 func parseLoadReport(resp *http1.Response) *control.LoadReport {
 	l := cmsd.Parse(resp.Get("cmsd-dynamic"))
 	if l == nil {
@@ -162,19 +171,21 @@
 	return &control.LoadReport{Streams: l.Streams, Link: l.LinkUtilization, Uplink: l.UplinkUtilization}
 }
 
-// name is this instance of the edge, as boxes know it.
+// instanceName returns the name under which boxes know this instance of the edge.
 func (e *Edge) instanceName() string { return strconv.Itoa(e.Position) + "." + e.instanceID }
 
-// Release tells a box that a session is over. It is queued: the owner does not wait. When the queue is
-// full the box learns of it from the list of what the edge holds.
+// Release queues a message to a box that a session is over, so that the orchestrator does not wait. When the
+// queue is full the message is dropped, and the box learns of the end from the list of the sessions that the
+// edge holds.
 func (b *boxClient) Release(id, server string, attempt int) {
 	select {
 	case b.releaseQueue <- releaseRequest{id, server, attempt}:
 	default:
-		b.edge.Log.Warn("release not queued", "session", id, "server", server)
+		b.edge.Log.Warn("release queue is full; release dropped", "session", id, "server", server)
 	}
 }
 
+// sendReleases sends queued releases until ctx ends. Several workers run it.
 func (b *boxClient) sendReleases(ctx context.Context) {
 	for {
 		select {
@@ -185,13 +196,14 @@
 			_, err := b.http.Do(requestCtx, r.server, "DELETE", "/sessions/"+r.id+"?attempt="+strconv.Itoa(r.attempt), nil, nil)
 			cancel()
 			if err != nil {
-				b.edge.Log.Debug("release", "session", r.id, "server", r.server, "error", err)
+				b.edge.Log.Debug("release failed", "session", r.id, "server", r.server, "error", err)
 			}
 		}
 	}
 }
 
-// SetRung needs nothing here: the listener's goroutine brings box and playlist to the rung, in order.
+// SetRung does nothing: placementRequest.Rung starts the goroutine that sets the rung at the box and in the
+// playlist, in order.
 func (b *boxClient) SetRung(core.Attempt, int) {}
 
 func (b *boxClient) putRung(ctx context.Context, server, id string, rung int) error {
@@ -200,12 +212,12 @@
 		return err
 	}
 	if resp.Status/100 != 2 {
-		return fmt.Errorf("box answered %d", resp.Status)
+		return fmt.Errorf("box answered with status %d", resp.Status)
 	}
 	return nil
 }
 
-// Probe asks a box for its health.
+// Probe checks the health of a box in the background and reports the result to the orchestrator.
 func (b *boxClient) Probe(server string) {
 	b.edge.spawn(func() {
 		ctx, cancel := context.WithTimeout(b.edge.ctx, b.edge.Site.Planner.CheckFor.D())
@@ -219,20 +231,21 @@
 	})
 }
 
-// follower hears one box's event stream: notes on sessions there, and by its silence that it is lost.
+// follower reads the event stream of one box: it carries notes about sessions there, and the box counts as
+// lost when it stays silent.
 type follower struct {
-	sessions map[string]time.Duration // sessions there, since when
+	sessions map[string]time.Duration // sessions at the box by ID, with the time when each was added
 }
 
 const (
-	streamReadTimeout = 5 * time.Second // boxes send a line each second at the least
+	streamReadTimeout = 5 * time.Second // boxes send at least one line per second
 	streamRetryDelay  = 100 * time.Millisecond
 	maxStreamFailures = 4
-	streamIdleTimeout = 20 * time.Second // kept so long without sessions
+	streamIdleTimeout = 20 * time.Second // a stream without sessions is closed after this time
 	maxNoteLineBytes  = 4096
 )
 
-// listen makes sure that a box's events are heard.
+// ensureFollowing starts to follow the event stream of a box unless it is followed already.
 func (b *boxClient) ensureFollowing(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -260,29 +273,31 @@
 	}
 }
 
-// boxLine is one line of a box's event stream.
+// boxEvent is one line of the event stream of a box.
 type boxEvent struct {
-	Boot     string           `json:"boot"` // in the first line, with all sessions of this edge there
+	Boot     string           `json:"boot"` // only in the first line, with Sessions: all of this edge at the box
 	Sessions []string         `json:"sessions"`
-	Held     []heldSession    `json:"held"` // what an earlier instance of this edge left
+	Held     []heldSession    `json:"held"` // sessions left by an earlier instance of this edge
 	Session  string           `json:"s"`
 	Kind     control.NoteKind `json:"k"`
 	Value    float64          `json:"x"`
 	End      bool             `json:"end"`
 }
 
-// hear follows a box until it is lost or idle. A stream that breaks is opened again a few times; what the
-// box then no longer lists is lost, and all is if it does not come back.
+// followEvents reads the event stream of a box until the box is lost or the stream is idle. A broken stream is
+// reopened; sessions that the box no longer lists are then lost. After maxStreamFailures failures in a row all
+// sessions at the box are lost.
 func (b *boxClient) followEvents(server string, f *follower) {
 	failures := 0
 	for b.edge.ctx.Err() == nil {
 		opened := b.edge.now()
 		ctx, cancel := context.WithCancel(b.edge.ctx)
 		b.edge.spawn(func() { b.cancelWhenIdle(ctx, cancel, f) })
-		ok, err := b.http.StreamLines(ctx, server, "/events?edge="+b.edge.instanceName(), streamReadTimeout, func(line []byte) error {
-			failures = 0
-			return b.handleEvent(server, f, opened, line)
-		})
+		ok, err := b.http.StreamLines(ctx, server, "/events?edge="+b.edge.instanceName(), streamReadTimeout,
+			func(line []byte) error {
+				failures = 0
+				return b.handleEvent(server, f, opened, line)
+			})
 		idle := ctx.Err() != nil && b.edge.ctx.Err() == nil
 		cancel()
 		if idle && b.removeIfUnused(server, f) {
@@ -292,7 +307,7 @@
 			failures++
 		}
 		if failures >= maxStreamFailures {
-			b.edge.Log.Info("box lost", "server", server, "error", err)
+			b.edge.Log.Info("box lost: its event stream cannot be read", "server", server, "error", err)
 			b.reportLost(server, f, func(string, time.Duration) bool { return true })
 			if b.removeIfUnused(server, f) {
 				return
@@ -306,7 +321,7 @@
 	}
 }
 
-// endWhenIdle ends a stream after so long without sessions in a row.
+// cancelWhenIdle cancels a stream once the box has been without sessions for streamIdleTimeout without a break.
 func (b *boxClient) cancelWhenIdle(ctx context.Context, cancel context.CancelFunc, f *follower) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
@@ -326,7 +341,7 @@
 	cancel()
 }
 
-// forget ends the following of a box without sessions.
+// removeIfUnused removes the follower of a box that has no sessions, and reports whether it did.
 func (b *boxClient) removeIfUnused(server string, f *follower) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -337,6 +352,7 @@
 	return true
 }
 
+// reportLost removes the sessions at a box for which isLost returns true, and reports them to the orchestrator.
 func (b *boxClient) reportLost(server string, f *follower, isLost func(id string, addedAt time.Duration) bool) {
 	b.mu.Lock()
 	var ids []string
@@ -352,13 +368,14 @@
 	}
 }
 
+// handleEvent handles one line of the event stream that was opened at the given time.
 func (b *boxClient) handleEvent(server string, f *follower, opened time.Duration, raw []byte) error {
 	if len(raw) == 0 {
 		return nil
 	}
 	var event boxEvent
 	if err := json.Unmarshal(raw, &event); err != nil {
-		b.edge.Log.Warn("event line of a box makes no sense", "server", server, "error", err)
+		b.edge.Log.Warn("malformed line in the event stream of a box", "server", server, "error", err)
 		return nil
 	}
 	switch {
--- a/internal/edge/consul_test.go
+++ b/internal/edge/consul_test.go
@@ -16,11 +16,12 @@
 	"rainpulley/internal/standin"
 )
 
-// consulWorld is a fleet that a catalogue describes.
+// newConsulEnv starts a fleet whose boxes are listed in a stand-in Consul catalogue.
 func newConsulEnv(t *testing.T, boxes, edges int) *testEnv {
 	env := newTestEnv(t, boxes, edges, func(s *config.Site) {
 		s.Rules.DrainGrace = seconds(1)
-		s.Consul = config.Consul{Scheme: "http", Service: "clip-box", Consistency: "default", Wait: seconds(2), TTL: seconds(3)}
+		s.Consul = config.Consul{Scheme: "http", Service: "clip-box", Consistency: "default",
+			Wait: seconds(2), TTL: seconds(3)}
 	})
 	env.plannerTask.stopAndWait()
 	env.catalogue = standin.NewCatalogue()
@@ -45,11 +46,12 @@
 	return env
 }
 
+// changeService changes the catalogue entry of box i.
 func (env *testEnv) changeService(i int, do func(s *standin.Service)) {
 	env.catalogue.Change(func(s map[string]*standin.Service, _ map[string]string) { do(s[env.site.Boxes[i].Addr]) })
 }
 
-// line is what the planner says of a box.
+// plannerBox returns what the planner reports about box i, or the zero value if it does not list the box.
 func (env *testEnv) plannerBox(i int) (found planner.BoxStatus) {
 	_, body := env.get("http://" + env.site.Planner.Listen + "/v1/boxes")
 	var list struct{ Boxes []planner.BoxStatus }
@@ -62,16 +64,17 @@
 	return found
 }
 
+// waitForBoxState waits until the planner reports box i in a state for a reason.
 func (env *testEnv) waitForBoxState(i int, state, reason string) {
 	env.t.Helper()
-	env.waitFor(fmt.Sprintf("box %d is %s: %s", i, state, reason), func() bool {
+	env.waitFor(fmt.Sprintf("box %d to be %s: %s", i, state, reason), func() bool {
 		box := env.plannerBox(i)
 		return box.State == state && strings.Contains(box.Reason, reason)
 	})
 }
 
-// The fleet comes from the catalogue; maintenance there is a drain, kept within its grace by what passed on the
-// sockets, and what is gone from the catalogue gets no more work.
+// The fleet is read from the catalogue. A box in maintenance mode there drains, and the audit checks on the logged
+// requests that it gets no set-up after the grace period. A box whose check fails gets no more work.
 func TestFleetFromConsul(t *testing.T) {
 	env := newConsulEnv(t, 4, 2)
 	if code, _ := env.play(0, "key=a"); code != 200 {
@@ -82,7 +85,7 @@
 	env.changeService(1, func(s *standin.Service) { s.Checks["_service_maintenance:x"] = "critical" })
 	env.waitForBoxState(1, "draining", "drain told by consul")
 	if took := time.Since(begin); took > time.Second {
-		t.Errorf("told after %v", took)
+		t.Errorf("the drain was published after %v, want within 1 s", took)
 	}
 	env.changeService(2, func(s *standin.Service) { s.Checks["alive"] = "critical" })
 	env.waitForBoxState(2, "gone", "check fails")
@@ -96,14 +99,15 @@
 	env.checkAudit()
 }
 
-// The catalogue fails in each way: what plays plays on, new sessions are placed, and a planner that is restarted
-// meanwhile starts from its last word. A drain told after the return is kept.
+// The catalogue is unreachable and then returns an empty list. New sessions are still placed, and a planner that
+// restarts during the outage starts from the last catalogue data on disk. A drain that is set before the catalogue
+// returns takes effect and remains when the list is empty.
 func TestCatalogueOutage(t *testing.T) {
 	env := newConsulEnv(t, 6, 1)
 	env.catalogue.Stop()
 	env.plannerTask.stopAndWait()
 	env.startPlanner()
-	env.waitFor("a view from the last word", func() bool {
+	env.waitFor("a view from the saved catalogue data", func() bool {
 		_, body := env.get("http://" + env.site.Planner.Listen + "/v1/view")
 		return strings.Count(body, `"state":"ready"`) == 6
 	})
@@ -119,7 +123,7 @@
 	}
 	env.waitForBoxState(0, "draining", "drain told by consul")
 	env.catalogue.Set(standin.CatalogueFault{Empty: true})
-	time.Sleep(6 * time.Second) // beyond the time for which a missing entry counts on
+	time.Sleep(6 * time.Second) // longer than a missing entry stays valid
 	env.waitForBoxState(1, "ready", "kept: checks took away")
 	env.waitForBoxState(0, "draining", "drain told by consul")
 	for i := range 6 {
@@ -130,7 +134,8 @@
 	env.checkAudit()
 }
 
-// A box that passes its checks and drops set-ups is told to all edges as one that gets no new work, with the reason.
+// A box that passes its health checks but never answers set-ups is published as one that gets no new work, with the
+// reason.
 func TestPassingCheckFailingSessions(t *testing.T) {
 	env := newConsulEnv(t, 3, 2)
 	env.fleet.Boxes[1].Set(func(f *standin.Faults) { f.Hang, f.Lies = true, true })
@@ -147,13 +152,15 @@
 			go env.play(i%2, fmt.Sprint("key=h", i))
 		}
 	}()
-	env.waitFor("it rests", func() bool { return strings.Contains(env.plannerBox(1).Reason, "set-ups failed in a row") })
+	env.waitFor("the box to be excluded for failed set-ups", func() bool {
+		return strings.Contains(env.plannerBox(1).Reason, "set-ups failed in a row")
+	})
 	close(stop)
 	<-over
-	time.Sleep(2500 * time.Millisecond) // the last requests end
+	time.Sleep(2500 * time.Millisecond) // wait for the last requests to end
 	env.fleet.Boxes[1].Set(func(f *standin.Faults) { f.Hang, f.Lies = false, false })
 	if n := env.countEntries(audit.SetupArrived, ""); n == 0 {
-		t.Error("no set-up at all")
+		t.Error("no set-up reached a box")
 	}
 	env.checkAudit()
 }
--- a/internal/edge/copies_test.go
+++ b/internal/edge/copies_test.go
@@ -15,10 +15,11 @@
 	"rainpulley/internal/standin"
 )
 
-// copyWorld is six boxes of which two hold the clip at rest, with copies looked after.
+// newCopiesEnv starts six boxes, two of which hold each title initially, and a planner that manages copies.
 func newCopiesEnv(t *testing.T, edges int, change func(*config.Site)) *testEnv {
 	env := newTestEnv(t, 6, edges, func(s *config.Site) {
-		s.Titles = []config.Title{{Name: "clip", Home: 0, Span: 2, Length: seconds(4)}, {Name: "other", Home: 3, Span: 2, Length: seconds(4)}}
+		s.Titles = []config.Title{{Name: "clip", Home: 0, Span: 2, Length: seconds(4)},
+			{Name: "other", Home: 3, Span: 2, Length: seconds(4)}}
 		s.Copies = config.Copies{Managed: true, Least: 2, AtOnce: 2, Share: 0.9, Most: 4, Grace: seconds(1), Patience: seconds(1), Backoff: seconds(0.3), Ahead: seconds(60)}
 		if change != nil {
 			change(s)
@@ -30,15 +31,16 @@
 	return env
 }
 
-// crowd announces an hour that two boxes cannot carry.
+// announceOverload announces a peak that exceeds the capacity of two boxes.
 func (env *testEnv) announceOverload(version int, in time.Duration) {
 	env.t.Helper()
-	if code, body := env.announcePeak("hour", version, in, 20*time.Second, `,"class":"play","rate":30,"session_ms":4000`); code != 201 {
+	if code, body := env.announcePeak("hour", version, in, 20*time.Second,
+		`,"class":"play","rate":30,"session_ms":4000`); code != 201 {
 		env.t.Fatal(code, body)
 	}
 }
 
-// holders are the boxes that have a title whole, by their own word.
+// boxesWithTitle returns the indices of the boxes that have a complete copy of a title.
 func (env *testEnv) boxesWithTitle(title string) (indices []int) {
 	for i, b := range env.fleet.Boxes {
 		if b.Holds(title) {
@@ -48,7 +50,8 @@
 	return indices
 }
 
-// told are the holders that the planner tells edges.
+// publishedHolders returns the number of holders of a title in the planner's view, or -1 if the view does not list
+// them.
 func (env *testEnv) publishedHolders(title string) int {
 	_, body := env.get("http://" + env.site.Planner.Listen + "/v1/view")
 	_, line, ok := strings.Cut(body, `{"name":"`+title+`"`)
@@ -63,13 +66,14 @@
 	return strings.Count(list, ",") + 1
 }
 
-// Copies for an hour are made over the boxes' links, told once whole, used, and given back when it is cancelled.
+// Copies for an announced peak are made over the links of the boxes, published once complete, used by sessions, and
+// removed when the peak is cancelled. The initial holders keep the title.
 func TestCopiesForPeak(t *testing.T) {
 	t.Parallel()
 	env := newCopiesEnv(t, 1, nil)
-	env.waitFor("holders are told", func() bool { return env.publishedHolders("clip") == 2 })
+	env.waitFor("holders to be published", func() bool { return env.publishedHolders("clip") == 2 })
 	env.announceOverload(1, 8*time.Second)
-	env.waitFor("a third holder", func() bool {
+	env.waitFor("a third holder, published", func() bool {
 		return len(env.boxesWithTitle("clip")) > 2 && env.publishedHolders("clip") == len(env.boxesWithTitle("clip"))
 	})
 	env.waitFor("sessions at a copy", func() bool {
@@ -87,18 +91,19 @@
 	if code, _ := env.callPlanner("DELETE", "/v1/peaks/hour", ""); code != 201 {
 		t.Fatal(code)
 	}
-	env.waitFor("copies are given back", func() bool {
+	env.waitFor("copies to be removed", func() bool {
 		return slices.Equal(env.boxesWithTitle("clip"), []int{0, 1}) && env.publishedHolders("clip") == 2
 	})
 	for _, e := range env.log.Entries() {
 		if e.What == audit.TitleDropped && (e.Who == env.fleet.Boxes[0].Addr || e.Who == env.fleet.Boxes[1].Addr) {
-			t.Errorf("dropped at rest: %+v", e)
+			t.Errorf("an initial holder dropped the title: %+v", e)
 		}
 	}
 	env.checkAudit()
 }
 
-// Whatever dies while a copy is made, it is made in the end, and no session suffers.
+// One component fails or drains while a copy is in progress: the copy is still made, and no request gets an unexpected
+// answer.
 func TestCopiesDespiteFailures(t *testing.T) {
 	t.Parallel()
 	for name, fail := range map[string]func(env *testEnv){
@@ -119,9 +124,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			env := newCopiesEnv(t, 1, nil)
-			env.waitFor("holders are told", func() bool { return env.publishedHolders("clip") == 2 })
+			env.waitFor("holders to be published", func() bool { return env.publishedHolders("clip") == 2 })
 			env.announceOverload(1, 10*time.Second)
-			env.waitFor("a copy is under way", func() bool {
+			env.waitFor("a copy in progress", func() bool {
 				return slices.ContainsFunc(env.fleet.Boxes[2:], (*standin.Box).Copying)
 			})
 			fail(env)
@@ -136,7 +141,7 @@
 				}()
 			}
 			work.Wait()
-			env.waitFor("another whole holder, told", func() bool {
+			env.waitFor("another complete holder, published", func() bool {
 				n := 0
 				for i, b := range env.fleet.Boxes {
 					if i >= 2 && b.Holds("clip") {
@@ -150,19 +155,19 @@
 	}
 }
 
-// A set-up that is out in the moment its title is dropped there never ran, by the box's word, and goes to
-// another holder: one outcome.
+// A title is dropped at a box while a set-up for it is in progress there. The box answers that the session never ran,
+// and the set-up is sent to another holder: the viewer gets one session.
 func TestTitleDroppedDuringSetUp(t *testing.T) {
 	t.Parallel()
 	env := newCopiesEnv(t, 1, nil)
-	env.waitFor("holders are told", func() bool { return env.publishedHolders("clip") == 2 })
+	env.waitFor("holders to be published", func() bool { return env.publishedHolders("clip") == 2 })
 	for _, b := range env.fleet.Boxes[:2] {
 		b.Set(func(f *standin.Faults) { f.SetUp = 300 * time.Millisecond })
 	}
 	answers := make(chan int, 1)
 	go func() { code, _ := env.play(0, "key=x&class=paid"); answers <- code }()
 	var target *standin.Box
-	env.waitFor("a set-up is out", func() bool {
+	env.waitFor("a set-up in progress", func() bool {
 		for _, e := range env.log.Entries() {
 			if e.What == audit.SetupArrived {
 				target = env.fleet.Boxes[slices.IndexFunc(env.fleet.Boxes, func(b *standin.Box) bool { return b.Addr == e.Who })]
@@ -170,30 +175,32 @@
 		}
 		return target != nil
 	})
-	req, _ := http.NewRequestWithContext(context.Background(), "DELETE", fmt.Sprintf("http://%s/titles/clip?epoch=%d", target.Addr, time.Now().UnixMilli()), nil)
+	req, _ := http.NewRequestWithContext(context.Background(), "DELETE",
+		fmt.Sprintf("http://%s/titles/clip?epoch=%d", target.Addr, time.Now().UnixMilli()), nil)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = resp.Body.Close()
 	if code := <-answers; code != 200 {
-		t.Errorf("answered %d", code)
+		t.Errorf("answered %d, want 200", code)
 	}
 	if n := env.countEntries(audit.SetupRan, "paid"); n != 1 || target.Sessions() != 0 {
-		t.Errorf("ran %d times, %d at the box without it", n, target.Sessions())
+		t.Errorf("%d set-ups ran, want 1; the box without the title has %d sessions, want 0", n, target.Sessions())
 	}
 	env.checkAudit()
 }
 
-// Two planners: boxes obey the later one, and the earlier commands no more. Clocks some seconds apart between
-// planner and edges change nothing: leases are lengths.
+// Two planners run at once: boxes accept commands only from the one that started later, and the earlier one stops
+// sending them. A clock difference of seconds between planner and edges has no effect, because leases are durations.
 func TestTwoPlanners(t *testing.T) {
 	t.Parallel()
 	env := newCopiesEnv(t, 1, nil)
-	env.waitFor("holders are told", func() bool { return env.publishedHolders("clip") == 2 })
-	later := time.Now().Add(5 * time.Second).UnixMilli() // the other's clock is ahead
+	env.waitFor("holders to be published", func() bool { return env.publishedHolders("clip") == 2 })
+	later := time.Now().Add(5 * time.Second).UnixMilli() // epoch of the other planner, whose clock is ahead
 	for _, b := range env.fleet.Boxes {
-		req, _ := http.NewRequestWithContext(context.Background(), "PUT", fmt.Sprintf("http://%s/titles/none?epoch=%d&rate=1", b.Addr, later), nil)
+		req, _ := http.NewRequestWithContext(context.Background(), "PUT",
+			fmt.Sprintf("http://%s/titles/none?epoch=%d&rate=1", b.Addr, later), nil)
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
@@ -201,7 +208,7 @@
 		_ = resp.Body.Close()
 	}
 	env.announceOverload(1, 8*time.Second)
-	env.waitFor("the planner sees that it is outdated", func() bool {
+	env.waitFor("the planner to detect that it is outdated", func() bool {
 		_, body := env.get("http://" + env.site.Planner.Listen + "/metrics")
 		return strings.Contains(body, "rainpulley_planner_copies_outdated 1\n")
 	})
@@ -214,15 +221,17 @@
 	env.checkAudit()
 }
 
-// A catalogue changed under load: titles removed and put back, moved, and updates that arrive half written. Each
-// session has one clear outcome, and a broken update changes nothing.
+// The catalogue changes under load: titles are removed, restored and moved, and some updates are malformed. Each
+// request gets one of the expected answers, and a malformed update changes nothing.
 func TestCatalogueChangesUnderLoad(t *testing.T) {
 	t.Parallel()
 	env := newCopiesEnv(t, 2, func(s *config.Site) {
 		s.Limits.Sessions = 2000
-		s.Links = config.Links{PerWeight: 400_000, Uplink: 3_000_000} // copies crawl where viewers fill the links
+		s.Links = config.Links{PerWeight: 400_000, Uplink: 3_000_000} // on smaller links viewers leave copies too little rate
+	})
+	env.waitFor("holders to be published", func() bool {
+		return env.publishedHolders("clip") == 2 && env.publishedHolders("other") == 2
 	})
-	env.waitFor("holders are told", func() bool { return env.publishedHolders("clip") == 2 && env.publishedHolders("other") == 2 })
 	stop, codes := make(chan struct{}), map[int]int{}
 	var mu sync.Mutex
 	var work sync.WaitGroup
@@ -237,7 +246,8 @@
 				default:
 				}
 				title := []string{"clip", "other"}[i%2]
-				code, _ := env.get(fmt.Sprintf("http://%s/play/%s/index.m3u8?key=u%d-%d", env.site.Edges[viewer%2].Listen, title, viewer, i))
+				code, _ := env.get(fmt.Sprintf("http://%s/play/%s/index.m3u8?key=u%d-%d", env.site.Edges[viewer%2].Listen,
+					title, viewer, i))
 				mu.Lock()
 				codes[code]++
 				mu.Unlock()
@@ -248,35 +258,46 @@
 	seen := func(code int) int { mu.Lock(); defer mu.Unlock(); return codes[code] }
 	for range 3 {
 		notFound, plays := seen(404), seen(200)+seen(503)
-		for _, malformed := range []string{`{"name":"clip","home":0,`, `{"name":"clip","home":0,"span":99}`, `{"name":"clip"}`, ``} {
+		for _, malformed := range []string{`{"name":"clip","home":0,`, `{"name":"clip","home":0,"span":99}`,
+			`{"name":"clip"}`, ``} {
 			if code, _ := env.callPlanner("PUT", "/v1/titles/clip", malformed); code != 400 {
-				t.Errorf("half an update: %d", code)
+				t.Errorf("malformed update: %d, want 400", code)
 			}
 		}
 		if code, _ := env.callPlanner("DELETE", "/v1/titles/other", ""); code != 204 {
 			t.Error(code)
 		}
-		env.waitFor("it is gone, and viewers were told so", func() bool { return env.publishedHolders("other") < 0 && seen(404) > notFound })
-		if code, _ := env.callPlanner("PUT", "/v1/titles/other", `{"name":"other","home":3,"span":2,"length_ms":4000}`); code != 204 {
+		env.waitFor("the title to be removed, and viewers to get 404", func() bool {
+			return env.publishedHolders("other") < 0 && seen(404) > notFound
+		})
+		if code, _ := env.callPlanner("PUT", "/v1/titles/other",
+			`{"name":"other","home":3,"span":2,"length_ms":4000}`); code != 204 {
 			t.Error(code)
 		}
-		env.waitFor("it is back, and plays", func() bool { return env.publishedHolders("other") >= 2 && seen(200)+seen(503) > plays+20 })
+		env.waitFor("the title to be restored, and to play", func() bool {
+			return env.publishedHolders("other") >= 2 && seen(200)+seen(503) > plays+20
+		})
 	}
-	if code, _ := env.callPlanner("PUT", "/v1/titles/clip", `{"name":"clip","home":2,"span":2,"length_ms":4000}`); code != 204 {
+	if code, _ := env.callPlanner("PUT", "/v1/titles/clip",
+		`{"name":"clip","home":2,"span":2,"length_ms":4000}`); code != 204 {
 		t.Error(code)
 	}
-	env.waitFor("new holders are told", func() bool { return len(env.boxesWithTitle("clip")) == 4 && env.publishedHolders("clip") == 2 })
+	env.waitFor("new holders to be published", func() bool {
+		return len(env.boxesWithTitle("clip")) == 4 && env.publishedHolders("clip") == 2
+	})
 	close(stop)
 	work.Wait()
-	env.waitFor("it moved", func() bool { return slices.Equal(env.boxesWithTitle("clip"), []int{2, 3}) })
+	env.waitFor("the title to be only at its new holders", func() bool {
+		return slices.Equal(env.boxesWithTitle("clip"), []int{2, 3})
+	})
 	if codes[200] < 20 || codes[404] == 0 || codes[0] > 0 || codes[502] > 0 || codes[504] > 0 {
 		t.Errorf("answers %v", codes)
 	}
 	env.checkAudit()
 }
 
-// A rendition removed while its sessions are being set up: those that ask for it come to one outcome each, and
-// the others play on.
+// A rendition is removed while sessions that want it are being set up: each of them gets one answer, and a session
+// that started before keeps playing.
 func TestRenditionRemovedDuringSetUp(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t, 3, 1, nil)
@@ -292,7 +313,7 @@
 			codes <- code
 		}()
 	}
-	env.waitFor("set-ups are out", func() bool { return env.countEntries(audit.SetupArrived, "") > 6 })
+	env.waitFor("set-ups in progress", func() bool { return env.countEntries(audit.SetupArrived, "") > 6 })
 	shortened := "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=2400000\nr0/media.m3u8\n#EXT-X-STREAM-INF:BANDWIDTH=6400000\nr1/media.m3u8\n"
 	for _, b := range env.fleet.Boxes {
 		b.Set(func(f *standin.Faults) { f.Manifest = shortened })
@@ -305,7 +326,7 @@
 		t.Errorf("answers %v", got)
 	}
 	if code, _ := env.get(env.mediaURL(0, manifest)); code != 200 {
-		t.Errorf("a session of before: %d", code)
+		t.Errorf("a session that started before: %d", code)
 	}
 	env.checkAudit()
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,6 +1,7 @@
-// Package edge is the HLS front: it answers viewers, follows the fleet's view, speaks with boxes and
-// other edges, and writes each session's manifests. What happens to a session is decided by the module
-// behind core.Owner; what a viewer's repeat joins by package join.
+// Package edge is the HLS front: it answers viewers, follows the planner's view of the fleet, exchanges
+// messages with boxes and other edges, and writes the manifests of each session. The decision module behind
+// core.Orchestrator decides what happens to a session; package admission decides whether a repeated request
+// joins an existing session.
 package edge
 
 import (
@@ -28,22 +29,22 @@
 	"rainpulley/internal/view"
 )
 
-// Options of an edge.
+// Options configures an Edge.
 type Options struct {
 	Site          *config.Site
 	Position      int
-	Planner       string       // host:port of the planner; "" follows none
-	Listener      net.Listener // viewers; nil: as the site says
+	Planner       string       // host:port of the planner; "": no planner
+	Listener      net.Listener // for viewers; nil: listen at the address in Site
 	PeerConn      net.PacketConn
-	StateDir      string // folder for the last view; "" keeps none
+	StateDir      string // directory of the saved view; "": the view is not saved
 	Seed          uint64
-	StartTime     time.Time     // the wall clock as it starts; zero: the machine's
-	ShutdownGrace time.Duration // after ctx ended, requests under way may take so long
+	StartTime     time.Time     // wall-clock time at start; zero: the system clock
+	ShutdownGrace time.Duration // time for requests in progress to finish after the context of Run ends
 	Log           *slog.Logger
-	NewDecider    func(control.Settings, uint64) (core.Decider, error) // nil: the module
+	NewDecider    func(control.Settings, uint64) (core.Decider, error) // nil: control.New
 }
 
-// Edge is one running edge.
+// Edge is one instance of the HLS front; Run serves until its context ends.
 type Edge struct {
 	Options
 	settings         control.Settings
@@ -60,33 +61,35 @@
 	ctx              context.Context
 	peerAddrs        []net.Addr
 	holds            holdState
-	boxStarts        struct { // of boxes, by this edge's clock
+	boxStarts        struct { // start times of boxes, by the clock of this edge
 		sync.Mutex
 		byBox map[string]boxStart
 	}
 	metricsRegistry *prometheus.Registry
 
-	playback atomic.Pointer[config.Playback] // changes by Reload
+	playback atomic.Pointer[config.Playback] // replaced by Reload
 
-	reclaimDone chan struct{} // closed when a restarted edge no longer waits for boxes; nil: it began empty
+	// Closed when a restarted edge stops waiting for boxes to list its earlier sessions; nil if it started
+	// without a saved view.
+	reclaimDone chan struct{}
 }
 
-// boxStart is a start as the planner told it, and by the edge's own clock.
+// boxStart is the start time of a box as the planner reported it, and the same time by the clock of this edge.
 type boxStart struct {
 	reported int64
 	local    time.Duration
 }
 
-// fleet is a view made ready for lookups.
+// fleet is a view with its titles indexed by name.
 type fleet struct {
 	view   view.View
 	titles map[string]view.Title
 }
 
-// New makes an edge.
+// New returns an edge that is not running yet.
 func New(o Options) (*Edge, error) {
 	if o.Position < 0 || o.Position >= len(o.Site.Edges) {
-		return nil, fmt.Errorf("edge: position %d, the site has %d edges", o.Position, len(o.Site.Edges))
+		return nil, fmt.Errorf("edge: position %d is out of range: the site has %d edges", o.Position, len(o.Site.Edges))
 	}
 	e := &Edge{Options: o, settings: o.Site.Settings(o.Position), sessions: newSessionTable(), startedAt: time.Now()}
 	e.wallClockAtStart = time.Duration(e.startedAt.UnixNano())
@@ -108,30 +111,31 @@
 	}
 	e.boxes = newBoxClient(e)
 	e.playlists = &playlistCache{edge: e, byPath: map[string]cachedPlaylist{}}
-	e.orchestrator = core.New(core.Options{QueueSize: o.Site.Limits.Queue, MaxAttempts: o.Site.Attempts.Most, AnswerSlack: o.Site.Rules.AnswerSlack.D(),
-		Budget: core.Budget{Span: e.settings.BudgetSpan, Share: e.settings.BudgetShare},
-		Log:    o.Log, Decider: decider, Executor: e.boxes, Now: e.now})
+	e.orchestrator = core.New(core.Options{QueueSize: o.Site.Limits.Queue, MaxAttempts: o.Site.Attempts.Most,
+		AnswerSlack: o.Site.Rules.AnswerSlack.D(),
+		Budget:      core.Budget{Span: e.settings.BudgetSpan, Share: e.settings.BudgetShare},
+		Log:         o.Log, Decider: decider, Executor: e.boxes, Now: e.now})
 	e.fleet.Store(&fleet{titles: map[string]view.Title{}})
 	e.metricsRegistry = e.newMetrics()
 	e.playback.Store(&o.Site.Playback)
 	return e, nil
 }
 
-// Reload takes what may change while the edge runs: playback. All else is settled when it starts, or comes
-// from the planner; a change of that is named.
+// Reload applies the settings that may change while the edge runs, which are those of playback. All others
+// are fixed at start or come from the planner. The log lists changed settings that need a restart.
 func (e *Edge) Reload(s *config.Site) {
 	e.playback.Store(&s.Playback)
 	needsRestart := config.Changed(e.Site, s, "playback", "boxes", "titles", "planner")
 	e.Log.Info("site reloaded", "playback", s.Playback, "needs_restart", needsRestart)
 }
 
-// now is Unix time that never steps back while the edge runs.
+// now returns a Unix time that is monotonic while the edge runs.
 func (e *Edge) now() time.Duration { return e.wallClockAtStart + time.Since(e.startedAt) }
 
-// Stats are the owner's counts.
+// Stats returns the counters of the orchestrator.
 func (e *Edge) Stats() *core.Stats { return &e.orchestrator.Stats }
 
-// Run serves until ctx ends. Requests taken by then are answered.
+// Run serves until ctx ends. Requests accepted before that are still answered, within ShutdownGrace.
 func (e *Edge) Run(ctx context.Context) error {
 	if e.Listener == nil {
 		var err error
@@ -143,7 +147,7 @@
 		_ = e.Listener.Close()
 		return err
 	}
-	runCtx, stop := context.WithCancel(context.Background()) // outlives ctx by the grace
+	runCtx, stop := context.WithCancel(context.Background()) // ends up to ShutdownGrace after ctx
 	defer stop()
 	e.ctx = runCtx
 	e.loadSavedView()
@@ -157,10 +161,10 @@
 	if e.PeerConn != nil {
 		e.spawn(func() { e.receivePeerMessages(runCtx) })
 	}
-	e.Log.Info("edge serves", "address", e.Listener.Addr().String(), "position", e.Position, "instance", e.instanceID)
+	e.Log.Info("edge is serving", "address", e.Listener.Addr().String(), "position", e.Position, "instance", e.instanceID)
 	s := &http1.Server{Handler: e.handle, Limits: http1.DefaultLimits(), MaxConns: e.Site.Limits.Connections, Log: e.Log}
 	err := s.Serve(ctx, e.Listener, e.ShutdownGrace)
-	e.Log.Info("edge stops", "open", e.orchestrator.Stats.Open.Load())
+	e.Log.Info("edge is stopping", "open", e.orchestrator.Stats.Open.Load())
 	stop()
 	<-orchestratorDone
 	if e.PeerConn != nil {
@@ -170,36 +174,39 @@
 	return err
 }
 
+// spawn runs f in a goroutine that Run waits for before it returns.
 func (e *Edge) spawn(f func()) {
 	e.goroutines.Add(1)
 	go func() { defer e.goroutines.Done(); f() }()
 }
 
-// nextID names a request; no two edges or instances of one make the same.
+// nextRequestID returns a request ID that is unique across edges and across restarts of one edge.
 func (e *Edge) nextRequestID() string {
 	return e.requestIDPrefix() + e.instanceID + "-" + strconv.FormatUint(e.requestCount.Add(1), 36)
 }
 
 func (e *Edge) requestIDPrefix() string { return "e" + strconv.Itoa(e.Position) + "-" }
 
-// ask hands a session's next try to the module. s.mu is held.
+// submit queues the next request of a session for the decision module. The caller holds s.mu. It returns
+// false if the queue is full.
 func (e *Edge) submit(s *session, d admission.Decision, timeLeft time.Duration) (*placementRequest, bool) {
-	p := &placementRequest{id: e.nextRequestID(), title: s.title.Name, maxRung: s.maxRung, session: s, edge: e, answered: make(chan struct{}), closed: make(chan struct{})}
+	p := &placementRequest{id: e.nextRequestID(), title: s.title.Name, maxRung: s.maxRung, session: s, edge: e,
+		answered: make(chan struct{}), closed: make(chan struct{})}
 	now := e.now()
 	length := timeconv.Milliseconds(s.title.LengthMs)
 	if length > 0 && s.resumePosition > 0 {
 		length = max(length-s.resumePosition, 0)
 	}
-	r := control.Request{ID: p.id, Class: s.class, Viewer: hash(s.viewerKey), Title: hash(s.title.Name), HomeCell: s.title.HomeCell,
-		CellSpan: s.title.CellSpan, BestRung: s.maxRung, GiveUpAt: now + timeLeft, ExpectedLength: length,
+	r := control.Request{ID: p.id, Class: s.class, Viewer: hash(s.viewerKey), Title: hash(s.title.Name),
+		HomeCell: s.title.HomeCell, CellSpan: s.title.CellSpan, BestRung: s.maxRung, GiveUpAt: now + timeLeft, ExpectedLength: length,
 		Repeat: d.Repeat, Returned: d.Returned, Moved: d.Moved}
 	if s.title.Listed {
 		r.Holders = s.title.Holders
 	}
 	s.request, s.state, s.stateSince = p, admission.Pending, now
 	s.requestCount++
-	e.Log.Info("request", "session", p.id, "viewer", s.viewerKey, "title", s.title.Name, "class", e.Site.Classes[s.class].Name,
-		"best", s.maxRung, "try", s.requestCount, "returned", d.Returned)
+	e.Log.Info("request", "session", p.id, "viewer", s.viewerKey, "title", s.title.Name,
+		"class", e.Site.Classes[s.class].Name, "best", s.maxRung, "try", s.requestCount, "returned", d.Returned)
 	if !d.Returned {
 		e.holds.countArrival(e.Site.Classes[s.class].Name, s.title.Name)
 	}
@@ -210,7 +217,7 @@
 	return p, true
 }
 
-// hash keeps below 2^53, as the module's keys are.
+// hash returns the 64-bit FNV-1a hash of text, shifted to 53 bits: the module requires keys below 2^53.
 func hash(text string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(text) {
@@ -219,12 +226,15 @@
 	return h >> 11
 }
 
-// sweepEvery is how often sessions are looked at for viewers that left and content that ended.
+// sweepInterval is how often sessions are checked for viewers that left and for content that ended.
 const sweepInterval = 250 * time.Millisecond
 
-// forgetAfter is how long an ended session is remembered, so that a late reload is told what happened.
+// endedSessionTTL is how long an ended session is kept, so that a late reload gets an answer that says what
+// happened to the session.
 const endedSessionTTL = time.Minute
 
+// sweepSessions ends sessions whose viewer or content is gone, deletes ended ones after endedSessionTTL and
+// expires holds, until ctx ends.
 func (e *Edge) sweepSessions(ctx context.Context) {
 	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
@@ -264,7 +274,8 @@
 	}
 }
 
-// changeRung carries changes of rung to the box, the latest last, and then publishes from the new rung.
+// applyRung sets the wanted rung at the box and then publishes segments of that rung. It repeats until the
+// latest wanted rung is in effect, so that changes reach the box in order.
 func (e *Edge) applyRung(p *placementRequest) {
 	s := p.session
 	for {
@@ -286,9 +297,10 @@
 		s.mu.Lock()
 		if err != nil {
 			e.Log.Warn("rung not changed", "session", p.id, "server", server, "rung", wanted, "error", err)
-			if s.wantedRung == wanted { // the module is told what is in force
+			if s.wantedRung == wanted { // report the rung that remains in effect to the module
 				s.wantedRung = s.publishedRung
-				go e.orchestrator.AddEvent(control.Note{ID: p.id, Server: server, Kind: control.NoteRung, Value: float64(s.publishedRung)})
+				go e.orchestrator.AddEvent(control.Note{ID: p.id, Server: server, Kind: control.NoteRung,
+					Value: float64(s.publishedRung)})
 			}
 		} else if s.request == p && s.state == admission.Playing && s.server == server {
 			s.publishedRung = wanted
@@ -298,7 +310,8 @@
 	}
 }
 
-// turnAway is decided before a request is taken.
+// checkCapacity reports whether a new request must be refused because the queue or the session table is full,
+// and the advised retry delay. It is called before the request is accepted.
 func (e *Edge) checkCapacity() (bool, time.Duration) {
 	return admission.CheckCapacity(admission.Usage{Queued: e.orchestrator.QueueLen(), QueueLimit: e.Site.Limits.Queue,
 		Sessions: int(e.sessions.size.Load()), SessionLimit: e.Site.Limits.Sessions}, mrand.Float64())
--- a/internal/edge/env_test.go
+++ b/internal/edge/env_test.go
@@ -23,9 +23,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// seconds returns s seconds as a setting of the site file.
 func seconds(s float64) config.Duration { return config.Duration(s * float64(time.Second)) }
 
-// world is a small fleet in one process.
+// testEnv is a small fleet in one process: stand-in boxes, a planner and edges.
 type testEnv struct {
 	t           *testing.T
 	site        *config.Site
@@ -36,10 +37,11 @@
 	plannerTask *task
 
 	planner         *planner.Planner
-	edgeClockOffset time.Duration      // of edges' clocks
-	catalogue       *standin.Catalogue // where there is one, the planner knows no boxes but its own
+	edgeClockOffset time.Duration      // added to the clocks of edges
+	catalogue       *standin.Catalogue // if set, the planner knows only the boxes in this catalogue
 }
 
+// task is a planner or an edge that runs in a goroutine.
 type task struct {
 	cancel context.CancelFunc
 	done   chan struct{}
@@ -49,7 +51,7 @@
 
 var testPorts = sync.OnceValue(func() *standin.Ports { return &standin.Ports{} })
 
-// newWorld makes a site of some boxes that all hold title "clip", and starts boxes and planner.
+// newTestEnv creates a site whose boxes all hold title "clip", and starts the boxes and the planner.
 func newTestEnv(t *testing.T, boxes, edges int, change func(*config.Site)) *testEnv {
 	site := &config.Site{Zones: []string{"z"}, Cells: boxes, Racks: 1, Kinds: []config.Kind{{Name: "k", Streams: 20}}, Peers: true,
 		Ladder: []config.Rung{{Rate: 300, Worth: 0.3}, {Rate: 800, Worth: 0.7}, {Rate: 2000, Worth: 1}},
@@ -64,7 +66,7 @@
 		Limits: config.Limits{Connections: 200, Sessions: 200, Queue: 64},
 		Titles: []config.Title{{Name: "clip", Home: 0, Span: boxes, Length: seconds(20)}},
 	}
-	ports := testPorts() // worlds may run beside each other
+	ports := testPorts() // shared: tests run in parallel in one process
 	port := func() string {
 		addr, err := ports.Take()
 		if err != nil {
@@ -116,7 +118,7 @@
 	return r
 }
 
-// planSite is the site as the planner reads it.
+// plannerSite returns the site configuration of the planner.
 func (env *testEnv) plannerSite() *config.Site {
 	if env.catalogue == nil {
 		return env.site
@@ -131,7 +133,7 @@
 	env.plannerTask = env.run(env.planner.Run)
 }
 
-// startEdge starts one; it is ready when it lists so many boxes.
+// startEdge starts edge i and waits until its view lists the given number of boxes.
 func (env *testEnv) startEdge(i, boxes int) {
 	env.t.Helper()
 	o := edge.Options{Site: env.site, Position: i, Planner: env.site.Planner.Listen, StateDir: env.stateDir, Seed: uint64(i + 1), ShutdownGrace: 3 * time.Second,
@@ -144,7 +146,7 @@
 		env.t.Fatal(err)
 	}
 	env.edgeTasks[i] = env.run(e.Run)
-	env.waitFor("edge has its view", func() bool {
+	env.waitFor("the edge to have its view", func() bool {
 		return strings.Contains(env.status(i), fmt.Sprintf(`"boxes":%d,`, boxes))
 	})
 }
@@ -157,7 +159,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	env.t.Fatalf("in vain: %s", what)
+	env.t.Fatalf("timed out waiting for: %s", what)
 }
 
 func (env *testEnv) status(i int) string {
@@ -180,7 +182,7 @@
 	return env.get("http://" + env.site.Edges[edge].Listen + "/play/clip/index.m3u8?" + query)
 }
 
-// media is the URL of the media playlist that a manifest names.
+// mediaURL returns the URL of the media playlist in a manifest.
 func (env *testEnv) mediaURL(edge int, manifest string) string {
 	env.t.Helper()
 	for _, l := range strings.Split(manifest, "\n") {
@@ -192,7 +194,7 @@
 	return ""
 }
 
-// box is the one that a playlist's segments are at.
+// boxOf returns the box that serves the segments of a playlist, and fails the test if there are several.
 func (env *testEnv) boxOf(playlist string) *standin.Box {
 	env.t.Helper()
 	var found *standin.Box
@@ -203,19 +205,19 @@
 		for _, b := range env.fleet.Boxes {
 			if strings.HasPrefix(l, "http://"+b.Addr+"/") {
 				if found != nil && found != b {
-					env.t.Errorf("one playlist names two boxes:\n%s", playlist)
+					env.t.Errorf("the segments of one playlist are at two boxes:\n%s", playlist)
 				}
 				found = b
 			}
 		}
 	}
 	if found == nil {
-		env.t.Fatalf("no segment in\n%s", playlist)
+		env.t.Fatalf("no segment at a box in\n%s", playlist)
 	}
 	return found
 }
 
-// count is how many entries of the boxes' logs say something of a class.
+// countEntries returns the number of audit entries with an event, for one class or, if class is "", for all.
 func (env *testEnv) countEntries(event, class string) (n int) {
 	for _, e := range env.log.Entries() {
 		if e.What == event && (class == "" || e.Class == class) {
@@ -225,6 +227,7 @@
 	return n
 }
 
+// checkAudit fails the test for each rule that the logged events break.
 func (env *testEnv) checkAudit() {
 	env.t.Helper()
 	for _, b := range audit.Judge(env.site, env.log.Entries()).Breaches {
@@ -232,7 +235,7 @@
 	}
 }
 
-// judgeWithViewers also gives the audit the requests, which these tests' viewers do not log.
+// checkAuditWithRequests is checkAudit with entries added for requests, which the viewers of these tests do not log.
 func (env *testEnv) checkAuditWithRequests(requests int) {
 	env.t.Helper()
 	entries := env.log.Entries()
@@ -247,17 +250,18 @@
 		env.t.Errorf("%+v", b)
 	}
 	if env.site.Rules.BudgetSpan > 0 && verdict.Checks[audit.BudgetKept] == 0 {
-		env.t.Error("no further attempt was checked")
+		env.t.Error("the audit checked no further attempt")
 	}
 }
 
-// say sends the planner an announcement of title "clip", and returns its answer.
+// announcePeak announces a peak of title "clip" to the planner, and returns the status and body of the response.
 func (env *testEnv) announcePeak(id string, version int, in, length time.Duration, extraFields string) (int, string) {
 	body := fmt.Sprintf(`{"id":%q,"version":%d,"titles":["clip"],"class":"play","start_ms":%d,"rate":4,"length_ms":%d%s}`, id, version,
 		time.Now().Add(in).UnixMilli(), length.Milliseconds(), extraFields)
 	return env.callPlanner("PUT", "/v1/peaks/"+id, body)
 }
 
+// callPlanner sends an HTTP request to the planner and returns the status and body of the response.
 func (env *testEnv) callPlanner(method, path, body string) (int, string) {
 	req, err := http.NewRequest(method, "http://"+env.site.Planner.Listen+path, strings.NewReader(body))
 	if err != nil {
@@ -273,13 +277,14 @@
 	return resp.StatusCode, string(b)
 }
 
+// activeHolds returns the number of holds that edge i reports.
 func (env *testEnv) activeHolds(i int) (n int) {
 	_, rest, _ := strings.Cut(env.status(i), `"holds":`)
 	_, _ = fmt.Sscan(rest, &n)
 	return n
 }
 
-// plannerLog shows the planner's log with -v.
+// plannerLog returns a logger that writes to stderr with -v and discards everything otherwise.
 func plannerLog() *slog.Logger {
 	if testing.Verbose() {
 		return slog.New(slog.NewTextHandler(os.Stderr, nil)).With("program", "planner")
--- a/internal/edge/fleet.go
+++ b/internal/edge/fleet.go
@@ -19,13 +19,14 @@
 )
 
 const (
-	plannerReadTimeout = 5 * time.Second // the planner sends a line each second at the least
+	plannerReadTimeout = 5 * time.Second // the planner sends at least one line per second
 	minRetryDelay      = 100 * time.Millisecond
 	maxRetryDelay      = 3 * time.Second
 )
 
-// follow keeps the planner's view. Without a planner the last view stands; each try waits longer, by a
-// random part, so that edges do not come back to a restarted planner together.
+// followPlanner starts the release workers and then applies the views that the planner streams, until ctx ends.
+// While the planner is unreachable the last view remains in effect. Retries back off exponentially with jitter,
+// so that edges do not reconnect to a restarted planner at the same time.
 func (e *Edge) followPlanner(ctx context.Context) {
 	for range releaseWorkers {
 		e.spawn(func() { e.boxes.sendReleases(ctx) })
@@ -37,30 +38,32 @@
 	for ctx.Err() == nil {
 		current := e.fleet.Load().view
 		whole := true // the first line of a stream is the whole view
-		_, err := e.boxes.http.StreamLines(ctx, e.Planner, "/v1/stream?edge="+strconv.Itoa(e.Position), plannerReadTimeout, func(data []byte) error {
-			line, err := view.Decode(data)
-			if err != nil {
-				return err
-			}
-			next, changed, err := view.Apply(current, line)
-			if err != nil {
-				return err
-			}
-			wait = minRetryDelay
-			if line.Holds != nil {
-				defer e.applyHolds(line.Holds) // after the boxes that it names
-			}
-			if changed {
-				current = next
-				e.applyView(current, line, whole, false)
-				whole = false
-			}
-			return nil
-		})
+		_, err := e.boxes.http.StreamLines(ctx, e.Planner, "/v1/stream?edge="+strconv.Itoa(e.Position), plannerReadTimeout,
+			func(data []byte) error {
+				line, err := view.Decode(data)
+				if err != nil {
+					return err
+				}
+				next, changed, err := view.Apply(current, line)
+				if err != nil {
+					return err
+				}
+				wait = minRetryDelay
+				if line.Holds != nil {
+					defer e.applyHolds(line.Holds) // after the boxes that the holds name are applied
+				}
+				if changed {
+					current = next
+					e.applyView(current, line, whole, false)
+					whole = false
+				}
+				return nil
+			})
 		if ctx.Err() != nil {
 			return
 		}
-		e.Log.Warn("planner not heard, the last view stands", "planner", e.Planner, "version", current.Version, "error", err)
+		e.Log.Warn("planner unreachable; the last view remains in effect", "planner", e.Planner,
+			"version", current.Version, "error", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait/2 + rand.N(wait)):
@@ -69,13 +72,14 @@
 	}
 }
 
-// take makes a view the one in force and tells the module.
+// applyView makes v the current view and sends the boxes of line to the module. whole marks the boxes as the
+// complete list; cached means that v was read from disk.
 func (e *Edge) applyView(v view.View, line view.Update, whole, cached bool) {
 	f := &fleet{view: v, titles: make(map[string]view.Title, len(v.Titles))}
 	for _, t := range v.Titles {
 		if t.HomeCell < e.Site.Cells && t.CellSpan <= e.Site.Cells {
 			if t.Listed && t.Holders == nil {
-				t.Holders = []string{} // nobody has it: nil would say that its cells do
+				t.Holders = []string{} // no holder: nil would mean that all boxes of its cells hold the title
 			}
 			f.titles[t.Name] = t
 		}
@@ -88,15 +92,17 @@
 		}
 	}
 	e.orchestrator.AddEvent(update)
-	e.Log.Info("view", "version", v.Version, "boxes", len(v.Boxes), "titles", len(v.Titles), "changed", len(line.Boxes), "cached", cached)
+	e.Log.Info("view applied", "version", v.Version, "boxes", len(v.Boxes), "titles", len(v.Titles),
+		"changed", len(line.Boxes), "cached", cached)
 	if !cached {
 		e.saveView(v)
 	}
 }
 
-// start is when a box started by this edge's clock. The planner's may be apart by seconds, and a cold box that
-// passes for an older one would be pushed over; so its age is taken, from the line that first told of that
-// start, and the result kept: a line that took longer is no other start.
+// boxStartTime returns when a box started, by the clock of this edge. The clock of the planner may differ by
+// seconds, and a cold box that is taken for an older one would be overloaded. The start is therefore computed from
+// the age of the box in the first line that reports the start, and then kept: a later line that was delayed
+// longer must not change it.
 func (e *Edge) boxStartTime(b view.Box, now int64) time.Duration {
 	if b.StartedMs <= 0 || now <= 0 {
 		return timeconv.UnixMilli(b.StartedMs)
@@ -114,6 +120,8 @@
 	return local
 }
 
+// toServer converts a box of the view to a server of the module. It returns false if the zone, kind or cell of the box
+// is not in the site file.
 func (e *Edge) toServer(b view.Box, now int64) (control.Server, bool) {
 	s := control.Server{ID: b.ID, Zone: e.Site.Zone(b.Zone), Kind: e.Site.Kind(b.Kind), Cell: b.Cell, Weight: b.Weight,
 		Started: e.boxStartTime(b, now)}
@@ -132,17 +140,18 @@
 	return s, true
 }
 
-// Subscribe is answered by the stream, which is always followed: the module gets the whole list.
+// Subscribe reads the whole list once. Updates arrive without a subscription, because the stream of the planner is
+// always followed.
 func (b *boxClient) Subscribe() { b.ReadList() }
 
-// ReadList reads the whole list once.
+// ReadList reads the whole list of boxes from the planner once, in the background, and sends it to the module.
 func (b *boxClient) ReadList() {
 	b.edge.spawn(func() {
 		ctx, cancel := context.WithTimeout(b.edge.ctx, 2*time.Second)
 		defer cancel()
 		line, err := b.readView(ctx)
 		if err != nil {
-			b.edge.Log.Warn("list not read", "error", err)
+			b.edge.Log.Warn("could not read the server list", "error", err)
 			b.edge.orchestrator.AddEvent(control.ListUpdate{Failed: true})
 			return
 		}
@@ -156,25 +165,27 @@
 	})
 }
 
+// readView reads the whole view from the planner.
 func (b *boxClient) readView(ctx context.Context) (view.Update, error) {
 	if b.edge.Planner == "" {
-		return view.Update{}, errors.New("no planner")
+		return view.Update{}, errors.New("no planner configured")
 	}
 	resp, err := b.http.Do(ctx, b.edge.Planner, "GET", "/v1/view", nil, nil)
 	if err != nil {
 		return view.Update{}, err
 	}
 	if resp.Status != 200 {
-		return view.Update{}, fmt.Errorf("planner answered %d", resp.Status)
+		return view.Update{}, fmt.Errorf("planner answered with status %d", resp.Status)
 	}
 	return view.Decode(resp.Body)
 }
 
+// viewPath returns the file of the saved view.
 func (e *Edge) viewPath() string {
 	return filepath.Join(e.StateDir, "view-"+strconv.Itoa(e.Position)+".json")
 }
 
-// keepLast makes a view the last one on disk.
+// saveView writes a view to disk for the next start.
 func (e *Edge) saveView(v view.View) {
 	if e.StateDir == "" {
 		return
@@ -184,12 +195,12 @@
 		err = viewstore.Open(e.viewPath()).Write(b, time.Now())
 	}
 	if err != nil {
-		e.Log.Error("last view not kept", "file", e.viewPath(), "error", err)
+		e.Log.Error("could not save the view", "file", e.viewPath(), "error", err)
 	}
 }
 
-// loadLast starts from the last view. One that is torn or foreign is passed over for the one before; where
-// none is whole, the edge starts empty.
+// loadSavedView applies the saved view. If its file is truncated or of another format, the previous one is used;
+// without a usable file the edge starts with an empty view.
 func (e *Edge) loadSavedView() {
 	if e.StateDir == "" {
 		return
@@ -199,26 +210,28 @@
 		return
 	}
 	if err != nil {
-		e.Log.Error("last view not used", "file", e.viewPath(), "error", err)
+		e.Log.Error("saved view not used", "file", e.viewPath(), "error", err)
 	}
 	if saved == nil {
 		return
 	}
 	line, err := view.Decode(saved.Body)
 	if err == nil && !line.Full {
-		err = errors.New("not a whole view")
+		err = errors.New("the saved view is not complete")
 	}
 	if err != nil {
-		e.Log.Error("last view not used", "file", saved.Path, "error", err)
+		e.Log.Error("saved view not used", "file", saved.Path, "error", err)
 		return
 	}
-	e.Log.Info("started from the last view", "file", saved.Path, "version", line.Version, "age", time.Since(saved.WrittenAt).Round(time.Millisecond))
+	e.Log.Info("started from the saved view", "file", saved.Path, "version", line.Version,
+		"age", time.Since(saved.WrittenAt).Round(time.Millisecond))
 	v := view.View{Version: line.Version, Boxes: line.Boxes, Titles: line.Titles}
 	e.applyView(v, line, true, true)
 	e.reclaimSessions(v)
 }
 
-// openPeers opens the port for other edges' messages.
+// openPeers resolves the addresses of all edges and opens the UDP port for their messages, if the site allows
+// peer messages.
 func (e *Edge) openPeers() error {
 	if !e.settings.AllowPeerMessages {
 		return nil
@@ -235,18 +248,19 @@
 	}
 	var err error
 	if e.PeerConn, err = net.ListenPacket("udp", e.Site.Edges[e.Position].Peer); err != nil {
-		return fmt.Errorf("edge: peers: %w", err)
+		return fmt.Errorf("edge: listen for peer messages: %w", err)
 	}
 	return nil
 }
 
-// Datagrams of edges: a mark with the version, then the module's text. The sender is known by its address.
+// Datagrams between edges are a prefix with the version of the format, followed by the message of the module. The
+// sender is identified by its source address.
 const (
 	peerPrefix     = "rpl1 "
 	maxPeerMessage = 1400
 )
 
-// Tell sends a message to another edge; it may be lost.
+// Tell sends a message of the module to another edge by UDP, so it may be lost.
 func (b *boxClient) Tell(to int, data string) {
 	e := b.edge
 	if e.PeerConn == nil || to < 0 || to >= len(e.peerAddrs) || len(data) > maxPeerMessage {
@@ -257,7 +271,7 @@
 	}
 }
 
-// hearPeers takes messages of the edges that the site names; noise is dropped.
+// receivePeerMessages receives messages from the edges listed in the site file and drops all other datagrams.
 func (e *Edge) receivePeerMessages(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = e.PeerConn.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
--- a/internal/edge/handle.go
+++ b/internal/edge/handle.go
@@ -17,12 +17,13 @@
 	"rainpulley/internal/timeconv"
 )
 
-const playlistType = "application/vnd.apple.mpegurl" // RFC 8216, 4
+const playlistType = "application/vnd.apple.mpegurl" // RFC 8216, section 4
 
+// handle answers one HTTP request.
 func (e *Edge) handle(ctx context.Context, x *http1.Exchange) {
 	isRead := string(x.Method) == "GET" || string(x.Method) == "HEAD"
 	switch {
-	case !isRead && string(x.Method) == "OPTIONS": // what a browser asks before another origin's GET
+	case !isRead && string(x.Method) == "OPTIONS": // CORS preflight
 		x.StartResponse(204)
 		addCORSHeaders(x)
 	case !isRead:
@@ -44,11 +45,13 @@
 	}
 }
 
+// addCORSHeaders allows pages of any origin to read the response.
 func addCORSHeaders(x *http1.Exchange) {
 	x.AddHeader("Access-Control-Allow-Origin", "*")
 	x.AddHeader("Access-Control-Allow-Headers", "Rainpulley-Key, Range, CMCD-Session, CMCD-Request, CMCD-Object, CMCD-Status")
 }
 
+// writeText answers with a line of text.
 func (e *Edge) writeText(x *http1.Exchange, code int, text string) {
 	x.StartResponse(code)
 	addCORSHeaders(x)
@@ -56,7 +59,7 @@
 	x.ResponseBody = append(append(x.ResponseBody, text...), '\n')
 }
 
-// play is the first request of a session: /play/<title>/index.m3u8?class=&best=&key=&patience=.
+// handlePlay handles the first request of a session: /play/<title>/index.m3u8?class=&best=&key=&patience=.
 func (e *Edge) handlePlay(ctx context.Context, x *http1.Exchange) {
 	title, ok := strings.CutSuffix(string(x.Path[len("/play/"):]), "/index.m3u8")
 	if !ok || !isURLSafe(title) {
@@ -71,7 +74,7 @@
 	e.serve(ctx, x, req, admission.Play)
 }
 
-// badAsk answers a request that asks for what there is not.
+// writeRequestError answers a request with invalid parameters (400) or for an unknown title (404).
 func (e *Edge) writeRequestError(x *http1.Exchange, err error) {
 	code := 400
 	if errors.Is(err, errUnknownTitle) {
@@ -80,7 +83,7 @@
 	e.writeText(x, code, err.Error())
 }
 
-// ask is what a request wants.
+// viewerRequest contains the parsed parameters of a viewer's HTTP request.
 type viewerRequest struct {
 	sessionName []byte // class/title/key
 	class       int
@@ -88,10 +91,11 @@
 	viewerKey   string
 	maxRung     int
 	patience    time.Duration
-	position    time.Duration // where play stands, as the URL tells
-	playlist    int           // which playlist: 0 the variant's, others its renditions
+	position    time.Duration // playback position, computed from the start time in the URL
+	playlist    int           // 0: the playlist of the variant; i > 0: that of its rendition i
 }
 
+// parsePlay parses and checks the parameters of a first request. Its errors are sent to the viewer.
 func (e *Edge) parsePlay(x *http1.Exchange, title string) (viewerRequest, error) {
 	req := viewerRequest{title: title}
 	if v := x.QueryParam("class"); v != nil {
@@ -134,7 +138,8 @@
 	return req, nil
 }
 
-// viewerKey is the query's key, the header's, or the session id of CMCD (CTA-5004, sid).
+// viewerKey returns the key that identifies the viewer: the query parameter, the Rainpulley-Key header, or the CMCD
+// session ID (CTA-5004, sid); "" if the request has none.
 func viewerKey(x *http1.Exchange) string {
 	if v := x.QueryParam("key"); v != nil {
 		return string(v)
@@ -145,7 +150,8 @@
 	return strings.Trim(cmcdValue(x, "cmcd-session", "sid"), `"`)
 }
 
-// cmcd is a key of the player's own word (CTA-5004), by query or header; "" if it was not sent.
+// cmcdValue returns the value of a CMCD key (CTA-5004) that the player sent in the query or in the given header, or ""
+// if it sent none. The query takes precedence.
 func cmcdValue(x *http1.Exchange, header, key string) string {
 	text := string(x.Get(header))
 	if v := x.QueryParam("CMCD"); v != nil {
@@ -159,7 +165,8 @@
 	return ""
 }
 
-// canUse is the highest rung that a player which says its top bit rate (CMCD tb, in kbit/s) can use.
+// maxUsableRung returns the highest rung of a class that a player can use whose top bit rate (CMCD tb, in kbit/s) is
+// given; the top rung of the class if the rate is missing or malformed.
 func (e *Edge) maxUsableRung(class int, topBitRate string) int {
 	limits := &e.settings.Classes[class]
 	rung := limits.MaxRung
@@ -173,12 +180,14 @@
 	return rung
 }
 
+// unescapeCMCD decodes the percent-encoded characters that CMCD lists use.
 func unescapeCMCD(s string) string {
 	r := strings.NewReplacer("%2C", ",", "%2c", ",", "%3D", "=", "%3d", "=", "%22", `"`, "%20", " ")
 	return r.Replace(s)
 }
 
-// plain tells text that may stand in a path and in a query as it is.
+// isURLSafe reports whether s has 1 to 64 unreserved characters and is not a dot segment, so that it can be used in a
+// path or a query without escaping.
 func isURLSafe(s string) bool {
 	if s == "" || len(s) > 64 || s == "." || s == ".." {
 		return false
@@ -192,8 +201,8 @@
 	return true
 }
 
-// media is a reload: /s/<class>/<title>/<key>/<best>/<start>/<playlist>.m3u8. The common case, a session
-// that plays here, is answered without any allocation.
+// handleMedia handles a reload: /s/<class>/<title>/<key>/<best>/<start>/<playlist>.m3u8. The common case, a session
+// that is playing at this edge, is answered without allocating.
 func (e *Edge) handleMedia(ctx context.Context, x *http1.Exchange) {
 	name, rest, ok := cutSessionName(x.Path[len("/s/"):])
 	if !ok {
@@ -211,7 +220,7 @@
 	e.serve(ctx, x, req, admission.Reload)
 }
 
-// cutName splits class/title/key from what follows.
+// cutSessionName splits a path into the session name, class/title/key, and the rest after the next slash.
 func cutSessionName(path []byte) (name, rest []byte, ok bool) {
 	slashes := 0
 	for i, c := range path {
@@ -224,7 +233,8 @@
 	return nil, nil, false
 }
 
-// reload answers from a session that plays; false if it does not.
+// serveReload answers a reload of the main playlist from a playing session. It returns false, and writes nothing, if
+// the session is not playing or the rest of the path needs the slower checks of parseReload.
 func (e *Edge) serveReload(x *http1.Exchange, s *session, rest []byte) bool {
 	i := bytes.LastIndexByte(rest, '/')
 	if string(rest[i+1:]) != "media.m3u8" {
@@ -232,7 +242,7 @@
 	}
 	now := e.now()
 	if !isPastStart(rest[:max(i, 0)], now) {
-		return false // and is refused by the slower path
+		return false // parseReload refuses it
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -249,7 +259,8 @@
 	return true
 }
 
-// grow publishes what may be known by now: up to a little ahead of play.
+// extendWindow publishes the segments up to the playback position plus playback.Ahead. The window keeps as many
+// segments as cover playback.Ahead and playback.Behind, plus two.
 func (s *session) extendWindow(e *Edge, now time.Duration) {
 	track := s.manifest.cachedTrack(s.publishedRung)
 	if track == nil {
@@ -262,10 +273,11 @@
 	s.window.Publish(track.SegmentAt((now - s.contentStart + lead).Seconds()), keep)
 }
 
-// startFits tells a <best>/<start> of which the start is a time that was, without allocating.
+// isPastStart reports whether the start in <best>/<start> is a valid time that is not in the future, except for
+// maxClockSkew. It does not allocate.
 func isPastStart(path []byte, now time.Duration) bool {
 	start := path[bytes.LastIndexByte(path, '/')+1:]
-	if len(start) == 0 || len(start) > 12 { // longer ones are beyond every moment, and could overflow
+	if len(start) == 0 || len(start) > 12 { // longer ones exceed bound.Latest and could overflow n
 		return false
 	}
 	n := int64(0)
@@ -282,13 +294,15 @@
 	return n <= timeconv.MaxUnixMilli && timeconv.UnixMilli(n) <= now+maxClockSkew
 }
 
-// startAhead is how far the clock of the edge that wrote a start may be ahead of this one's.
+// maxClockSkew is how far the clock of the edge that wrote a start time may be ahead of the clock of this edge.
 const maxClockSkew = time.Minute
 
+// parseReload parses and checks the path of a reload. Its errors are sent to the viewer.
 func (e *Edge) parseReload(name, rest []byte) (viewerRequest, error) {
 	nameParts := strings.Split(string(name), "/")
 	restParts := strings.Split(string(rest), "/")
-	req := viewerRequest{sessionName: bytes.Clone(name), class: e.Site.Class(nameParts[0]), title: nameParts[1], viewerKey: nameParts[2]}
+	req := viewerRequest{sessionName: bytes.Clone(name), class: e.Site.Class(nameParts[0]), title: nameParts[1],
+		viewerKey: nameParts[2]}
 	if req.class < 0 || len(restParts) != 3 || !isURLSafe(req.viewerKey) {
 		return req, fmt.Errorf("no such class, or malformed path")
 	}
@@ -316,7 +330,8 @@
 	return req, nil
 }
 
-// serve settles a request that is not simply a reload of what plays.
+// serve answers a request that serveReload could not: it answers from the session, waits for a pending set-up, starts
+// a new one, or refuses.
 func (e *Edge) serve(ctx context.Context, x *http1.Exchange, req viewerRequest, kind admission.RequestKind) {
 	deadline := e.now() + req.patience
 	if kind == admission.Reload && e.reclaimDone != nil && e.sessions.find(req.sessionName) == nil {
@@ -332,7 +347,8 @@
 	for {
 		s.mu.Lock()
 		s.lastSeenAt.Store(int64(e.now()))
-		decision := admission.Decide(admission.Session{State: s.state, Moved: s.moved, Since: s.stateSince}, kind, e.now(), req.position > 0)
+		decision := admission.Decide(admission.Session{State: s.state, Moved: s.moved, Since: s.stateSince}, kind,
+			e.now(), req.position > 0)
 		p := s.request
 		switch decision.Action {
 		case admission.Serve:
@@ -354,10 +370,10 @@
 		case admission.SetUp:
 			s.title, s.maxRung = e.fleet.Load().titles[req.title], req.maxRung
 			switch {
-			case decision.Returned && s.resumePosition > 0: // where it stood when the server was lost
+			case decision.Returned && s.resumePosition > 0: // resume where playback ended
 			case kind == admission.Reload:
 				s.resumePosition = req.position
-			default: // from the beginning
+			default: // start from the beginning
 				s.resumePosition, s.hasPlayed, s.window = 0, false, hls.Window{}
 			}
 			var accepted bool
@@ -381,13 +397,13 @@
 			e.writePlaylist(ctx, x, s, req, kind)
 			return
 		}
-		s.mu.Unlock() // lost again in this moment
+		s.mu.Unlock() // the session was lost between the answer and the lock
 		e.writeText(x, 502, "the session broke")
 		return
 	}
 }
 
-// awaitReclaim waits, after a restart, for a box to tell of a session.
+// awaitAdoption waits after a restart until a box reports the session or reclaimWait is over.
 func (e *Edge) awaitAdoption(name []byte) {
 	t := time.NewTicker(20 * time.Millisecond)
 	defer t.Stop()
@@ -400,7 +416,9 @@
 	}
 }
 
-// await waits for a try's answer. False if the exchange is settled: the viewer went away, or time ran out.
+// awaitAnswer waits for the answer to a request of the module. It returns false if it answered the exchange itself,
+// because the viewer disconnected or the deadline passed. If no other HTTP request of the viewer waits, the request is
+// then abandoned.
 func (e *Edge) awaitAnswer(x *http1.Exchange, s *session, p *placementRequest, deadline time.Duration) bool {
 	disconnected, stop := x.WatchDisconnect()
 	timeout := time.NewTimer(deadline + e.Site.Rules.AnswerSlack.D() - e.now())
@@ -433,6 +451,7 @@
 	return false
 }
 
+// writeFailure answers a request that was refused (503) or failed (502).
 func (e *Edge) writeFailure(x *http1.Exchange, p *placementRequest) {
 	if p.answer.Kind == core.Refused {
 		e.writeRefusal(x, p.answer.RetryAfter)
@@ -441,7 +460,8 @@
 	e.writeText(x, 502, "the session could not be set up")
 }
 
-// refuse is 503; the wait advised is in whole seconds (RFC 9110, 10.2.3), and exactly in a field beside it.
+// writeRefusal answers with 503. Retry-After has the advised delay in whole seconds (RFC 9110, section 10.2.3), and
+// Rainpulley-Retry-After-Ms has the exact delay.
 func (e *Edge) writeRefusal(x *http1.Exchange, retryAfter time.Duration) {
 	e.writeText(x, 503, "no room now")
 	if retryAfter > 0 {
@@ -450,8 +470,9 @@
 	}
 }
 
-// write answers with a playlist of a session that plays. It unlocks the session.
-func (e *Edge) writePlaylist(ctx context.Context, x *http1.Exchange, s *session, req viewerRequest, kind admission.RequestKind) {
+// writePlaylist answers with a playlist of a playing session. The caller holds s.mu; writePlaylist unlocks it.
+func (e *Edge) writePlaylist(ctx context.Context, x *http1.Exchange, s *session, req viewerRequest,
+	kind admission.RequestKind) {
 	now := e.now()
 	if req.playlist > 0 {
 		e.writeRendition(ctx, x, s, req) // unlocks
@@ -467,17 +488,20 @@
 		x.ResponseBody = s.window.Append(x.ResponseBody)
 		return
 	}
-	prefix := "/s/" + s.name + "/" + strconv.Itoa(s.maxRung) + "/" + strconv.FormatInt(s.contentStart.Milliseconds(), 36) + "/"
+	prefix := "/s/" + s.name + "/" + strconv.Itoa(s.maxRung) + "/" +
+		strconv.FormatInt(s.contentStart.Milliseconds(), 36) + "/"
 	x.ResponseBody = s.manifest.sessionManifest(s.publishedRung, prefix).Append(x.ResponseBody)
 }
 
+// writeStatus answers with the state and counters of the edge as JSON.
 func (e *Edge) writeStatus(x *http1.Exchange) {
 	x.StartResponse(200)
 	x.AddHeader("Content-Type", "application/json")
 	stats, v := &e.orchestrator.Stats, e.fleet.Load().view
 	x.ResponseBody = fmt.Appendf(x.ResponseBody, `{"position":%d,"instance":%q,"view":%d,"boxes":%d,"titles":%d,"sessions":%d,"open":%d,`+
 		`"requests":%d,"turned_away":%d,"plays":%d,"refused":%d,"failed":%d,"attempts":%d,"further":%d,"overdue":%d,"notes_lost":%d,"holds":%d}`+"\n",
-		e.Position, e.instanceID, v.Version, len(v.Boxes), len(v.Titles), e.sessions.size.Load(), stats.Open.Load(), stats.Requests.Load(),
-		stats.QueueFull.Load(), stats.Started.Load(), stats.Refused.Load(), stats.Failed.Load(), stats.Attempts.Load(), stats.FurtherAttempts.Load(),
-		stats.Overdue.Load(), stats.NotesDropped.Load(), e.holds.activeCount())
+		e.Position, e.instanceID, v.Version, len(v.Boxes), len(v.Titles), e.sessions.size.Load(), stats.Open.Load(),
+		stats.Requests.Load(), stats.QueueFull.Load(), stats.Started.Load(), stats.Refused.Load(), stats.Failed.Load(),
+		stats.Attempts.Load(), stats.FurtherAttempts.Load(), stats.Overdue.Load(), stats.NotesDropped.Load(),
+		e.holds.activeCount())
 }
--- a/internal/edge/holds.go
+++ b/internal/edge/holds.go
@@ -13,20 +13,21 @@
 	"rainpulley/internal/view"
 )
 
-// holds is what this edge was told to keep for announced peaks, and what it counts for the planner.
+// holdState contains the holds that the planner assigned to this edge for announced peaks, and the arrivals that the
+// edge counts for the planner.
 type holdState struct {
 	mu        sync.Mutex
-	active    int           // that the module knows of
-	expiresAt time.Duration // by this edge's own clock
+	active    int           // number of holds that the module has
+	expiresAt time.Duration // by the clock of this edge
 	counted   []view.CountedTitle
-	arrivals  map[string]float64 // first requests, by class and title
+	arrivals  map[string]float64 // first requests of viewers, by class and title
 	reportSeq uint64
 }
 
-// mostCounted bounds the titles whose requests are counted.
+// maxCounted limits the pairs of class and title whose requests are counted, and the boxes whose set-ups are.
 const maxCounted = 10000
 
-// arrive counts a viewer's first request.
+// countArrival counts the first request of a viewer.
 func (h *holdState) countArrival(class, title string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -38,14 +39,15 @@
 	}
 }
 
-// hold takes what the planner told.
+// applyHolds replaces the holds by those that the planner sent.
 func (e *Edge) applyHolds(update *view.Holds) {
 	next := control.HoldsUpdate{}
 	for _, p := range update.Entries {
 		if class := e.Site.Class(p.Class); class >= 0 {
-			next.Holds = append(next.Holds, control.Hold{Server: p.Box, Class: class, Title: hash(p.Title), Rate: p.Rate, Streams: p.Streams})
+			next.Holds = append(next.Holds, control.Hold{Server: p.Box, Class: class, Title: hash(p.Title),
+				Rate: p.Rate, Streams: p.Streams})
 		} else {
-			e.Log.Warn("hold of a class that the site does not have", "class", p.Class, "title", p.Title)
+			e.Log.Warn("hold ignored: its class is not in the site file", "class", p.Class, "title", p.Title)
 		}
 	}
 	h := &e.holds
@@ -58,7 +60,8 @@
 	}
 }
 
-// lapse lets holds go that were not told again in time: a planner that is gone keeps nobody out.
+// expireHolds removes all holds whose lease the planner did not renew, so that an unreachable planner does not keep
+// viewers out.
 func (e *Edge) expireHolds() {
 	h := &e.holds
 	h.mu.Lock()
@@ -73,7 +76,7 @@
 	}
 }
 
-// inForce is how many holds the module knows of.
+// activeCount returns the number of holds that the module has.
 func (h *holdState) activeCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,7 +85,8 @@
 
 const reportInterval = time.Second
 
-// reportUse tells the planner what is used of peaks' room, while it asks for it.
+// reportUsage reports to the planner every reportInterval how much of the capacity held for peaks is used, as long
+// as the planner asks for counts or set-up outcomes changed.
 func (e *Edge) reportUsage(ctx context.Context) {
 	t := time.NewTicker(reportInterval)
 	defer t.Stop()
@@ -98,19 +102,21 @@
 		}
 		body, err := json.Marshal(report)
 		if err != nil {
-			e.Log.Error("use not reported", "error", err)
+			e.Log.Error("could not encode the usage report", "error", err)
 			continue
 		}
 		requestCtx, cancel := context.WithTimeout(ctx, reportInterval)
-		resp, err := e.boxes.http.Do(requestCtx, e.Planner, "POST", "/v1/used", []string{"Content-Type", "application/json"}, body)
+		resp, err := e.boxes.http.Do(requestCtx, e.Planner, "POST", "/v1/used",
+			[]string{"Content-Type", "application/json"}, body)
 		cancel()
 		if err != nil || resp.Status != 204 {
-			e.Log.Debug("use not reported", "error", err)
+			e.Log.Debug("usage report not accepted", "error", err)
 		}
 	}
 }
 
-// use sums up the sessions of counted titles; nil where nothing is asked for.
+// usage returns the streams and rates of the playing sessions of counted titles, or nil if the planner asked for no
+// counts and no set-up outcome changed.
 func (e *Edge) usage() *view.UsageReport {
 	h := &e.holds
 	h.mu.Lock()
@@ -118,7 +124,8 @@
 	h.reportSeq++
 	report := &view.UsageReport{Edge: strconv.Itoa(e.Position) + "." + e.instanceID, Seq: h.reportSeq}
 	for _, c := range counted {
-		report.Arrivals = append(report.Arrivals, view.TitleArrivals{Peak: c.Peak, Title: c.Title, Count: h.arrivals[c.Class+"/"+c.Title]})
+		report.Arrivals = append(report.Arrivals, view.TitleArrivals{Peak: c.Peak, Title: c.Title,
+			Count: h.arrivals[c.Class+"/"+c.Title]})
 	}
 	h.mu.Unlock()
 	report.Outcomes = e.boxes.takeOutcomes()
--- a/internal/edge/holds_test.go
+++ b/internal/edge/holds_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Holds reach the edge, move off a box that drains, are given back at once on cancel, and lapse when the
-// planner dies; its successor knows what was announced.
+// Holds reach the edge, move away from a draining box, end at once when the peak is cancelled, and expire when the
+// planner stops. A restarted planner knows the announced peaks and versions.
 func TestHolds(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.startEdge(0, 3)
@@ -20,43 +20,44 @@
 		t.Fatalf("%d %s", code, text)
 	}
 	if code, _ := env.callPlanner("PUT", "/v1/peaks/other", `{"id":"p"}`); code != 400 {
-		t.Errorf("id of another path: %d", code)
+		t.Errorf("id differs from the path: %d", code)
 	}
 	for extraFields, field := range map[string]string{`,"rate":-1`: "rate", `,"titles":["none"]`: "titles[0]", `,"class":"x"`: "class", `,"colour":1`: "colour", `,"length_ms":0`: "length_ms"} {
-		if code, text := env.announcePeak("q", 1, time.Second, time.Second, extraFields); code != 400 || !strings.Contains(text, field) {
+		if code, text := env.announcePeak("q", 1, time.Second, time.Second, extraFields); code != 400 ||
+			!strings.Contains(text, field) {
 			t.Errorf("%s: %d %s", extraFields, code, text)
 		}
 	}
-	env.waitFor("the edge holds room on all boxes", func() bool { return env.activeHolds(0) == 3 })
+	env.waitFor("the edge to have holds on all boxes", func() bool { return env.activeHolds(0) == 3 })
 	drainedBox := env.fleet.Boxes[0]
 	drainedBox.Drain(true)
-	env.waitFor("the drained box holds none", func() bool {
+	env.waitFor("no hold on the draining box", func() bool {
 		_, text := env.callPlanner("GET", "/v1/peaks", "")
 		_, text, _ = strings.Cut(text, `"holds":[`)
 		held, _, _ := strings.Cut(text, "]")
 		return env.activeHolds(0) == 2 && !strings.Contains(held, drainedBox.Addr)
 	})
 	env.plannerTask.stopAndWait()
-	env.waitFor("holds lapse", func() bool { return env.activeHolds(0) == 0 })
+	env.waitFor("holds to expire", func() bool { return env.activeHolds(0) == 0 })
 	if code, body := env.play(0, "key=k1"); code != 200 {
 		t.Errorf("without a planner: %d %s", code, body)
 	}
 	env.startPlanner()
-	env.waitFor("the successor holds again", func() bool { return env.activeHolds(0) == 2 })
+	env.waitFor("holds from the restarted planner", func() bool { return env.activeHolds(0) == 2 })
 	if code, _ := env.callPlanner("DELETE", "/v1/peaks/p", ""); code != 201 {
-		t.Errorf("cancel: %d", code)
+		t.Errorf("cancel: %d, want 201", code)
 	}
-	env.waitFor("given back", func() bool { return env.activeHolds(0) == 0 })
+	env.waitFor("holds to end after the cancel", func() bool { return env.activeHolds(0) == 0 })
 	if code, _ := env.announcePeak("p", 1, time.Second, 20*time.Second, ""); code != 204 {
-		t.Errorf("an old version after the cancel: %d", code)
+		t.Errorf("an old version after the cancel: %d, want 204", code)
 	}
 	if code, _ := env.callPlanner("DELETE", "/v1/peaks/none", ""); code != 404 {
-		t.Errorf("cancel of none: %d", code)
+		t.Errorf("cancel of an unknown peak: %d, want 404", code)
 	}
 	env.checkAudit()
 }
 
-// Announcement files: half written ones and those with a fault change nothing; mended, they are taken whole.
+// An announcement file that is truncated or has an error changes nothing; once corrected, all of it takes effect.
 func TestAnnouncementFiles(t *testing.T) {
 	env := newTestEnv(t, 2, 1, nil)
 	env.startEdge(0, 2)
@@ -82,23 +83,23 @@
 	if got := known(); !strings.Contains(got, `"id":"a"`) || !strings.Contains(got, `"id":"b"`) {
 		t.Error(got)
 	}
-	env.waitFor("the edge holds room", func() bool { return env.activeHolds(0) > 0 })
+	env.waitFor("the edge to have holds", func() bool { return env.activeHolds(0) > 0 })
 }
 
-// An edge that is killed in mid-peak comes back to the holds, and its use is not counted twice.
+// An edge that restarts during a peak receives its holds again, and its usage is not counted twice.
 func TestEdgeRestartDuringPeak(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.startEdge(0, 3)
 	env.announcePeak("p", 1, time.Second, 30*time.Second, "")
-	env.waitFor("the edge holds room", func() bool { return env.activeHolds(0) > 0 })
+	env.waitFor("the edge to have holds", func() bool { return env.activeHolds(0) > 0 })
 	for i := range 4 {
 		_, m := env.play(0, fmt.Sprint("class=play&key=k", i))
 		env.get(env.mediaURL(0, m))
 	}
 	env.edgeTasks[0].stopAndWait()
 	env.startEdge(0, 3)
-	env.waitFor("the edge holds room again", func() bool { return env.activeHolds(0) > 0 })
-	env.waitFor("use is counted once", func() bool {
+	env.waitFor("the edge to have holds again", func() bool { return env.activeHolds(0) > 0 })
+	env.waitFor("usage to be counted once", func() bool {
 		_, text := env.callPlanner("GET", "/v1/peaks", "")
 		var listed struct {
 			Accounts map[string]struct{ Size, Held, Used, Free float64 }
@@ -117,8 +118,8 @@
 		for _, listed := range env.fleet.Boxes {
 			real += listed.Sessions()
 		}
-		if used > 1.2*4*2000 { // links are up to 15% other than told
-			t.Errorf("%.0f kB/s used by %d sessions of 2,000", used, real)
+		if used > 1.2*4*2000 { // the capacity of a link differs from the configured one by up to 15%
+			t.Errorf("%.0f kB/s counted for %d sessions of 2,000 kB/s", used, real)
 		}
 		return real == 4 && used >= 4*2000
 	})
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -16,7 +16,8 @@
 	"rainpulley/internal/standin"
 )
 
-// Seats of a title are filled by retries too; one is free again when a session ends.
+// A title plays for at most as many viewers at once as its class has seats, also when refused viewers retry. A repeated
+// request of a viewer with a seat joins the session; the other viewers get 503.
 func TestSeatLimit(t *testing.T) {
 	env := newTestEnv(t, 3, 1, func(s *config.Site) { s.Classes[0].Seats = 3 })
 	env.startEdge(0, 3)
@@ -28,14 +29,14 @@
 			t.Errorf("%d", code)
 		}
 	}
-	if played != 6 { // three viewers, twice each
+	if played != 6 { // three viewers with two requests each
 		t.Errorf("%d answers with a session, want 6", played)
 	}
 	env.checkAudit()
 }
 
-// Numbers in a viewer's URLs that no clock knows do no harm: too long a patience is the class's deadline,
-// a start that is negative, to come or beyond every time is refused, whether the session plays or not.
+// Out-of-range numbers in a viewer's URLs: a patience beyond the deadline of the class is reduced to it, and a start
+// that is negative, in the future or larger than any time is refused, whether the session is playing or not.
 func TestNumbersInURLs(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.startEdge(0, 3)
@@ -59,11 +60,11 @@
 		}
 	}
 	if code, body := env.get(uri); code != 200 {
-		t.Errorf("the session itself: %d %s", code, body)
+		t.Errorf("the valid URL of the session: %d %s", code, body)
 	}
 }
 
-// Noise on the peers' port, from strangers and from a peer's own address, changes nothing.
+// Malformed datagrams on the port for peer messages, sent from the address of a peer, have no effect.
 func TestMalformedPeerMessages(t *testing.T) {
 	env := newTestEnv(t, 2, 2, nil)
 	env.startEdge(0, 2)
@@ -86,7 +87,7 @@
 	}
 }
 
-// More than the edge may take is refused at once, with advice.
+// Sessions beyond the configured limit are refused with 503 and a Retry-After field.
 func TestSessionLimit(t *testing.T) {
 	env := newTestEnv(t, 2, 1, func(s *config.Site) { s.Limits.Sessions = 3 })
 	env.startEdge(0, 2)
@@ -105,13 +106,13 @@
 	}
 }
 
-// The attempt budget is spent: set-ups that end in a reset are not sent again beyond it.
+// Set-ups that end in a connection reset are not repeated beyond the budget of further attempts.
 func TestAttemptBudget(t *testing.T) {
 	env := newTestEnv(t, 3, 1, func(s *config.Site) {
 		s.Rules.BudgetSpan, s.Rules.BudgetFree, s.Rules.BudgetShare = seconds(1.5), 3, 0.1
 	})
 	env.startEdge(0, 3)
-	time.Sleep(env.site.Rules.BudgetSpan.D() + 100*time.Millisecond) // an edge that has just started has no free part
+	time.Sleep(env.site.Rules.BudgetSpan.D() + 100*time.Millisecond) // an edge that has just started has no free attempts
 	for _, b := range env.fleet.Boxes {
 		b.Set(func(f *standin.Faults) { f.Reset = 2 })
 	}
@@ -121,18 +122,20 @@
 		}
 	}
 	if further := env.countEntries(audit.SetupArrived, "") - 20; further > 5 {
-		t.Errorf("%d further attempts", further)
+		t.Errorf("%d further attempts, want at most 5", further)
 	}
 	env.checkAuditWithRequests(20)
 }
 
-// A box comes back cold while all edges are full of work for it: it is not pushed over.
+// A box returns cold while all edges have requests for it: its load keeps within the ramp, also if the clocks of the
+// edges are 30 s fast or slow.
 func TestColdBoxUnderLoad(t *testing.T) {
-	for name, skew := range map[string]time.Duration{"one clock": 0, "edges' clocks ahead": 30 * time.Second, "edges' clocks behind": -30 * time.Second} {
+	for name, skew := range map[string]time.Duration{"same clock": 0, "edge clocks fast": 30 * time.Second, "edge clocks slow": -30 * time.Second} {
 		t.Run(name, func(t *testing.T) { testColdBox(t, skew) })
 	}
 }
 
+// testColdBox crashes and restarts a box, and sends 120 requests to edges whose clocks are off by skew.
 func testColdBox(t *testing.T, skew time.Duration) {
 	env := newTestEnv(t, 2, 3, func(s *config.Site) { s.Rules.Ramp = seconds(4) })
 	env.edgeClockOffset = skew
@@ -140,7 +143,7 @@
 		env.startEdge(i, 2)
 	}
 	env.fleet.Boxes[0].Crash()
-	env.waitFor("all know that it is gone", func() bool {
+	env.waitFor("an edge to know that the box is gone", func() bool {
 		return strings.Contains(env.status(0)+env.status(1)+env.status(2), `"boxes":1,`)
 	})
 	if err := env.fleet.Boxes[0].Return(); err != nil {
@@ -163,12 +166,12 @@
 		}
 	}
 	if cold == 0 {
-		t.Error("the cold box got no work at all")
+		t.Error("the cold box got no set-up")
 	}
 	env.checkAudit()
 }
 
-// A flood of bad connections costs no descriptor and no session of another.
+// Connections with incomplete or malformed requests leak no file descriptors and do not affect another session.
 func TestMalformedRequestsLeakNothing(t *testing.T) {
 	env := newTestEnv(t, 2, 1, nil)
 	env.startEdge(0, 2)
@@ -177,7 +180,7 @@
 	openDescriptors := func() int {
 		l, err := os.ReadDir("/proc/self/fd")
 		if err != nil {
-			t.Skip("no /proc here")
+			t.Skip("no /proc on this system")
 		}
 		return len(l)
 	}
@@ -200,5 +203,5 @@
 	if code, list := env.get(uri); code != 200 {
 		t.Errorf("%d %s", code, list)
 	}
-	env.waitFor("descriptors are closed", func() bool { return openDescriptors() <= before+4 })
+	env.waitFor("descriptors to be closed", func() bool { return openDescriptors() <= before+4 })
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -9,7 +9,8 @@
 	"rainpulley/internal/http1"
 )
 
-// newMetrics reads the edge's own counts whenever it is asked, so that the path of a request pays nothing.
+// newMetrics returns a registry whose metrics read the counters of the edge when they are scraped, so that handling
+// a request costs nothing extra.
 func (e *Edge) newMetrics() *prometheus.Registry {
 	stats, registry := &e.orchestrator.Stats, prometheus.NewRegistry()
 	count := func(name, help string, read func() int64) {
@@ -39,7 +40,7 @@
 	return registry
 }
 
-// showMetrics answers in Prometheus' text format, 0.0.4.
+// writeMetrics answers with all metrics in version 0.0.4 of the Prometheus text format.
 func (e *Edge) writeMetrics(x *http1.Exchange) {
 	families, err := e.metricsRegistry.Gather()
 	format := expfmt.NewFormat(expfmt.TypeTextPlain)
@@ -50,7 +51,7 @@
 		}
 	}
 	if err != nil {
-		e.Log.Error("metrics", "error", err)
+		e.Log.Error("could not write metrics", "error", err)
 		e.writeText(x, 500, "metrics could not be written")
 		return
 	}
--- a/internal/edge/playlists.go
+++ b/internal/edge/playlists.go
@@ -13,31 +13,34 @@
 	"rainpulley/internal/timeconv"
 )
 
-// source is a title's manifest as a box gave it, ready for rewriting.
+// manifest is the parsed multivariant playlist of a title at a box, from which those of sessions are made.
 type manifest struct {
-	path     string // URL of the manifest at the box
+	path     string // URL path of the manifest at the box
 	parsed   *hls.MultivariantPlaylist
-	variants []hls.Variant // by bandwidth: one for each rung
+	variants []hls.Variant // in order of bandwidth: the index is the rung
 	tracks   []atomic.Pointer[hls.Track]
 }
 
+// parseManifest parses a manifest that was read from the given path.
 func parseManifest(base string, body []byte, rungs int) (*manifest, error) {
 	m, err := hls.ParseMultivariant(body)
 	if err != nil {
 		return nil, err
 	}
-	s := &manifest{path: base, parsed: m, variants: slices.Clone(m.Variants), tracks: make([]atomic.Pointer[hls.Track], rungs)}
+	s := &manifest{path: base, parsed: m, variants: slices.Clone(m.Variants),
+		tracks: make([]atomic.Pointer[hls.Track], rungs)}
 	slices.SortStableFunc(s.variants, func(a, b hls.Variant) int { return a.Bandwidth - b.Bandwidth })
 	return s, nil
 }
 
-// variant of a rung; a title with fewer renditions than the ladder has rungs uses its best for the rest.
+// variant returns the variant of a rung. If a title has fewer variants than the ladder has rungs, its best one serves
+// the remaining rungs.
 func (s *manifest) variant(rung int) hls.Variant { return s.variants[min(rung, len(s.variants)-1)] }
 
-// loaded is the track of a rung, or nil.
+// cachedTrack returns the track of a rung, or nil if it was not read yet.
 func (s *manifest) cachedTrack(rung int) *hls.Track { return s.tracks[rung].Load() }
 
-// length is how long the content plays.
+// duration returns the length of the content, or 0 if the track of the rung was not read yet.
 func (s *manifest) duration(rung int) time.Duration {
 	t := s.cachedTrack(rung)
 	if t == nil {
@@ -46,8 +49,8 @@
 	return timeconv.Seconds(t.SegmentStart(t.Len()))
 }
 
-// multivariant is the manifest for one session: the variant in force and the renditions of its groups,
-// with URIs at the edge under prefix.
+// sessionManifest returns the manifest for one session: the variant of the given rung and the renditions of its
+// groups, with URIs at the edge that start with prefix.
 func (s *manifest) sessionManifest(rung int, prefix string) *hls.MultivariantPlaylist {
 	v := s.variant(rung)
 	out := &hls.MultivariantPlaylist{Version: s.parsed.Version, OtherTags: s.parsed.OtherTags}
@@ -65,8 +68,8 @@
 	return out
 }
 
-// sources keeps media playlists that were read from boxes. Boxes that hold a title hold the same
-// playlists, so one that was read is good for all; it is read anew after a while.
+// playlistCache caches media playlists that were read from boxes, by path. All boxes that hold a title have the same
+// playlists, so an entry is valid for all of them. Entries expire after playlistTTL.
 type playlistCache struct {
 	edge   *Edge
 	mu     sync.Mutex
@@ -83,7 +86,7 @@
 	maxCachedPlaylists = 4096
 )
 
-// track is the track of a rung, read from a box where it is not known.
+// rungTrack returns the track of a rung, from the cache or read from the box, and stores it in the manifest.
 func (s *playlistCache) rungTrack(ctx context.Context, server string, m *manifest, rung int) (*hls.Track, error) {
 	path, err := hls.ResolvePath("http://"+server+m.path, m.variant(rung).URI)
 	if err != nil {
@@ -97,6 +100,8 @@
 	return t, nil
 }
 
+// loadTrack returns the track of the media playlist at path, from the cache or read from the box. A full cache
+// evicts arbitrary entries.
 func (s *playlistCache) loadTrack(ctx context.Context, server, path string) (*hls.Track, error) {
 	now := s.edge.now()
 	s.mu.Lock()
--- a/internal/edge/rendition.go
+++ b/internal/edge/rendition.go
@@ -9,8 +9,9 @@
 	"rainpulley/internal/http1"
 )
 
-// rendition answers the playlist of an alternative rendition (EXT-X-MEDIA): at the session's box, for as
-// much of the content as its main playlist has published. It is entered with s.mu held, and unlocks it.
+// writeRendition answers with the playlist of an alternative rendition (EXT-X-MEDIA), with segments at the box of
+// the session and up to the position that the main playlist has published. The caller holds s.mu; writeRendition
+// unlocks it.
 func (e *Edge) writeRendition(ctx context.Context, x *http1.Exchange, s *session, req viewerRequest) {
 	server, m, id, published := s.server, s.manifest, s.request.id, e.now()-s.contentStart+e.playback.Load().Ahead.D()
 	s.mu.Unlock()
@@ -27,7 +28,7 @@
 		t, err = e.playlists.loadTrack(ctx, server, path)
 	}
 	if err != nil {
-		e.Log.Warn("rendition not read", "session", id, "server", server, "error", err)
+		e.Log.Warn("could not read the rendition playlist", "session", id, "server", server, "error", err)
 		e.writeText(x, 502, "the rendition could not be read")
 		return
 	}
--- a/internal/edge/restart_test.go
+++ b/internal/edge/restart_test.go
@@ -13,7 +13,8 @@
 	"rainpulley/internal/config"
 )
 
-// An edge that restarts without a planner serves from its last list, which names a box that is gone.
+// An edge that restarts without a planner serves from its saved view, although that lists a box that is gone. A saved
+// view that is truncated or invalid is ignored.
 func TestRestartWithSavedView(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.startEdge(0, 3)
@@ -29,20 +30,21 @@
 		}
 	}
 	env.startPlanner()
-	env.waitFor("the planner's view is in force", func() bool { return strings.Contains(env.status(0), `"boxes":2,`) })
+	env.waitFor("the planner's view to be applied", func() bool { return strings.Contains(env.status(0), `"boxes":2,`) })
 	env.edgeTasks[0].stopAndWait()
 	file := filepath.Join(env.stateDir, "view-0.json")
 	for _, torn := range []string{"", "{", `{"v":1,"whole":true,"boxes":[{"id":""}]}`, `{"v":1}`} {
 		if err := os.WriteFile(file, []byte(torn), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		env.startEdge(0, 2) // a torn file is not used; the planner's view comes
+		env.startEdge(0, 2) // the file is ignored; the view comes from the planner
 		env.edgeTasks[0].stopAndWait()
 	}
 	env.edgeTasks[0] = nil
 	env.checkAudit()
 }
 
+// Edge and planner export counters of sessions, boxes and titles.
 func TestMetrics(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.startEdge(0, 3)
@@ -62,7 +64,8 @@
 	}
 }
 
-// A reloaded site brings boxes and titles to edges, and takes them away; what operators told stays.
+// Reloading the site file at the planner adds and removes boxes and titles at edges. Titles that operators set with
+// the API remain.
 func TestReload(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.startEdge(0, 3)
@@ -73,11 +76,15 @@
 		t.Fatal(code)
 	}
 	env.planner.Reload(&next)
-	env.waitFor("edge has the new site", func() bool { return strings.Contains(env.status(0), `"boxes":2,"titles":3,`) })
+	env.waitFor("the edge to have the new site", func() bool {
+		return strings.Contains(env.status(0), `"boxes":2,"titles":3,`)
+	})
 	next2 := next
 	next2.Titles, next2.Boxes = next.Titles[:1], env.site.Boxes
 	env.planner.Reload(&next2)
-	env.waitFor("edge has the newest", func() bool { return strings.Contains(env.status(0), `"boxes":3,"titles":2,`) })
+	env.waitFor("the edge to have the second new site", func() bool {
+		return strings.Contains(env.status(0), `"boxes":3,"titles":2,`)
+	})
 	if got := config.Changed(env.site, &next2, "titles"); len(got) != 0 {
 		t.Errorf("changed: %v", got)
 	}
@@ -87,7 +94,7 @@
 	env.checkAudit()
 }
 
-// At the end an edge answers what it took, and refuses what comes later by closing.
+// An edge that stops answers the requests that it accepted. Boxes then end its sessions.
 func TestDrainOnStop(t *testing.T) {
 	env := newTestEnv(t, 2, 1, nil)
 	env.fleet.Setup = 300 * time.Millisecond
@@ -96,19 +103,21 @@
 	for i := range cap(codes) {
 		go func() { code, _ := env.play(0, fmt.Sprint("class=paid&key=s", i)); codes <- code }()
 	}
-	env.waitFor("set-ups are out", func() bool { return env.countEntries(audit.SetupArrived, "paid") == cap(codes) })
+	env.waitFor("set-ups in progress", func() bool { return env.countEntries(audit.SetupArrived, "paid") == cap(codes) })
 	env.edgeTasks[0].stopAndWait()
 	env.edgeTasks[0] = nil
 	for range cap(codes) {
 		if code := <-codes; code != 200 {
-			t.Errorf("%d, want the answer of what was taken", code)
+			t.Errorf("accepted request: %d, want 200", code)
 		}
 	}
-	env.waitFor("boxes let the sessions of a gone edge go", func() bool { return env.fleet.Boxes[0].Sessions()+env.fleet.Boxes[1].Sessions() == 0 })
+	env.waitFor("boxes to end the sessions of the stopped edge", func() bool {
+		return env.fleet.Boxes[0].Sessions()+env.fleet.Boxes[1].Sessions() == 0
+	})
 }
 
-// A planner that is killed and comes back changes nothing for sessions, and what drains meanwhile is
-// learnt when it is back.
+// A planner restart under load does not make requests fail. A box that starts to drain while the planner is down gets
+// no set-ups once the planner is back.
 func TestPlannerRestartUnderLoad(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.startEdge(0, 3)
@@ -155,8 +164,8 @@
 	env.checkAudit()
 }
 
-// An edge that is killed and comes back takes over what still plays at boxes: the viewer's reload goes on
-// in the same numbers, and nothing is set up again.
+// An edge that restarts adopts the sessions that boxes still run for it: the viewer's reload continues with the same
+// segment numbers, and no session is set up again.
 func TestRestartAdoptsSessions(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.startEdge(0, 3)
@@ -187,16 +196,17 @@
 		if segmentsBefore[n] == uri {
 			same++
 		} else if segmentsBefore[n] != "" {
-			t.Errorf("segment %s was %s, is %s", n, segmentsBefore[n], uri)
+			t.Errorf("segment %s was %s and is %s after the restart", n, segmentsBefore[n], uri)
 		}
 	}
 	if n := env.countEntries(audit.SetupArrived, "paid"); n != 1 || same == 0 {
-		t.Errorf("%d set-ups, %d segments alike", n, same)
+		t.Errorf("%d set-ups, want 1; %d segments in common, want some", n, same)
 	}
 	env.checkAudit()
 }
 
-// A planner that is killed comes back with the drains and titles that it was told.
+// A planner that restarts keeps the drains and titles that operators set. If the file with them is truncated, it uses
+// the titles of the site file.
 func TestPlannerRestartKeepsState(t *testing.T) {
 	env := newTestEnv(t, 3, 1, func(s *config.Site) {
 		s.Titles = append(s.Titles, config.Title{Name: "extra", Span: 1, Length: seconds(20)})
@@ -217,11 +227,11 @@
 		_, text := env.callPlanner("GET", "/v1/view", "")
 		return strings.Contains(text, `"state":"draining"`) && strings.Contains(text, `"name":"extra","home":1,"span":2`) && !strings.Contains(text, `"clip"`)
 	}
-	env.waitFor("the view says so", viewIsCurrent)
+	env.waitFor("the view to contain the changes", viewIsCurrent)
 	env.plannerTask.stopAndWait()
 	env.startPlanner()
-	env.waitFor("its successor's view says so", viewIsCurrent)
-	env.waitFor("the edge plays the new title only", func() bool {
+	env.waitFor("the view of the restarted planner to contain the changes", viewIsCurrent)
+	env.waitFor("the edge to play only the changed title", func() bool {
 		extraCode, _ := env.get("http://" + env.site.Edges[0].Listen + "/play/extra/index.m3u8")
 		clipCode, _ := env.play(0, "key=k1")
 		return extraCode == 200 && clipCode == 404
@@ -230,6 +240,6 @@
 	if err := os.WriteFile(filepath.Join(env.stateDir, "told.json"), []byte("{"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	env.startPlanner() // a torn file is not used: the site file stands
-	env.waitFor("the site's titles are back", func() bool { code, _ := env.play(0, "key=k2"); return code == 200 })
+	env.startPlanner() // the truncated file is ignored; the site file applies
+	env.waitFor("the titles of the site file", func() bool { code, _ := env.play(0, "key=k2"); return code == 200 })
 }
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -12,14 +12,14 @@
 	"rainpulley/internal/view"
 )
 
-// session is a viewer's session of one title and class at this edge, over all its tries.
+// session is the session of one viewer for one title and class at this edge. It outlives its requests to the module.
 type session struct {
 	name       string // class/title/key
 	viewerKey  string
 	class      int
 	title      view.Title
 	maxRung    int
-	lastSeenAt atomic.Int64 // time of the viewer's last request, from the edge's clock
+	lastSeenAt atomic.Int64 // time of the viewer's last request, by the clock of the edge
 
 	mu                sync.Mutex
 	state             admission.State
@@ -29,31 +29,33 @@
 	request           *placementRequest
 	window            hls.Window
 	manifest          *manifest
-	publishedRung     int  // in force at the box, of which segments are published
-	wantedRung        int  // rung that the module set last
-	rungChangeRunning bool // a goroutine carries a change of rung to the box
+	publishedRung     int  // rung in effect at the box, whose segments are published
+	wantedRung        int  // rung that the module chose last
+	rungChangeRunning bool // a goroutine is running applyRung
 	server            string
-	contentStart      time.Duration // when the content's beginning played, or would have
-	resumePosition    time.Duration // where it stood when its server was lost
+	contentStart      time.Duration // time at which position 0 of the content played or would have played
+	resumePosition    time.Duration // position to start from: where playback ended, or where a reload from another edge is
 	hasPlayed         bool
 }
 
-// try is one request to the module. It hears of it on the owner's goroutine.
+// placementRequest is one request to the module for a session, and the core.Listener for its events, which arrive on
+// the goroutine of the orchestrator.
 type placementRequest struct {
 	id       string
 	title    string
 	maxRung  int
 	session  *session
 	edge     *Edge
-	answered chan struct{} // closed with answer set
+	answered chan struct{} // closed once answer is set
 	answer   core.Answer
-	closed   chan struct{} // nothing of it is out
-	waiters  int           // requests of the viewer that wait, under s.mu
+	closed   chan struct{} // closed once no attempt of the request is in progress
+	waiters  int           // HTTP requests that wait for the answer; guarded by session.mu
 }
 
-// shards keep lookups of different sessions apart.
+// shardCount is the number of independently locked parts of a sessionTable.
 const shardCount = 64
 
+// sessionTable holds sessions by name, in shards that reduce lock contention.
 type sessionTable struct {
 	shards [shardCount]struct {
 		mu     sync.RWMutex
@@ -70,7 +72,7 @@
 	return t
 }
 
-// place is FNV-1a, which needs no state.
+// shardIndex returns the shard of a name by its FNV-1a hash, computed inline to avoid an allocation.
 func shardIndex(name []byte) int {
 	sum := uint32(2166136261)
 	for _, c := range name {
@@ -86,7 +88,7 @@
 	return shard.byName[string(name)]
 }
 
-// add returns the session of a name, made by fresh where there is none.
+// getOrAdd returns the session with the given name, and adds the one that create returns if there is none.
 func (t *sessionTable) getOrAdd(name []byte, create func(name string) *session) *session {
 	shard := &t.shards[shardIndex(name)]
 	shard.mu.Lock()
@@ -100,6 +102,7 @@
 	return s
 }
 
+// forEach calls f for each session, under the lock of its shard, and deletes the session if f returns false.
 func (t *sessionTable) forEach(f func(*session) (keep bool)) {
 	for i := range t.shards {
 		shard := &t.shards[i]
@@ -114,7 +117,7 @@
 	}
 }
 
-// Answered opens the session to its viewer, or ends it.
+// Answered starts playback of the session or marks it as unsuccessful, and wakes the waiting HTTP requests.
 func (p *placementRequest) Answered(a core.Answer) {
 	s := p.session
 	s.mu.Lock()
@@ -129,11 +132,11 @@
 	close(p.answered)
 	s.mu.Unlock()
 	if abandoned {
-		go p.edge.orchestrator.ViewerLeft(p.id, p) // not from the owner's goroutine, which would wait for itself
+		go p.edge.orchestrator.ViewerLeft(p.id, p) // on the goroutine of the orchestrator this call would deadlock
 	}
 }
 
-// opens takes a set-up into the session. False if the viewer left meanwhile.
+// startPlaying applies the result of a set-up to the session. It returns false if the viewer left in the meantime.
 func (s *session) startPlaying(p *placementRequest, a core.Answer) bool {
 	if s.request != p || s.state == admission.Leaving {
 		return false
@@ -161,9 +164,10 @@
 	return true
 }
 
+// sessionQuery returns the query string that identifies a session in segment URLs.
 func sessionQuery(id string) string { return "s=" + id }
 
-// Rung follows the module's choice while the session plays.
+// Rung starts a change to the rung that the module chose, if the session is playing.
 func (p *placementRequest) Rung(rung int) {
 	s := p.session
 	s.mu.Lock()
@@ -175,8 +179,8 @@
 	s.startRungChange(p)
 }
 
-// follow starts the goroutine that brings box and playlist to the wanted rung, one for each session,
-// so that changes reach the box in their order.
+// startRungChange starts the goroutine that sets the wanted rung at the box and in the playlist. There is at most one
+// per session, so that changes reach the box in order.
 func (s *session) startRungChange(p *placementRequest) {
 	if !s.rungChangeRunning {
 		s.rungChangeRunning = true
@@ -184,7 +188,7 @@
 	}
 }
 
-// Ended is told of a session that played.
+// Ended marks a session that played as lost or ended and records the position to resume from.
 func (p *placementRequest) Ended(outcome control.Outcome, moved bool) {
 	s := p.session
 	s.mu.Lock()
@@ -201,7 +205,8 @@
 	}
 }
 
-// Closed lets a viewer that left and came back begin anew.
+// Closed marks a session that never played as unsuccessful once no attempt is in progress, so that a viewer who left
+// and came back can start a new request.
 func (p *placementRequest) Closed() {
 	s := p.session
 	s.mu.Lock()
--- a/internal/edge/session_test.go
+++ b/internal/edge/session_test.go
@@ -12,6 +12,7 @@
 	"rainpulley/internal/standin"
 )
 
+// The manifest, media playlist and segments of a session are served, and invalid requests get the right status.
 func TestPlayAndReload(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.startEdge(0, 3)
@@ -45,7 +46,7 @@
 	env.checkAudit()
 }
 
-// A viewer that asks again, on other connections and at once, joins the session it has.
+// Concurrent requests of one viewer on several connections join one session, which is set up once.
 func TestRetriesJoinSession(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.fleet.Setup = 100 * time.Millisecond
@@ -72,7 +73,7 @@
 	env.checkAudit()
 }
 
-// A box drains while a manifest is half fetched: what plays goes on there, nothing new comes to it.
+// A box drains after a viewer fetched its manifest: the session keeps playing there, and new sessions go elsewhere.
 func TestDrainDuringPlayback(t *testing.T) {
 	env := newTestEnv(t, 2, 1, nil)
 	env.startEdge(0, 2)
@@ -81,12 +82,12 @@
 	_, list := env.get(uri)
 	b := env.boxOf(list)
 	b.Drain(true)
-	env.waitFor("the edge is told", func() bool {
+	env.waitFor("the planner to publish the drain", func() bool {
 		_, body := env.get("http://" + env.site.Planner.Listen + "/v1/view")
 		return strings.Contains(body, "draining")
 	})
 	if code, again := env.get(uri); code != 200 || env.boxOf(again) != b {
-		t.Errorf("%d: a drain broke what plays:\n%s", code, again)
+		t.Errorf("%d: the drain affected a playing session:\n%s", code, again)
 	}
 	time.Sleep(100 * time.Millisecond)
 	for i := range 8 {
@@ -98,7 +99,8 @@
 	env.checkAudit()
 }
 
-// A box dies between the multivariant and the first media playlist: the reload is answered from another.
+// A box crashes between the requests for the multivariant and the first media playlist: the reload is answered from
+// another box.
 func TestBoxCrashBeforeMediaPlaylist(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.startEdge(0, 3)
@@ -111,7 +113,7 @@
 	}
 	crashed.Crash()
 	uri := env.mediaURL(0, manifest)
-	env.waitFor("the reload names a living box", func() bool {
+	env.waitFor("the reload to be answered from another box", func() bool {
 		code, list := env.get(uri)
 		return code == 200 && env.boxOf(list) != crashed
 	})
@@ -119,12 +121,12 @@
 		t.Errorf("%s", list)
 	}
 	if n := env.countEntries(audit.SetupArrived, ""); n != 2 {
-		t.Errorf("%d set-ups", n)
+		t.Errorf("%d set-ups, want 2", n)
 	}
 	env.checkAudit()
 }
 
-// A reload at another edge, which never saw the session, is set up there and goes on where play stands.
+// A reload at another edge, which does not know the session, sets it up there at the current playback position.
 func TestReloadAtAnotherEdge(t *testing.T) {
 	env := newTestEnv(t, 3, 2, nil)
 	env.startEdge(0, 3)
@@ -138,8 +140,9 @@
 	env.checkAudit()
 }
 
-// The answer of a set-up is lost, though the box runs it: a repeatable class is set up elsewhere after
-// the attempt is out, a paid one has failed and is not sent again. The stray session is let go.
+// The answer to a set-up is lost although the box runs the session. A session of a repeatable class is set up at
+// another box once the attempt has ended; one of an at-most-once class fails and is not retried. The box then
+// releases the orphaned session.
 func TestSetUpAnswerLost(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.startEdge(0, 3)
@@ -164,11 +167,14 @@
 	if !played {
 		t.Error("repeatable: never played")
 	}
-	env.waitFor("strays are let go", func() bool { return env.fleet.Boxes[0].Sessions()+env.fleet.Boxes[2].Sessions() == 0 })
+	env.waitFor("orphaned sessions to be released", func() bool {
+		return env.fleet.Boxes[0].Sessions()+env.fleet.Boxes[2].Sessions() == 0
+	})
 	env.checkAudit()
 }
 
-// Viewers give up at every moment around the answer; nothing is set up twice and nothing stays.
+// Viewers disconnect at all moments around the answer, and some request again at once: no session is set up twice or
+// left behind.
 func TestDisconnectRaces(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.fleet.Setup = 20 * time.Millisecond
@@ -186,7 +192,7 @@
 			fmt.Fprintf(conn, "GET /play/clip/index.m3u8?class=paid&key=g%d HTTP/1.1\r\nHost: x\r\n\r\n", i)
 			time.Sleep(time.Duration(i) * time.Millisecond)
 			conn.Close()
-			if i%3 == 0 { // and come again at once
+			if i%3 == 0 { // request again at once
 				if code, body := env.play(0, fmt.Sprintf("class=paid&key=g%d", i)); code != 200 && code != 503 {
 					t.Errorf("%d %s", code, body)
 				}
@@ -197,7 +203,7 @@
 	env.checkAudit()
 }
 
-// Playlists that cannot be used end in one clear answer.
+// A malformed or forbidden playlist from a box gives the viewer 502 or 503.
 func TestMalformedPlaylists(t *testing.T) {
 	env := newTestEnv(t, 2, 1, nil)
 	env.startEdge(0, 2)
@@ -212,8 +218,8 @@
 	env.checkAudit()
 }
 
-// A manifest with an audio group: the session's manifest names the edge for both, each at the session's box;
-// tags that the edge does not know stay.
+// A manifest with an audio group: the session's manifest has the URLs of the main and the audio playlist at the edge,
+// and the segments of both are at the box of the session. Unknown tags are preserved.
 func TestRenditions(t *testing.T) {
 	env := newTestEnv(t, 2, 1, nil)
 	env.startEdge(0, 2)
@@ -235,6 +241,6 @@
 		t.Errorf("%d\n%s\n%s", code, audio, main)
 	}
 	if code, _ := env.get(strings.Replace(uri, "media.m3u8", "r3.m3u8", 1)); code != 404 {
-		t.Errorf("no such rendition: %d", code)
+		t.Errorf("unknown rendition: %d, want 404", code)
 	}
 }
