--- a/cmd/rainpulley/peak.go
+++ b/cmd/rainpulley/peak.go
@@ -62,7 +62,7 @@
 // Run announces.
 func (a *peakAdd) Run(c *tool) error {
 	list := []peaks.Announcement{{ID: a.ID, Version: a.Version, Titles: a.Titles, Class: a.Class, Zone: a.Zone, Start: a.Start.UnixMilli(),
-		Uncertain: a.Uncertain.Milliseconds(), Rate: a.Rate, Length: a.Length.Milliseconds(), Session: a.Session.Milliseconds(), Worth: a.Worth}}
+		Uncertainty: a.Uncertain.Milliseconds(), Rate: a.Rate, Duration: a.Length.Milliseconds(), SessionDuration: a.Session.Milliseconds(), Worth: a.Worth}}
 	if a.File != "" {
 		var err error
 		if list, err = planner.ReadAnnouncements(a.File); err != nil {
@@ -128,7 +128,7 @@
 			start = "cancelled"
 		}
 		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%s\t%g\t%v\t%.0f\t%.1f\n", p.ID, p.Version, p.Class, len(p.Titles), start, p.Rate,
-			time.Duration(p.Length)*time.Millisecond, held[p.ID].Rate, held[p.ID].Streams)
+			time.Duration(p.Duration)*time.Millisecond, held[p.ID].Rate, held[p.ID].Streams)
 	}
 	return w.Flush()
 }
--- a/internal/copies/copies.go
+++ b/internal/copies/copies.go
@@ -14,64 +14,64 @@
 )
 
 // Rules of a manager.
-type Rules struct {
-	Least    int           // whole copies that a title keeps, at boxes that take new work
-	AtOnce   int           // copies that a box makes, or is the source of, at once
-	Share    float64       // of a box's link that copying may take
-	Grace    time.Duration // from "told no more" to a drop: lists are late, and set-ups are out
-	Patience time.Duration // without progress so long, another source is tried
-	Backoff  time.Duration // after a failure, doubled each time up to 16 times
+type Config struct {
+	MinCopies       int           // whole copies that a title keeps, at boxes that take new work
+	MaxConcurrent   int           // copies that a box makes, or is the source of, at once
+	LinkShare       float64       // of a box's link that copying may take
+	DropGrace       time.Duration // from "told no more" to a drop: lists are late, and set-ups are out
+	ProgressTimeout time.Duration // without progress so long, another source is tried
+	Backoff         time.Duration // after a failure, doubled each time up to 16 times
 }
 
 // Title is a title's size, and where it lies at rest.
 type Title struct {
-	Name string
-	Size float64
-	Base []string
+	Name           string
+	Size           float64
+	PermanentBoxes []string
 }
 
 // Copy is what a box says of one title.
 type Copy struct {
-	Whole   bool
-	Copying bool
-	Done    float64
-	Size    float64
-	Playing int    // sessions of it, set-ups too
-	Error   string // why copying stopped
+	Complete   bool
+	InProgress bool
+	Copied     float64
+	Size       float64
+	Sessions   int    // sessions of it, set-ups too
+	Error      string // why copying stopped
 }
 
 // Inventory is what a box says of all its titles.
 type Inventory struct {
-	Boot   string
-	Free   float64
-	Copies map[string]Copy
+	BootID   string
+	FreeDisk float64
+	Copies   map[string]Copy
 }
 
 // Box is what the fleet's watch says of a box.
 type Box struct {
-	ID    string
-	Ready bool // takes new work
-	Link  float64
-	Busy  float64
+	ID           string
+	Ready        bool // takes new work
+	LinkCapacity float64
+	LinkLoad     float64
 }
 
 // Key is a title at a box.
 type Key struct{ Title, Box string }
 
 // Kind of a command.
-type Kind int
+type CommandKind int
 
 // Kinds of commands.
 const (
-	Fetch Kind = iota + 1
+	Fetch CommandKind = iota + 1
 	Drop
 )
 
 // Command is what a box should be told.
 type Command struct {
-	Kind       Kind
+	Kind       CommandKind
 	Title, Box string
-	From       string
+	Source     string
 	Rate, Size float64
 }
 
@@ -80,50 +80,50 @@
 
 // Answers of boxes.
 const (
-	Taken    Answer = iota + 1
-	NoSpace         // its disk is full
-	InUse           // sessions play it: not dropped
-	Failed          // no connection, or anything else
-	Outdated        // it obeys a planner with a higher epoch
+	Accepted   Answer = iota + 1
+	NoSpace           // its disk is full
+	InUse             // sessions play it: not dropped
+	Failed            // no connection, or anything else
+	Superseded        // it obeys a planner with a higher epoch
 )
 
-type box struct {
+type boxState struct {
 	Box
-	seen bool
-	inv  Inventory
+	reported  bool
+	inventory Inventory
 }
 
-type job struct {
-	from     string
-	done     float64
-	moved    int64 // last progress
-	failures int
-	notUntil int64 // no new try before
-	running  bool
-	told     int64 // the command went out
+type copyJob struct {
+	source         string
+	copied         float64
+	lastProgressAt int64 // last progress
+	failures       int
+	retryAt        int64 // no new try before
+	running        bool
+	sentAt         int64 // the command went out
 }
 
 // Manager looks after all copies.
 type Manager struct {
-	Rules
-	boxes    map[string]*box
-	titles   map[string]*Title
-	want     map[Key]bool
-	jobs     map[Key]*job
-	retiring map[Key]int64 // told no more since
-	dropping map[Key]int64 // drop sent
-	outdated bool
+	Config
+	boxes       map[string]*boxState
+	titles      map[string]*Title
+	extraCopies map[Key]bool
+	jobs        map[Key]*copyJob
+	withdrawnAt map[Key]int64 // told no more since
+	dropSentAt  map[Key]int64 // drop sent
+	superseded  bool
 }
 
 // New makes one that knows nothing.
-func New(r Rules) *Manager {
-	return &Manager{Rules: r, boxes: map[string]*box{}, titles: map[string]*Title{}, want: map[Key]bool{}, jobs: map[Key]*job{},
-		retiring: map[Key]int64{}, dropping: map[Key]int64{}}
+func New(r Config) *Manager {
+	return &Manager{Config: r, boxes: map[string]*boxState{}, titles: map[string]*Title{}, extraCopies: map[Key]bool{}, jobs: map[Key]*copyJob{},
+		withdrawnAt: map[Key]int64{}, dropSentAt: map[Key]int64{}}
 }
 
 // SetTitle tells a title, or its change.
 func (m *Manager) SetTitle(t Title) {
-	t.Base = slices.Clone(t.Base)
+	t.PermanentBoxes = slices.Clone(t.PermanentBoxes)
 	m.titles[t.Name] = &t
 }
 
@@ -139,7 +139,7 @@
 		if o := m.boxes[b.ID]; o != nil {
 			o.Box = b
 		} else {
-			m.boxes[b.ID] = &box{Box: b}
+			m.boxes[b.ID] = &boxState{Box: b}
 		}
 	}
 	for id := range m.boxes {
@@ -150,106 +150,106 @@
 }
 
 // Want replaces the copies that are wanted beyond those at rest.
-func (m *Manager) Want(keys []Key) {
-	clear(m.want)
+func (m *Manager) SetExtraCopies(keys []Key) {
+	clear(m.extraCopies)
 	for _, k := range keys {
-		m.want[k] = true
+		m.extraCopies[k] = true
 	}
 }
 
 // Saw takes a box's inventory.
-func (m *Manager) Saw(id string, inv Inventory, now int64) {
+func (m *Manager) HandleInventory(id string, inv Inventory, now int64) {
 	b := m.boxes[id]
 	if b == nil {
 		return
 	}
-	b.seen, b.inv = true, inv
+	b.reported, b.inventory = true, inv
 	for k, j := range m.jobs {
 		if k.Box != id || !j.running {
 			continue
 		}
 		c, there := inv.Copies[k.Title]
 		switch {
-		case c.Whole:
+		case c.Complete:
 			delete(m.jobs, k)
-		case c.Done > j.done:
-			j.done, j.moved = c.Done, now
+		case c.Copied > j.copied:
+			j.copied, j.lastProgressAt = c.Copied, now
 		}
-		if there && c.Copying || c.Whole {
+		if there && c.InProgress || c.Complete {
 			continue
 		}
-		if now-j.told > time.Second.Milliseconds() { // an inventory from before the command says nothing of it
-			j.fail(now, m.Backoff)
+		if now-j.sentAt > time.Second.Milliseconds() { // an inventory from before the command says nothing of it
+			j.recordFailure(now, m.Backoff)
 		}
 	}
-	for k := range m.dropping {
+	for k := range m.dropSentAt {
 		if _, there := inv.Copies[k.Title]; k.Box == id && !there {
-			delete(m.dropping, k)
-			delete(m.retiring, k)
+			delete(m.dropSentAt, k)
+			delete(m.withdrawnAt, k)
 		}
 	}
-	for k := range m.retiring {
-		if c := inv.Copies[k.Title]; k.Box == id && !c.Whole {
-			delete(m.retiring, k)
+	for k := range m.withdrawnAt {
+		if c := inv.Copies[k.Title]; k.Box == id && !c.Complete {
+			delete(m.withdrawnAt, k)
 		}
 	}
 }
 
-func (j *job) fail(now int64, backoff time.Duration) {
+func (j *copyJob) recordFailure(now int64, backoff time.Duration) {
 	j.running = false
 	j.failures++
-	j.notUntil = now + backoff.Milliseconds()<<min(j.failures-1, 4)
+	j.retryAt = now + backoff.Milliseconds()<<min(j.failures-1, 4)
 }
 
 // Answered takes a box's answer to a command.
-func (m *Manager) Answered(c Command, a Answer, now int64) {
+func (m *Manager) HandleAnswer(c Command, a Answer, now int64) {
 	k := Key{c.Title, c.Box}
-	if a == Outdated {
-		m.outdated = true
+	if a == Superseded {
+		m.superseded = true
 	}
 	if c.Kind == Drop {
-		if a != Taken {
-			delete(m.dropping, k) // it stays told no more, and is tried again
-			if _, ok := m.retiring[k]; ok {
-				m.retiring[k] = max(m.retiring[k], now-m.Grace.Milliseconds()+m.Backoff.Milliseconds())
+		if a != Accepted {
+			delete(m.dropSentAt, k) // it stays told no more, and is tried again
+			if _, ok := m.withdrawnAt[k]; ok {
+				m.withdrawnAt[k] = max(m.withdrawnAt[k], now-m.DropGrace.Milliseconds()+m.Backoff.Milliseconds())
 			}
 		}
 		return
 	}
-	if j := m.jobs[k]; j != nil && j.running && a != Taken {
-		j.fail(now, m.Backoff)
+	if j := m.jobs[k]; j != nil && j.running && a != Accepted {
+		j.recordFailure(now, m.Backoff)
 		if a == NoSpace {
-			j.notUntil = now + 8*m.Backoff.Milliseconds()
+			j.retryAt = now + 8*m.Backoff.Milliseconds()
 		}
 	}
 }
 
 // Outdated tells that a box obeys a later planner: this one commands no more.
-func (m *Manager) Outdated() bool { return m.outdated }
+func (m *Manager) Superseded() bool { return m.superseded }
 
 // wanted tells whether a title should lie at a box.
-func (m *Manager) wanted(k Key) bool {
+func (m *Manager) isWanted(k Key) bool {
 	t := m.titles[k.Title]
-	return t != nil && (m.want[k] || slices.Contains(t.Base, k.Box))
+	return t != nil && (m.extraCopies[k] || slices.Contains(t.PermanentBoxes, k.Box))
 }
 
 // whole tells a copy that its box says is whole.
-func (m *Manager) whole(k Key) bool {
+func (m *Manager) isComplete(k Key) bool {
 	b := m.boxes[k.Box]
-	return b != nil && b.seen && b.inv.Copies[k.Title].Whole
+	return b != nil && b.reported && b.inventory.Copies[k.Title].Complete
 }
 
 // told tells a holder that is published.
-func (m *Manager) told(k Key) bool {
-	_, out := m.retiring[k]
-	return m.whole(k) && !out && m.titles[k.Title] != nil
+func (m *Manager) isPublished(k Key) bool {
+	_, out := m.withdrawnAt[k]
+	return m.isComplete(k) && !out && m.titles[k.Title] != nil
 }
 
 // Holders are a title's holders for edges, in order.
 func (m *Manager) Holders(title string) []string {
 	out := []string{}
 	for id := range m.boxes {
-		if m.told(Key{title, id}) {
+		if m.isPublished(Key{title, id}) {
 			out = append(out, id)
 		}
 	}
@@ -258,9 +258,9 @@
 }
 
 // ready are the told holders that take new work.
-func (m *Manager) ready(title string, but string) (n int) {
+func (m *Manager) countReadyHolders(title string, but string) (n int) {
 	for id, b := range m.boxes {
-		if id != but && b.Ready && m.told(Key{title, id}) {
+		if id != but && b.Ready && m.isPublished(Key{title, id}) {
 			n++
 		}
 	}
@@ -269,9 +269,9 @@
 
 // Known tells whether every box that takes work has said what it holds. Before that a list of holders
 // would hide holders.
-func (m *Manager) Known() bool {
+func (m *Manager) AllReported() bool {
 	for _, b := range m.boxes {
-		if b.Ready && !b.seen {
+		if b.Ready && !b.reported {
 			return false
 		}
 	}
@@ -279,138 +279,140 @@
 }
 
 // Step works out what boxes should be told now. Each command counts as sent; its answer comes by Answered.
-func (m *Manager) Step(now int64) []Command {
-	if m.outdated || !m.Known() {
+func (m *Manager) NextCommands(now int64) []Command {
+	if m.superseded || !m.AllReported() {
 		return nil
 	}
-	m.retire(now)
-	return append(m.drops(now), m.fetches(now)...)
+	m.updateWithdrawn(now)
+	return append(m.dropCommands(now), m.fetchCommands(now)...)
 }
 
 // retire settles which whole copies are told no more. One that was told no more is told again when it is
 // wanted again or its title would fall below its stated copies, unless its drop is out already.
-func (m *Manager) retire(now int64) {
-	for _, k := range slices.SortedFunc(maps.Keys(m.retiring), byKey) {
-		if _, sent := m.dropping[k]; sent || m.titles[k.Title] == nil {
+func (m *Manager) updateWithdrawn(now int64) {
+	for _, k := range slices.SortedFunc(maps.Keys(m.withdrawnAt), compareKeys) {
+		if _, sent := m.dropSentAt[k]; sent || m.titles[k.Title] == nil {
 			continue
 		}
-		if m.wanted(k) || m.ready(k.Title, k.Box) < m.Least {
-			delete(m.retiring, k)
+		if m.isWanted(k) || m.countReadyHolders(k.Title, k.Box) < m.MinCopies {
+			delete(m.withdrawnAt, k)
 		}
 	}
-	for _, k := range m.all() {
-		if !m.told(k) || m.wanted(k) {
+	for _, k := range m.reportedKeys() {
+		if !m.isPublished(k) || m.isWanted(k) {
 			continue
 		}
-		if m.ready(k.Title, k.Box) >= m.Least {
-			m.retiring[k] = now
+		if m.countReadyHolders(k.Title, k.Box) >= m.MinCopies {
+			m.withdrawnAt[k] = now
 		}
 	}
-	for _, k := range m.all() { // of a title that is no more
-		if _, out := m.retiring[k]; !out && m.titles[k.Title] == nil && m.whole(k) {
-			m.retiring[k] = now
+	for _, k := range m.reportedKeys() { // of a title that is no more
+		if _, out := m.withdrawnAt[k]; !out && m.titles[k.Title] == nil && m.isComplete(k) {
+			m.withdrawnAt[k] = now
 		}
 	}
 }
 
-func byKey(a, b Key) int { return cmp.Or(cmp.Compare(a.Title, b.Title), cmp.Compare(a.Box, b.Box)) }
+func compareKeys(a, b Key) int {
+	return cmp.Or(cmp.Compare(a.Title, b.Title), cmp.Compare(a.Box, b.Box))
+}
 
 // all is every copy that a box told of, in order.
-func (m *Manager) all() (out []Key) {
+func (m *Manager) reportedKeys() (out []Key) {
 	for id, b := range m.boxes {
-		for t := range b.inv.Copies {
+		for t := range b.inventory.Copies {
 			out = append(out, Key{t, id})
 		}
 	}
-	slices.SortFunc(out, byKey)
+	slices.SortFunc(out, compareKeys)
 	return out
 }
 
-const dropAgain = 5000 // ms: a drop whose effect is not seen is sent again
+const dropRetryMs = 5000 // ms: a drop whose effect is not seen is sent again
 
-func (m *Manager) drops(now int64) (out []Command) {
-	for _, k := range m.all() {
-		c := m.boxes[k.Box].inv.Copies[k.Title]
-		if at, sent := m.dropping[k]; sent && now-at < dropAgain {
+func (m *Manager) dropCommands(now int64) (out []Command) {
+	for _, k := range m.reportedKeys() {
+		c := m.boxes[k.Box].inventory.Copies[k.Title]
+		if at, sent := m.dropSentAt[k]; sent && now-at < dropRetryMs {
 			continue
 		}
-		since, retired := m.retiring[k]
+		since, retired := m.withdrawnAt[k]
 		switch {
-		case c.Whole && (!retired || now-since < m.Grace.Milliseconds() || c.Playing > 0):
+		case c.Complete && (!retired || now-since < m.DropGrace.Milliseconds() || c.Sessions > 0):
 			continue
-		case c.Whole && m.titles[k.Title] != nil && m.ready(k.Title, k.Box) < m.Least:
+		case c.Complete && m.titles[k.Title] != nil && m.countReadyHolders(k.Title, k.Box) < m.MinCopies:
 			continue
-		case !c.Whole && (m.wanted(k) || c.Playing > 0): // half a copy that nobody wants any more
+		case !c.Complete && (m.isWanted(k) || c.Sessions > 0): // half a copy that nobody wants any more
 			continue
 		}
 		delete(m.jobs, k)
-		m.dropping[k] = now
+		m.dropSentAt[k] = now
 		out = append(out, Command{Kind: Drop, Title: k.Title, Box: k.Box})
 	}
 	return out
 }
 
 // fetches starts the copies that are wanted and missing, those of titles with fewest holders first.
-func (m *Manager) fetches(now int64) (out []Command) {
+func (m *Manager) fetchCommands(now int64) (out []Command) {
 	in, from := map[string]int{}, map[string]int{}
 	for k, j := range m.jobs {
-		if !m.wanted(k) || m.boxes[k.Box] == nil {
+		if !m.isWanted(k) || m.boxes[k.Box] == nil {
 			delete(m.jobs, k)
 			continue
 		}
-		if j.running && now-max(j.moved, j.told) > m.Patience.Milliseconds() {
-			j.fail(now, m.Backoff)
-			j.notUntil = now // another source at once
+		if j.running && now-max(j.lastProgressAt, j.sentAt) > m.ProgressTimeout.Milliseconds() {
+			j.recordFailure(now, m.Backoff)
+			j.retryAt = now // another source at once
 		}
 		if j.running {
 			in[k.Box]++
-			from[j.from]++
+			from[j.source]++
 		}
 	}
-	unled := m.unled()
+	unled := m.untrackedCopies()
 	for k := range unled {
 		in[k.Box]++
 	}
-	for _, k := range m.missing() {
+	for _, k := range m.missingCopies() {
 		b, t, j := m.boxes[k.Box], m.titles[k.Title], m.jobs[k]
 		others := in[k.Box]
 		if unled[k] {
 			others--
 		}
-		if j != nil && (j.running || now < j.notUntil) || others >= m.AtOnce {
+		if j != nil && (j.running || now < j.retryAt) || others >= m.MaxConcurrent {
 			continue
 		}
-		if _, begun := b.inv.Copies[k.Title]; !begun && t.Size > b.inv.Free { // what is begun has its room already
+		if _, begun := b.inventory.Copies[k.Title]; !begun && t.Size > b.inventory.FreeDisk { // what is begun has its room already
 			continue
 		}
 		last := ""
 		if j != nil {
-			last = j.from
+			last = j.source
 		}
-		src := m.source(k, last, from)
+		src := m.chooseSource(k, last, from)
 		if src == nil {
 			continue
 		}
 		if j == nil {
-			j = &job{}
+			j = &copyJob{}
 			m.jobs[k] = j
 		}
-		j.from, j.running, j.told, j.moved, j.done = src.ID, true, now, now, b.inv.Copies[k.Title].Done
+		j.source, j.running, j.sentAt, j.lastProgressAt, j.copied = src.ID, true, now, now, b.inventory.Copies[k.Title].Copied
 		in[k.Box] = others + 1
 		from[src.ID]++
-		out = append(out, Command{Fetch, k.Title, k.Box, src.ID, m.Share * min(src.Link, b.Link) / float64(m.AtOnce), t.Size})
+		out = append(out, Command{Fetch, k.Title, k.Box, src.ID, m.LinkShare * min(src.LinkCapacity, b.LinkCapacity) / float64(m.MaxConcurrent), t.Size})
 	}
 	return out
 }
 
 // unled are copies that boxes say they are making and that no running job stands for: commands that ran though their
 // answers were lost. Left out of the count, each of them would let a box make one more copy than it should.
-func (m *Manager) unled() map[Key]bool {
+func (m *Manager) untrackedCopies() map[Key]bool {
 	out := map[Key]bool{}
 	for id, b := range m.boxes {
-		for t, c := range b.inv.Copies {
+		for t, c := range b.inventory.Copies {
 			k := Key{t, id}
-			if j := m.jobs[k]; c.Copying && !c.Whole && (j == nil || !j.running) {
+			if j := m.jobs[k]; c.InProgress && !c.Complete && (j == nil || !j.running) {
 				out[k] = true
 			}
 		}
@@ -419,46 +421,46 @@
 }
 
 // missing is what is wanted at boxes that take work and is not whole there.
-func (m *Manager) missing() (out []Key) {
+func (m *Manager) missingCopies() (out []Key) {
 	for name, t := range m.titles {
-		for _, id := range t.Base {
+		for _, id := range t.PermanentBoxes {
 			out = append(out, Key{name, id})
 		}
 	}
-	for k := range m.want {
-		if t := m.titles[k.Title]; t != nil && !slices.Contains(t.Base, k.Box) {
+	for k := range m.extraCopies {
+		if t := m.titles[k.Title]; t != nil && !slices.Contains(t.PermanentBoxes, k.Box) {
 			out = append(out, k)
 		}
 	}
 	out = slices.DeleteFunc(out, func(k Key) bool {
 		b := m.boxes[k.Box]
-		_, going := m.dropping[k]
-		return b == nil || !b.Ready || going || m.whole(k)
+		_, going := m.dropSentAt[k]
+		return b == nil || !b.Ready || going || m.isComplete(k)
 	})
 	holders := map[string]int{}
 	for _, k := range out {
 		if _, ok := holders[k.Title]; !ok {
-			holders[k.Title] = m.ready(k.Title, "")
+			holders[k.Title] = m.countReadyHolders(k.Title, "")
 		}
 	}
-	slices.SortFunc(out, func(a, b Key) int { return cmp.Or(cmp.Compare(holders[a.Title], holders[b.Title]), byKey(a, b)) })
+	slices.SortFunc(out, func(a, b Key) int { return cmp.Or(cmp.Compare(holders[a.Title], holders[b.Title]), compareKeys(a, b)) })
 	return out
 }
 
 // source is the told holder with most room on its link; not the last one tried where there is another. One that
 // drains may be copied from, as what it holds is about to go; one that is hot only where all are.
-func (m *Manager) source(k Key, last string, from map[string]int) (best *box) {
-	better := func(a, b *box) bool {
+func (m *Manager) chooseSource(k Key, last string, from map[string]int) (best *boxState) {
+	better := func(a, b *boxState) bool {
 		if (a.ID == last) != (b.ID == last) {
 			return a.ID != last
 		}
-		if a.room() != b.room() {
-			return a.room() > b.room()
+		if a.freeLinkShare() != b.freeLinkShare() {
+			return a.freeLinkShare() > b.freeLinkShare()
 		}
 		return a.ID < b.ID
 	}
 	for id, b := range m.boxes {
-		if id != k.Box && from[id] < m.AtOnce && m.told(Key{k.Title, id}) && (best == nil || better(b, best)) {
+		if id != k.Box && from[id] < m.MaxConcurrent && m.isPublished(Key{k.Title, id}) && (best == nil || better(b, best)) {
 			best = b
 		}
 	}
@@ -466,15 +468,15 @@
 }
 
 // room is the part of a link that is free.
-func (b *box) room() float64 { return 1 - b.Busy/max(b.Link, 1e-9) }
+func (b *boxState) freeLinkShare() float64 { return 1 - b.LinkLoad/max(b.LinkCapacity, 1e-9) }
 
 // Playing is how many sessions of each title play, by what boxes said last.
-func (m *Manager) Playing() map[string]float64 {
+func (m *Manager) SessionsByTitle() map[string]float64 {
 	out := map[string]float64{}
 	for _, b := range m.boxes {
-		for t, c := range b.inv.Copies {
-			if c.Playing > 0 {
-				out[t] += float64(c.Playing)
+		for t, c := range b.inventory.Copies {
+			if c.Sessions > 0 {
+				out[t] += float64(c.Sessions)
 			}
 		}
 	}
@@ -482,11 +484,11 @@
 }
 
 // Free is what a box's disk has left for whole copies: what was begun there may be finished, or given up.
-func (m *Manager) Free(id string) (free float64) {
+func (m *Manager) FreeDisk(id string) (free float64) {
 	if b := m.boxes[id]; b != nil {
-		free = b.inv.Free
-		for _, c := range b.inv.Copies {
-			if !c.Whole {
+		free = b.inventory.FreeDisk
+		for _, c := range b.inventory.Copies {
+			if !c.Complete {
 				free += c.Size
 			}
 		}
@@ -495,7 +497,7 @@
 }
 
 // Jobs is how many copies are under way.
-func (m *Manager) Jobs() (n int) {
+func (m *Manager) RunningJobs() (n int) {
 	for _, j := range m.jobs {
 		if j.running {
 			n++
--- a/internal/copies/copies_test.go
+++ b/internal/copies/copies_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-func rules() Rules {
-	return Rules{Least: 2, AtOnce: 1, Share: 0.2, Grace: 5 * time.Second, Patience: 10 * time.Second, Backoff: time.Second}
+func rules() Config {
+	return Config{MinCopies: 2, MaxConcurrent: 1, LinkShare: 0.2, DropGrace: 5 * time.Second, ProgressTimeout: 10 * time.Second, Backoff: time.Second}
 }
 
 // fleet is a model of boxes that do what they are told, with faults.
@@ -30,7 +30,7 @@
 	f := &fleet{m: New(rules()), now: 1_000_000, disks: map[string]map[string]*Copy{}, free: map[string]float64{}, told: map[Key]int64{}, fetch: map[Key]string{}}
 	for i := range n {
 		id := fmt.Sprint("b", i)
-		f.list = append(f.list, Box{ID: id, Ready: true, Link: 1000, Busy: float64(100 * i)})
+		f.list = append(f.list, Box{ID: id, Ready: true, LinkCapacity: 1000, LinkLoad: float64(100 * i)})
 		f.disks[id], f.free[id] = map[string]*Copy{}, 10_000
 	}
 	return f
@@ -38,18 +38,18 @@
 
 func (f *fleet) put(title string, boxes ...string) {
 	for _, b := range boxes {
-		f.disks[b][title] = &Copy{Whole: true, Done: 1000, Size: 1000}
+		f.disks[b][title] = &Copy{Complete: true, Copied: 1000, Size: 1000}
 	}
 }
 
 func (f *fleet) tell() {
 	f.m.SetBoxes(f.list)
 	for id, d := range f.disks {
-		inv := Inventory{Free: f.free[id], Copies: map[string]Copy{}}
+		inv := Inventory{FreeDisk: f.free[id], Copies: map[string]Copy{}}
 		for t, c := range d {
 			inv.Copies[t] = *c
 		}
-		f.m.Saw(id, inv, f.now)
+		f.m.HandleInventory(id, inv, f.now)
 	}
 }
 
@@ -59,22 +59,22 @@
 	for k, from := range f.fetch {
 		c := f.disks[k.Box][k.Title]
 		src := f.disks[from][k.Title]
-		if c == nil || !c.Copying {
+		if c == nil || !c.InProgress {
 			delete(f.fetch, k)
 			continue
 		}
-		if src == nil || !src.Whole {
-			c.Copying, c.Error = false, "source gone"
+		if src == nil || !src.Complete {
+			c.InProgress, c.Error = false, "source gone"
 			delete(f.fetch, k)
 			continue
 		}
-		if c.Done = min(c.Done+kb, c.Size); c.Done == c.Size {
-			c.Whole, c.Copying = true, false
+		if c.Copied = min(c.Copied+kb, c.Size); c.Copied == c.Size {
+			c.Complete, c.InProgress = true, false
 			delete(f.fetch, k)
 		}
 	}
 	f.tell()
-	out := f.m.Step(f.now)
+	out := f.m.NextCommands(f.now)
 	for _, t := range []string{"t0", "t1", "t2"} {
 		for _, b := range f.m.Holders(t) {
 			f.told[Key{t, b}] = f.now
@@ -86,13 +86,13 @@
 func (f *fleet) carry(c Command) Answer {
 	k, d := Key{c.Title, c.Box}, f.disks[c.Box]
 	if c.Kind == Drop {
-		if x := d[c.Title]; x != nil && x.Playing > 0 {
+		if x := d[c.Title]; x != nil && x.Sessions > 0 {
 			return InUse
 		}
 		delete(d, c.Title)
 		delete(f.fetch, k)
 		f.drops++
-		return Taken
+		return Accepted
 	}
 	if d[c.Title] == nil {
 		if f.free[c.Box] < c.Size {
@@ -100,15 +100,15 @@
 		}
 		d[c.Title] = &Copy{Size: c.Size}
 	}
-	d[c.Title].Copying, d[c.Title].Error = true, ""
-	f.fetch[k] = c.From
-	return Taken
+	d[c.Title].InProgress, d[c.Title].Error = true, ""
+	f.fetch[k] = c.Source
+	return Accepted
 }
 
 func (f *fleet) run(steps int, ms int64, kb float64) {
 	for range steps {
 		for _, c := range f.step(ms, kb) {
-			f.m.Answered(c, f.carry(c), f.now)
+			f.m.HandleAnswer(c, f.carry(c), f.now)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 
 func base(f *fleet) {
 	f.put("t0", "b0", "b1")
-	f.m.SetTitle(Title{Name: "t0", Size: 1000, Base: []string{"b0", "b1"}})
+	f.m.SetTitle(Title{Name: "t0", Size: 1000, PermanentBoxes: []string{"b0", "b1"}})
 	f.run(1, 100, 0)
 }
 
@@ -130,24 +130,24 @@
 func TestCopyAndGiveBack(t *testing.T) {
 	f := newFleet(4)
 	base(f)
-	f.m.Want([]Key{{"t0", "b2"}})
+	f.m.SetExtraCopies([]Key{{"t0", "b2"}})
 	f.run(3, 1000, 400)
 	f.holders(t, "t0", "b0", "b1")
 	f.run(2, 1000, 400)
 	f.holders(t, "t0", "b0", "b1", "b2")
-	f.m.Want(nil)
+	f.m.SetExtraCopies(nil)
 	f.run(1, 1000, 0)
 	f.holders(t, "t0", "b0", "b1")
 	f.run(3, 1000, 0)
 	if f.disks["b2"]["t0"] == nil {
 		t.Error("dropped before the grace was over")
 	}
-	f.disks["b2"]["t0"].Playing = 1
+	f.disks["b2"]["t0"].Sessions = 1
 	f.run(5, 1000, 0)
 	if f.disks["b2"]["t0"] == nil {
 		t.Error("dropped while a session plays")
 	}
-	f.disks["b2"]["t0"].Playing = 0
+	f.disks["b2"]["t0"].Sessions = 0
 	f.run(6, 1000, 0)
 	if f.disks["b2"]["t0"] != nil || f.drops != 1 {
 		t.Errorf("not dropped, or %d times", f.drops)
@@ -174,9 +174,9 @@
 			}
 		},
 		"the target dies at 99% and returns": func(t *testing.T, f *fleet) {
-			f.disks["b2"]["t0"].Done = 990
+			f.disks["b2"]["t0"].Copied = 990
 			f.run(1, 100, 0)
-			f.disks["b2"]["t0"].Copying = false
+			f.disks["b2"]["t0"].InProgress = false
 			delete(f.fetch, Key{"t0", "b2"})
 			f.run(5, 1000, 10)
 			if !slices.Contains(f.m.Holders("t0"), "b2") {
@@ -184,31 +184,31 @@
 			}
 		},
 		"the target dies, and the hour is cancelled": func(t *testing.T, f *fleet) {
-			f.disks["b2"]["t0"].Copying = false
+			f.disks["b2"]["t0"].InProgress = false
 			delete(f.fetch, Key{"t0", "b2"})
-			f.m.Want(nil)
+			f.m.SetExtraCopies(nil)
 			f.run(3, 1000, 0)
 			if f.disks["b2"]["t0"] != nil {
 				t.Error("half a copy that nobody wants stays")
 			}
 		},
 		"cancelled mid-copy": func(t *testing.T, f *fleet) {
-			f.m.Want(nil)
+			f.m.SetExtraCopies(nil)
 			f.run(2, 1000, 100)
-			if f.disks["b2"]["t0"] != nil || f.m.Jobs() != 0 {
+			if f.disks["b2"]["t0"] != nil || f.m.RunningJobs() != 0 {
 				t.Error("goes on copying")
 			}
 		},
 		"the target drains": func(t *testing.T, f *fleet) {
 			f.list[2].Ready = false
 			f.run(8, 1000, 200)
-			if len(f.m.Holders("t0")) != 3 || f.m.ready("t0", "") != 2 {
+			if len(f.m.Holders("t0")) != 3 || f.m.countReadyHolders("t0", "") != 2 {
 				t.Errorf("holders %v", f.m.Holders("t0"))
 			}
 		},
 		"a holder at rest dies while a copy is given back": func(t *testing.T, f *fleet) {
 			f.run(6, 1000, 300)
-			f.m.Want(nil)
+			f.m.SetExtraCopies(nil)
 			f.run(2, 1000, 0)
 			f.list = f.list[1:]
 			delete(f.disks, "b0")
@@ -216,9 +216,9 @@
 			f.holders(t, "t0", "b1", "b2")
 		},
 		"a later planner speaks": func(t *testing.T, f *fleet) {
-			f.m.Answered(Command{Kind: Fetch, Title: "t0", Box: "b2"}, Outdated, f.now)
-			f.m.Want(nil)
-			if got := f.step(1000, 0); got != nil || !f.m.Outdated() {
+			f.m.HandleAnswer(Command{Kind: Fetch, Title: "t0", Box: "b2"}, Superseded, f.now)
+			f.m.SetExtraCopies(nil)
+			if got := f.step(1000, 0); got != nil || !f.m.Superseded() {
 				t.Errorf("commands of an outdated planner: %v", got)
 			}
 		},
@@ -238,18 +238,18 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(4)
 			base(f)
-			f.m.Want([]Key{{"t0", "b2"}})
+			f.m.SetExtraCopies([]Key{{"t0", "b2"}})
 			f.run(2, 1000, 100)
-			if f.m.Jobs() != 1 {
-				t.Fatalf("%d copies under way", f.m.Jobs())
+			if f.m.RunningJobs() != 1 {
+				t.Fatalf("%d copies under way", f.m.RunningJobs())
 			}
 			c(t, f)
 		})
 	}
 	hot := newFleet(4)
-	hot.list[0].Busy = 990
+	hot.list[0].LinkLoad = 990
 	base(hot)
-	hot.m.Want([]Key{{"t0", "b2"}})
+	hot.m.SetExtraCopies([]Key{{"t0", "b2"}})
 	hot.run(1, 100, 0)
 	if from := hot.fetch[Key{"t0", "b2"}]; from != "b1" {
 		t.Errorf("copied from %q, the hot box", from)
@@ -257,14 +257,14 @@
 	f := newFleet(3)
 	base(f)
 	f.free["b2"] = 500
-	f.m.Want([]Key{{"t0", "b2"}})
+	f.m.SetExtraCopies([]Key{{"t0", "b2"}})
 	f.run(5, 1000, 100)
-	if f.m.Jobs() != 0 {
+	if f.m.RunningJobs() != 0 {
 		t.Error("copied to a disk without room")
 	}
-	f.list = append(f.list, Box{ID: "new", Ready: true, Link: 1000})
+	f.list = append(f.list, Box{ID: "new", Ready: true, LinkCapacity: 1000})
 	f.m.SetBoxes(f.list)
-	if f.m.Known() || f.m.Step(f.now) != nil {
+	if f.m.AllReported() || f.m.NextCommands(f.now) != nil {
 		t.Error("acts before all boxes told what they hold")
 	}
 }
@@ -275,16 +275,16 @@
 	var keys []Key
 	for _, name := range []string{"t0", "t1", "t2", "t3"} {
 		f.put(name, "b1", "b2", "b3")
-		f.m.SetTitle(Title{Name: name, Size: 1000, Base: []string{"b1", "b2", "b3"}})
+		f.m.SetTitle(Title{Name: name, Size: 1000, PermanentBoxes: []string{"b1", "b2", "b3"}})
 		keys = append(keys, Key{name, "b0"})
 	}
-	f.m.Want(keys)
+	f.m.SetExtraCopies(keys)
 	for range 20 {
 		for _, c := range f.step(1500, 1) {
 			f.carry(c)
-			f.m.Answered(c, Failed, f.now)
+			f.m.HandleAnswer(c, Failed, f.now)
 		}
-		if n := len(f.fetch); n > f.m.AtOnce {
+		if n := len(f.fetch); n > f.m.MaxConcurrent {
 			t.Fatalf("b0 makes %d copies", n)
 		}
 	}
@@ -303,7 +303,7 @@
 		for i := range 3 {
 			boxes := []string{fmt.Sprint("b", i), fmt.Sprint("b", (i+1)%5), fmt.Sprint("b", (i+2)%5)}
 			f.put(fmt.Sprint("t", i), boxes...)
-			f.m.SetTitle(Title{Name: fmt.Sprint("t", i), Size: 1000, Base: boxes})
+			f.m.SetTitle(Title{Name: fmt.Sprint("t", i), Size: 1000, PermanentBoxes: boxes})
 		}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			switch draw(9, "what") {
@@ -312,22 +312,22 @@
 				for range draw(5, "keys") {
 					keys = append(keys, Key{title(), fmt.Sprint("b", draw(5, "box"))})
 				}
-				f.m.Want(keys)
+				f.m.SetExtraCopies(keys)
 			case 1:
 				f.list[draw(len(f.list), "box")].Ready = draw(2, "ready") == 1
 			case 2: // a box restarts: copies under way stop
 				id := fmt.Sprint("b", draw(5, "box"))
 				for k := range f.fetch {
 					if k.Box == id {
-						f.disks[id][k.Title].Copying = false
+						f.disks[id][k.Title].InProgress = false
 						delete(f.fetch, k)
 					}
 				}
 			case 3:
 				disk := f.disks[fmt.Sprint("b", draw(5, "box"))]
 				for _, name := range slices.Sorted(maps.Keys(disk)) {
-					if c := disk[name]; c.Whole {
-						c.Playing = draw(2, "playing")
+					if c := disk[name]; c.Complete {
+						c.Sessions = draw(2, "playing")
 					}
 				}
 			case 4:
@@ -336,7 +336,7 @@
 				t := title()
 				b := []string{fmt.Sprint("b", draw(5, "box")), fmt.Sprint("b", draw(5, "box"))}
 				slices.Sort(b)
-				f.m.SetTitle(Title{Name: t, Size: 1000, Base: slices.Compact(b)})
+				f.m.SetTitle(Title{Name: t, Size: 1000, PermanentBoxes: slices.Compact(b)})
 			}
 			cmds := f.step(int64(100+draw(4000, "ms")), float64(draw(800, "kb")))
 			in, from := map[string]int{}, map[string]int{}
@@ -348,40 +348,40 @@
 				k := Key{c.Title, c.Box}
 				x := f.disks[c.Box][c.Title]
 				if c.Kind == Fetch {
-					if x != nil && x.Whole || !f.disks[c.From][c.Title].Whole {
+					if x != nil && x.Complete || !f.disks[c.Source][c.Title].Complete {
 						t.Fatalf("%+v: whole already, or no whole source", c)
 					}
 					if f.fetch[k] == "" {
 						in[c.Box]++
 					}
-				} else if x.Whole {
+				} else if x.Complete {
 					left := 0
 					for _, b := range f.list {
-						if o := f.disks[b.ID][c.Title]; b.ID != c.Box && b.Ready && o != nil && o.Whole {
+						if o := f.disks[b.ID][c.Title]; b.ID != c.Box && b.Ready && o != nil && o.Complete {
 							left++
 						}
 					}
-					if x.Playing > 0 || f.now-f.told[k] < f.m.Grace.Milliseconds() && f.told[k] > 0 || left < f.m.Least {
-						t.Fatalf("%+v: playing %d, told %d ms ago, %d others left", c, x.Playing, f.now-f.told[k], left)
+					if x.Sessions > 0 || f.now-f.told[k] < f.m.DropGrace.Milliseconds() && f.told[k] > 0 || left < f.m.MinCopies {
+						t.Fatalf("%+v: playing %d, told %d ms ago, %d others left", c, x.Sessions, f.now-f.told[k], left)
 					}
 				}
 				if draw(4, "lost") > 0 {
-					f.m.Answered(c, f.carry(c), f.now)
+					f.m.HandleAnswer(c, f.carry(c), f.now)
 				} else if draw(2, "ran") == 0 {
 					f.carry(c)
-					f.m.Answered(c, Failed, f.now)
+					f.m.HandleAnswer(c, Failed, f.now)
 				} else {
-					f.m.Answered(c, Failed, f.now)
+					f.m.HandleAnswer(c, Failed, f.now)
 				}
 			}
 			for id, n := range in {
-				if n > f.m.AtOnce+1 { // one whose command was lost may run beside
+				if n > f.m.MaxConcurrent+1 { // one whose command was lost may run beside
 					t.Fatalf("%s makes %d copies", id, n)
 				}
 			}
 			for _, name := range []string{"t0", "t1", "t2"} {
 				for _, b := range f.m.Holders(name) {
-					if x := f.disks[b][name]; x == nil || !x.Whole {
+					if x := f.disks[b][name]; x == nil || !x.Complete {
 						t.Fatalf("%s told at %s: %+v", name, b, x)
 					}
 				}
--- a/internal/mapping/board.go
+++ b/internal/mapping/board.go
@@ -8,21 +8,21 @@
 // Board keeps which copies were decided for which announced hour. A decision stands until the announcement
 // changes or a box of it takes no new work any more: decided anew each second on shifting loads, copies
 // would be begun and given up again and again.
-type Board struct {
+type Decisions struct {
 	byPeak map[string]*decision
 }
 
 type decision struct {
-	version uint64
-	copies  []Copy
-	boxes   int // that took work then
+	version    uint64
+	copies     []Copy
+	readyBoxes int // that took work then
 }
 
 // NewBoard is empty.
-func NewBoard() *Board { return &Board{byPeak: map[string]*decision{}} }
+func NewDecisions() *Decisions { return &Decisions{byPeak: map[string]*decision{}} }
 
 // Keep forgets the hours that are no more: over, cancelled, or given up. Their copies are given back.
-func (b *Board) Keep(active func(peak string) bool) {
+func (b *Decisions) Retain(active func(peak string) bool) {
 	for id := range b.byPeak {
 		if !active(id) {
 			delete(b.byPeak, id)
@@ -32,15 +32,15 @@
 
 // Open tells that an hour is to be decided, or decided anew: also when more boxes take work than when it was,
 // as a choice made while boxes were down may have found none.
-func (b *Board) Open(peak string, version uint64, boxes int, ready func(box string) bool) bool {
+func (b *Decisions) NeedsDecision(peak string, version uint64, boxes int, ready func(box string) bool) bool {
 	d := b.byPeak[peak]
-	return d == nil || d.version != version || boxes > d.boxes || slices.ContainsFunc(d.copies, func(c Copy) bool { return !ready(c.Box) })
+	return d == nil || d.version != version || boxes > d.readyBoxes || slices.ContainsFunc(d.copies, func(c Copy) bool { return !ready(c.Box) })
 }
 
 // Decide takes a choice. Copies of before at boxes that still take work stay beside those chosen now: the
 // choice was made with them as holders.
-func (b *Board) Decide(peak string, version uint64, boxes int, ready func(box string) bool, chosen []Copy) {
-	d := &decision{version: version, boxes: boxes}
+func (b *Decisions) Record(peak string, version uint64, boxes int, ready func(box string) bool, chosen []Copy) {
+	d := &decision{version: version, readyBoxes: boxes}
 	if old := b.byPeak[peak]; old != nil && old.version == version {
 		for _, c := range old.copies {
 			if ready(c.Box) {
@@ -57,7 +57,7 @@
 }
 
 // Copies are all that were decided, in order.
-func (b *Board) Copies() (out []Copy) {
+func (b *Decisions) Copies() (out []Copy) {
 	for _, d := range b.byPeak {
 		out = append(out, d.copies...)
 	}
--- a/internal/mapping/mapping.go
+++ b/internal/mapping/mapping.go
@@ -11,55 +11,55 @@
 
 // Box is what a map knows of a box. Rates in kB/s, sizes in kB.
 type Box struct {
-	ID      string
-	Zone    int
-	Rack    int
-	Cell    int
-	Link    float64 // what it gives
-	Busy    float64 // what is asked of it
-	Streams float64 // left
-	Disk    float64 // for titles, in all
+	ID           string
+	Zone         int
+	Rack         int
+	Cell         int
+	LinkCapacity float64 // what it gives
+	LinkLoad     float64 // what is asked of it
+	FreeStreams  float64 // left
+	DiskCapacity float64 // for titles, in all
 }
 
 // Title is what a map knows of a title.
 type Title struct {
-	Name string
-	Size float64 // kB
-	Want float64 // kB/s that its viewers are expected to ask
+	Name   string
+	Size   float64 // kB
+	Demand float64 // kB/s that its viewers are expected to ask
 }
 
 // Map is who holds what: boxes' ids, in order, by title.
-type Map map[string][]string
+type Placement map[string][]string
 
 // Distances between two boxes, in the paper's sense: the links that a session crosses. Its proxies' trees
 // are zones and racks here.
 const (
-	same      = 1 // the box itself
-	sameRack  = 2
-	sameZone  = 3
-	elsewhere = 4
-	nowhere   = 6 // held by nobody yet: farther than any
+	distanceSameBox   = 1 // the box itself
+	distanceSameRack  = 2
+	distanceSameZone  = 3
+	distanceOtherZone = 4
+	distanceNoHolder  = 6 // held by nobody yet: farther than any
 )
 
 // Distance from viewers at one box to a title at another.
 func Distance(a, b *Box) int {
 	switch {
 	case a.ID == b.ID:
-		return same
+		return distanceSameBox
 	case a.Rack == b.Rack:
-		return sameRack
+		return distanceSameRack
 	case a.Zone == b.Zone:
-		return sameZone
+		return distanceSameZone
 	}
-	return elsewhere
+	return distanceOtherZone
 }
 
 // Sequential is the paper's map to compare with: each box takes the next titles in their order, around
 // and around, until its disk is full.
-func Sequential(boxes []Box, titles []Title) Map {
-	m, next := Map{}, 0
+func Sequential(boxes []Box, titles []Title) Placement {
+	m, next := Placement{}, 0
 	for _, b := range boxes {
-		disk, taken := b.Disk, 0
+		disk, taken := b.DiskCapacity, 0
 		for range titles {
 			t := titles[next]
 			if t.Size > disk || taken == len(titles) {
@@ -76,15 +76,15 @@
 // earlier boxes hold; of those equally far, the most wanted. Kept beyond the paper: a title whose viewers
 // ask more than its holders' links give stays as far as one that nobody holds, so that the most wanted
 // titles get copies by what is asked of them (the paper leaves that to caches beside its mirrors).
-func Heuristic(boxes []Box, titles []Title) Map {
-	m := Map{}
-	share := linkShare(boxes, titles)
+func Heuristic(boxes []Box, titles []Title) Placement {
+	m := Placement{}
+	share := demandShare(boxes, titles)
 	given := make([]float64, len(titles)) // of what a title's viewers ask, what its holders give
 	near := make([][]int, len(boxes))
 	for i := range near {
 		near[i] = make([]int, len(titles))
 		for j := range titles {
-			near[i][j] = nowhere
+			near[i][j] = distanceNoHolder
 		}
 	}
 	order := make([]int, len(titles))
@@ -94,17 +94,17 @@
 			order[j] = j
 		}
 		far := func(j int) int {
-			if given[j] < titles[j].Want {
-				return nowhere
+			if given[j] < titles[j].Demand {
+				return distanceNoHolder
 			}
 			return near[i][j]
 		}
-		lacks := func(j int) float64 { return titles[j].Want - given[j] }
+		lacks := func(j int) float64 { return titles[j].Demand - given[j] }
 		slices.SortStableFunc(order, func(x, y int) int {
-			return cmp.Or(cmp.Compare(far(y), far(x)), cmp.Compare(lacks(y), lacks(x)), cmp.Compare(titles[y].Want, titles[x].Want),
+			return cmp.Or(cmp.Compare(far(y), far(x)), cmp.Compare(lacks(y), lacks(x)), cmp.Compare(titles[y].Demand, titles[x].Demand),
 				strings.Compare(titles[x].Name, titles[y].Name))
 		})
-		disk, links := b.Disk, b.Link*share
+		disk, links := b.DiskCapacity, b.LinkCapacity*share
 		var took []int
 		for _, j := range order {
 			if titles[j].Size <= disk {
@@ -113,7 +113,7 @@
 				m.add(titles[j].Name, b.ID)
 			}
 		}
-		give(took, titles, given, links)
+		distributeLink(took, titles, given, links)
 		for k := range boxes {
 			d := Distance(&boxes[k], b)
 			for _, j := range took {
@@ -126,13 +126,13 @@
 
 // linkShare is the part of the links that all viewers together will use: a box is thought to give each of
 // its titles a part of that.
-func linkShare(boxes []Box, titles []Title) float64 {
+func demandShare(boxes []Box, titles []Title) float64 {
 	links, want := 0.0, 0.0
 	for _, b := range boxes {
-		links += b.Link
+		links += b.LinkCapacity
 	}
 	for _, t := range titles {
-		want += t.Want
+		want += t.Demand
 	}
 	if links <= 0 {
 		return 0
@@ -141,12 +141,12 @@
 }
 
 // give shares a box's link among the titles that it took, as much as each still lacks, evenly.
-func give(took []int, titles []Title, given []float64, link float64) {
+func distributeLink(took []int, titles []Title, given []float64, link float64) {
 	for left := len(took); left > 0 && link > 0; {
 		part, filled := link/float64(left), 0
 		for _, j := range took {
-			if lack := titles[j].Want - given[j]; lack > 0 && lack <= part {
-				given[j], link, filled = titles[j].Want, link-lack, filled+1
+			if lack := titles[j].Demand - given[j]; lack > 0 && lack <= part {
+				given[j], link, filled = titles[j].Demand, link-lack, filled+1
 			}
 		}
 		if filled > 0 {
@@ -154,7 +154,7 @@
 			continue
 		}
 		for _, j := range took {
-			if given[j] < titles[j].Want {
+			if given[j] < titles[j].Demand {
 				given[j] += part
 			}
 		}
@@ -162,7 +162,7 @@
 	}
 }
 
-func (m Map) add(title, box string) {
+func (m Placement) add(title, box string) {
 	i, has := slices.BinarySearch(m[title], box)
 	if !has {
 		m[title] = slices.Insert(m[title], i, box)
@@ -170,23 +170,23 @@
 }
 
 // Has tells whether a box holds a title.
-func (m Map) Has(title, box string) bool {
+func (m Placement) Has(title, box string) bool {
 	_, ok := slices.BinarySearch(m[title], box)
 	return ok
 }
 
 // MeanDistance is the paper's measure: from every box to every title, weighed by what is wanted.
-func MeanDistance(boxes []Box, titles []Title, m Map) float64 {
+func MeanDistance(boxes []Box, titles []Title, m Placement) float64 {
 	sum, weight := 0.0, 0.0
 	for _, t := range titles {
 		for i := range boxes {
-			best := nowhere
+			best := distanceNoHolder
 			for k := range boxes {
 				if m.Has(t.Name, boxes[k].ID) {
 					best = min(best, Distance(&boxes[i], &boxes[k]))
 				}
 			}
-			sum, weight = sum+t.Want*float64(best), weight+t.Want
+			sum, weight = sum+t.Demand*float64(best), weight+t.Demand
 		}
 	}
 	if weight == 0 {
--- a/internal/mapping/mapping_test.go
+++ b/internal/mapping/mapping_test.go
@@ -23,12 +23,12 @@
 	}
 	links := 0.0
 	for i := range boxes {
-		b := Box{ID: fmt.Sprintf("b%03d", i), Zone: i % 3, Rack: i / 4, Cell: i, Link: float64(4000 + 2000*(i%3)), Streams: 40, Disk: part * float64(titles) * 100}
-		links += b.Link
+		b := Box{ID: fmt.Sprintf("b%03d", i), Zone: i % 3, Rack: i / 4, Cell: i, LinkCapacity: float64(4000 + 2000*(i%3)), FreeStreams: 40, DiskCapacity: part * float64(titles) * 100}
+		links += b.LinkCapacity
 		bs = append(bs, b)
 	}
 	for i := range titles {
-		ts = append(ts, Title{Name: fmt.Sprintf("t%03d", i), Size: 100, Want: 0.8 * links / math.Pow(float64(i+1), zipf) / sum})
+		ts = append(ts, Title{Name: fmt.Sprintf("t%03d", i), Size: 100, Demand: 0.8 * links / math.Pow(float64(i+1), zipf) / sum})
 	}
 	return bs, ts
 }
@@ -39,7 +39,7 @@
 	for _, zipf := range []float64{0.7, 0.8, 1} {
 		boxes, titles := fleet(63, 100, zipf, 0.2)
 		seq, heu := Sequential(boxes, titles), Heuristic(boxes, titles)
-		for name, m := range map[string]Map{"sequential": seq, "heuristic": heu} {
+		for name, m := range map[string]Placement{"sequential": seq, "heuristic": heu} {
 			used := map[string]float64{}
 			for _, x := range titles {
 				if len(m[x.Name]) == 0 {
@@ -50,8 +50,8 @@
 				}
 			}
 			for _, b := range boxes {
-				if used[b.ID] > b.Disk || used[b.ID] < b.Disk-100 {
-					t.Errorf("%s: disk of %s holds %v of %v", name, b.ID, used[b.ID], b.Disk)
+				if used[b.ID] > b.DiskCapacity || used[b.ID] < b.DiskCapacity-100 {
+					t.Errorf("%s: disk of %s holds %v of %v", name, b.ID, used[b.ID], b.DiskCapacity)
 				}
 			}
 		}
@@ -63,31 +63,33 @@
 	}
 }
 
-func hoursOn(boxes []Box, peaksN, titles int, span int, rate float64) ([]Hour, []peaks.Demand, *peaks.Fleet) {
+func hoursOn(boxes []Box, peaksN, titles int, span int, rate float64) ([]TitleDemand, []peaks.Demand, *peaks.Fleet) {
 	f := &peaks.Fleet{Uplinks: make([]float64, len(boxes)/4+1), Cells: len(boxes), Edges: 300, Ladder: []float64{260, 460, 810, 1440, 2540},
-		Worths: []float64{0.17, 0.41, 0.61, 0.81, 1}, Classes: []peaks.Class{{Factor: 1.2, Top: 4, Worth: 2}, {Factor: 0.7, Top: 3, Worth: 1}}}
+		RungWorths: []float64{0.17, 0.41, 0.61, 0.81, 1}, Classes: []peaks.Class{{RateFactor: 1.2, TopRung: 4, Worth: 2}, {RateFactor: 0.7, TopRung: 3, Worth: 1}}}
 	for _, b := range boxes {
-		f.Boxes = append(f.Boxes, peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Link: b.Link, Streams: 30, Busy: b.Busy, Playing: 5, Warm: 1})
+		f.Boxes = append(f.Boxes, peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, LinkCapacity: b.LinkCapacity, MaxStreams: 30, LinkLoad: b.LinkLoad, ActiveSessions: 5, RampShare: 1})
 	}
-	var hours []Hour
+	var hours []TitleDemand
 	var demands []peaks.Demand
 	for p := range peaksN {
 		for i := range titles {
-			d := peaks.Demand{Peak: fmt.Sprint("p", p), Title: fmt.Sprintf("t%d-%d", p, i), Count: rate, Worth: 2}
+			d := peaks.Demand{Peak: fmt.Sprint("p", p), Title: fmt.Sprintf("t%d-%d", p, i), Sessions: rate, Worth: 2}
 			for k := range span {
 				d.Holders = append(d.Holders, boxes[(p*29+i*5+k)%len(boxes)].ID)
 			}
 			slices.Sort(d.Holders)
-			r := f.EvenRung(&d)
-			hours = append(hours, Hour{Peak: d.Peak, Title: d.Title, Size: 360_000, Rate: rate * f.Ladder[r] * 1.2, Streams: rate, Worth: rate * 2 * f.Worths[r],
-				Plays: 90, Zone: -1, Holders: d.Holders})
+			r := f.EvenShareRung(&d)
+			hours = append(hours, TitleDemand{Peak: d.Peak, Title: d.Title, Size: 360_000, Rate: rate * f.Ladder[r] * 1.2, Sessions: rate, Worth: rate * 2 * f.RungWorths[r],
+				DurationSeconds: 90, Zone: -1, Holders: d.Holders})
 			demands = append(demands, d)
 		}
 	}
 	return hours, demands, f
 }
 
-func bounds() Bounds { return Bounds{Fill: 0.88, Price: 1e-4, Copies: 32, Each: 2500, Within: 600} }
+func bounds() Bounds {
+	return Bounds{MaxUtilization: 0.88, PricePerKB: 1e-4, MaxCopiesPerTitle: 32, CopyRate: 2500, SecondsUntilPeak: 600}
+}
 
 func disks(boxes []Box) map[string]float64 {
 	out := map[string]float64{}
@@ -102,33 +104,33 @@
 func TestChoose(t *testing.T) {
 	boxes, _ := fleet(48, 1, 1, 1)
 	for i := range boxes {
-		boxes[i].Busy = boxes[i].Link / 2
+		boxes[i].LinkLoad = boxes[i].LinkCapacity / 2
 	}
 	hours, demands, f := hoursOn(boxes, 1, 3, 4, 40)
-	full := Choose(f, demands, hours, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute)
-	if len(full.Copies) == 0 || full.Best <= full.None || full.Best < full.Greedy {
+	full := ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute)
+	if len(full.Copies) == 0 || full.BestValue <= full.NoCopiesValue || full.BestValue < full.GreedyValue {
 		t.Errorf("choice %+v", full)
 	}
-	again := Choose(f, demands, hours, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute)
+	again := ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute)
 	if !slices.Equal(again.Copies, full.Copies) {
 		t.Error("another choice for the same input")
 	}
 	soon, dear, few := bounds(), bounds(), hours
-	soon.Within, dear.Price = 10, 1
+	soon.SecondsUntilPeak, dear.PricePerKB = 10, 1
 	few = slices.Clone(hours)
 	for i := range few {
-		few[i].Rate, few[i].Streams, few[i].Worth = 100, 1, 1
+		few[i].Rate, few[i].Sessions, few[i].Worth = 100, 1, 1
 	}
 	none := map[string]float64{}
 	for name, c := range map[string]Choice{
-		"too soon":     Choose(f, demands, hours, boxes, disks(boxes), soon, "lp", time.Now, time.Minute),
-		"too dear":     Choose(f, demands, hours, boxes, disks(boxes), dear, "lp", time.Now, time.Minute),
-		"room enough":  Choose(f, demands, few, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute),
-		"disks full":   Choose(f, demands, hours, boxes, none, bounds(), "lp", time.Now, time.Minute),
-		"no time left": Choose(f, demands, hours, boxes, disks(boxes), bounds(), "lp", clockOf(time.Hour), time.Second),
-		"told not to":  Choose(f, demands, hours, boxes, disks(boxes), bounds(), "none", time.Now, time.Minute),
+		"too soon":     ChooseCopies(f, demands, hours, boxes, disks(boxes), soon, "lp", time.Now, time.Minute),
+		"too dear":     ChooseCopies(f, demands, hours, boxes, disks(boxes), dear, "lp", time.Now, time.Minute),
+		"room enough":  ChooseCopies(f, demands, few, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute),
+		"disks full":   ChooseCopies(f, demands, hours, boxes, none, bounds(), "lp", time.Now, time.Minute),
+		"no time left": ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), "lp", clockOf(time.Hour), time.Second),
+		"told not to":  ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), "none", time.Now, time.Minute),
 	} {
-		if len(c.Copies) != 0 || c.By != "none" {
+		if len(c.Copies) != 0 || c.Method != "none" {
 			t.Errorf("%s: %+v", name, c)
 		}
 	}
@@ -147,22 +149,22 @@
 		boxes, _ := fleet(rapid.IntRange(6, 30).Draw(t, "boxes"), 1, 1, 1)
 		free := map[string]float64{}
 		for i := range boxes {
-			boxes[i].Busy = rapid.Float64Range(0, 9000).Draw(t, "busy")
-			boxes[i].Streams = float64(rapid.IntRange(0, 30).Draw(t, "streams"))
+			boxes[i].LinkLoad = rapid.Float64Range(0, 9000).Draw(t, "busy")
+			boxes[i].FreeStreams = float64(rapid.IntRange(0, 30).Draw(t, "streams"))
 			free[boxes[i].ID] = float64(rapid.IntRange(0, 3).Draw(t, "disk")) * 360_000
 		}
 		hours, _, _ := hoursOn(boxes, rapid.IntRange(1, 3).Draw(t, "peaks"), rapid.IntRange(1, 3).Draw(t, "titles"), 3, float64(rapid.IntRange(1, 80).Draw(t, "rate")))
 		b := bounds()
-		b.Copies = rapid.IntRange(0, 6).Draw(t, "most")
+		b.MaxCopiesPerTitle = rapid.IntRange(0, 6).Draw(t, "most")
 		used, made := map[string]float64{}, map[string]int{}
-		for _, c := range Spread(boxes, free, hours, b) {
-			i := slices.IndexFunc(hours, func(h Hour) bool { return h.Title == c.Title })
+		for _, c := range GreedyCopies(boxes, free, hours, b) {
+			i := slices.IndexFunc(hours, func(h TitleDemand) bool { return h.Title == c.Title })
 			if slices.Contains(hours[i].Holders, c.Box) || c.Gain <= c.Cost {
 				t.Fatalf("%+v", c)
 			}
 			hours[i].Holders = append(hours[i].Holders, c.Box)
 			used[c.Box] += hours[i].Size
-			if made[c.Title]++; made[c.Title] > b.Copies || used[c.Box] > free[c.Box] {
+			if made[c.Title]++; made[c.Title] > b.MaxCopiesPerTitle || used[c.Box] > free[c.Box] {
 				t.Fatalf("%d copies of %s, %v kB at %s", made[c.Title], c.Title, used[c.Box], c.Box)
 			}
 		}
@@ -172,16 +174,16 @@
 // Popularity that drifts gets copies, a few at a time, and they are given back when it is gone.
 func TestDrift(t *testing.T) {
 	boxes, _ := fleet(24, 1, 1, 1)
-	var titles []Hour
+	var titles []TitleDemand
 	for i := range 12 {
-		h := Hour{Title: fmt.Sprintf("t%02d", i), Size: 360_000, Rate: 2540, Worth: 1, Plays: 600, Zone: -1}
+		h := TitleDemand{Title: fmt.Sprintf("t%02d", i), Size: 360_000, Rate: 2540, Worth: 1, DurationSeconds: 600, Zone: -1}
 		for k := range 3 {
 			h.Holders = append(h.Holders, boxes[(2*i+k)%24].ID)
 		}
 		slices.Sort(h.Holders)
 		titles = append(titles, h)
 	}
-	d := NewDrift(time.Minute)
+	d := NewDriftTracker(time.Minute)
 	now := int64(1_000_000)
 	run := func(hot float64, passes int) (n int) {
 		for range passes {
@@ -191,10 +193,10 @@
 				playing[x.Title] = 10
 			}
 			playing["t03"] = hot
-			d.Saw(now, playing)
+			d.Update(now, playing)
 			was := n
-			n = len(d.Copies(boxes, disks(boxes), titles, bounds()))
-			if n > was+atATime && was > 0 {
+			n = len(d.PlanCopies(boxes, disks(boxes), titles, bounds()))
+			if n > was+maxCopiesPerPass && was > 0 {
 				t.Errorf("%d copies after %d", n, was)
 			}
 		}
@@ -212,26 +214,26 @@
 }
 
 func TestBoard(t *testing.T) {
-	b, all := NewBoard(), func(string) bool { return true }
-	if !b.Open("p", 1, 4, all) {
+	b, all := NewDecisions(), func(string) bool { return true }
+	if !b.NeedsDecision("p", 1, 4, all) {
 		t.Error("a new hour is not open")
 	}
-	b.Decide("p", 1, 4, all, []Copy{{Peak: "p", Title: "t", Box: "b1"}, {Peak: "p", Title: "t", Box: "b2"}, {Peak: "q", Title: "t", Box: "b3"}})
-	if b.Open("p", 1, 4, all) || !b.Open("p", 2, 4, all) || len(b.Copies()) != 2 {
+	b.Record("p", 1, 4, all, []Copy{{Peak: "p", Title: "t", Box: "b1"}, {Peak: "p", Title: "t", Box: "b2"}, {Peak: "q", Title: "t", Box: "b3"}})
+	if b.NeedsDecision("p", 1, 4, all) || !b.NeedsDecision("p", 2, 4, all) || len(b.Copies()) != 2 {
 		t.Errorf("copies %v", b.Copies())
 	}
 	drained := func(id string) bool { return id != "b1" }
-	if !b.Open("p", 1, 3, drained) {
+	if !b.NeedsDecision("p", 1, 3, drained) {
 		t.Error("a drained target does not open the hour")
 	}
-	b.Decide("p", 1, 3, drained, []Copy{{Peak: "p", Title: "t", Box: "b4"}})
-	if got := b.Copies(); len(got) != 2 || got[0].Box != "b2" || got[1].Box != "b4" || b.Open("p", 1, 3, drained) {
+	b.Record("p", 1, 3, drained, []Copy{{Peak: "p", Title: "t", Box: "b4"}})
+	if got := b.Copies(); len(got) != 2 || got[0].Box != "b2" || got[1].Box != "b4" || b.NeedsDecision("p", 1, 3, drained) {
 		t.Errorf("copies %v", got)
 	}
-	if !b.Open("p", 1, 4, drained) {
+	if !b.NeedsDecision("p", 1, 4, drained) {
 		t.Error("more boxes do not open the hour")
 	}
-	b.Keep(func(string) bool { return false })
+	b.Retain(func(string) bool { return false })
 	if len(b.Copies()) != 0 {
 		t.Error("copies of an hour that is over")
 	}
@@ -246,12 +248,12 @@
 	for _, zipf := range []float64{0.8, 0.9, 1} {
 		boxes, titles := fleet(48, 120, zipf, 0)
 		for i := range titles {
-			titles[i].Want *= 0.95 / 0.8
+			titles[i].Demand *= 0.95 / 0.8
 		}
-		cells, stored := Map{}, map[string]float64{}
+		cells, stored := Placement{}, map[string]float64{}
 		rnd := rand.New(rand.NewPCG(1, 1))
 		for _, x := range titles {
-			home, span := rnd.IntN(48), max(3, int(math.Round(1.4*x.Want/6000))) // as the users' titles: by what usual viewers need
+			home, span := rnd.IntN(48), max(3, int(math.Round(1.4*x.Demand/6000))) // as the users' titles: by what usual viewers need
 			for k := range min(span, 48) {
 				cells.add(x.Name, boxes[(home+k)%48].ID)
 				stored[boxes[(home+k)%48].ID] += x.Size
@@ -259,8 +261,8 @@
 		}
 		sum := 0.0
 		for i := range boxes {
-			boxes[i].Disk = stored[boxes[i].ID]
-			sum += boxes[i].Disk
+			boxes[i].DiskCapacity = stored[boxes[i].ID]
+			sum += boxes[i].DiskCapacity
 		}
 		heu := Heuristic(boxes, titles)
 		a, b := flow(t, boxes, titles, cells), flow(t, boxes, titles, heu)
@@ -271,18 +273,18 @@
 	}
 }
 
-func flow(t *testing.T, boxes []Box, titles []Title, m Map) float64 {
-	f := &peaks.Fleet{Idle: true, Cells: len(boxes), Uplinks: make([]float64, len(boxes)), Ladder: []float64{1}, Worths: []float64{1}, Classes: []peaks.Class{{Factor: 1, Worth: 1}}}
+func flow(t *testing.T, boxes []Box, titles []Title, m Placement) float64 {
+	f := &peaks.Fleet{NoCompetingLoad: true, Cells: len(boxes), Uplinks: make([]float64, len(boxes)), Ladder: []float64{1}, RungWorths: []float64{1}, Classes: []peaks.Class{{RateFactor: 1, Worth: 1}}}
 	for _, b := range boxes {
-		f.Boxes = append(f.Boxes, peaks.Box{ID: b.ID, Rack: b.Rack, Link: b.Link / peaks.Fill, Streams: 1e9, Warm: 1})
+		f.Boxes = append(f.Boxes, peaks.Box{ID: b.ID, Rack: b.Rack, LinkCapacity: b.LinkCapacity / peaks.MaxUtilization, MaxStreams: 1e9, RampShare: 1})
 	}
 	var ds []peaks.Demand
 	asked := 0.0
 	for _, x := range titles {
-		ds = append(ds, peaks.Demand{Peak: "all", Title: x.Name, Count: x.Want, Worth: 1, Holders: append([]string{}, m[x.Name]...)})
-		asked += x.Want
+		ds = append(ds, peaks.Demand{Peak: "all", Title: x.Name, Sessions: x.Demand, Worth: 1, Holders: append([]string{}, m[x.Name]...)})
+		asked += x.Demand
 	}
-	p, err := peaks.LP(f, ds)
+	p, err := peaks.SolveLP(f, ds)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -292,18 +294,18 @@
 func BenchmarkChoose(b *testing.B) {
 	boxes, _ := fleet(280, 1, 1, 1)
 	for i := range boxes {
-		boxes[i].Busy = boxes[i].Link / 2
+		boxes[i].LinkLoad = boxes[i].LinkCapacity / 2
 	}
 	hours, demands, f := hoursOn(boxes, 20, 3, 4, 30)
 	for _, way := range []string{"greedy", "lp"} {
 		b.Run(way, func(b *testing.B) {
 			var c Choice
 			for b.Loop() {
-				c = Choose(f, demands, hours, boxes, disks(boxes), bounds(), way, time.Now, time.Minute)
+				c = ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), way, time.Now, time.Minute)
 			}
 			b.ReportMetric(float64(len(c.Copies)), "copies")
-			b.ReportMetric(c.Best, "worth/s")
-			b.ReportMetric(c.None, "worth/s-none")
+			b.ReportMetric(c.BestValue, "worth/s")
+			b.ReportMetric(c.NoCopiesValue, "worth/s-none")
 		})
 	}
 }
--- a/internal/mapping/spread.go
+++ b/internal/mapping/spread.go
@@ -6,15 +6,15 @@
 )
 
 // Hour is what one title of an announced hour will ask, and where it lies.
-type Hour struct {
-	Peak, Title string
-	Size        float64 // kB
-	Rate        float64 // kB/s that all its viewers ask together, at the rung that is aimed for
-	Streams     float64 // sessions at once
-	Worth       float64 // earned a second, in all
-	Plays       float64 // seconds that the hour lasts, from its first viewer to its last
-	Zone        int     // of most of its viewers; -1: of all
-	Holders     []string
+type TitleDemand struct {
+	Peak, Title     string
+	Size            float64 // kB
+	Rate            float64 // kB/s that all its viewers ask together, at the rung that is aimed for
+	Sessions        float64 // sessions at once
+	Worth           float64 // earned a second, in all
+	DurationSeconds float64 // seconds that the hour lasts, from its first viewer to its last
+	Zone            int     // of most of its viewers; -1: of all
+	Holders         []string
 }
 
 // Copy is a copy that should be made.
@@ -26,30 +26,30 @@
 
 // Bounds of a spread.
 type Bounds struct {
-	Fill   float64 // part of a link that plans fill
-	Price  float64 // worth of a kB that viewers would have had
-	Copies int     // at most, of one title
-	Total  int     // at most, of all titles; 0: no limit
-	Each   float64 // kB/s at which one copy can be made: says what can be whole in time
-	Within float64 // seconds until the hour
+	MaxUtilization    float64 // part of a link that plans fill
+	PricePerKB        float64 // worth of a kB that viewers would have had
+	MaxCopiesPerTitle int     // at most, of one title
+	MaxCopies         int     // at most, of all titles; 0: no limit
+	CopyRate          float64 // kB/s at which one copy can be made: says what can be whole in time
+	SecondsUntilPeak  float64 // seconds until the hour
 }
 
 // state of a spread: what each box has left.
-type state struct {
-	boxes []Box
-	by    map[string]int
-	room  []float64
-	slots []float64
-	disk  []float64
+type spreadState struct {
+	boxes       []Box
+	indexByID   map[string]int
+	freeLink    []float64
+	freeStreams []float64
+	freeDisk    []float64
 }
 
-func newState(boxes []Box, disk map[string]float64, fill float64) *state {
-	s := &state{boxes: boxes, by: map[string]int{}}
+func newSpreadState(boxes []Box, disk map[string]float64, fill float64) *spreadState {
+	s := &spreadState{boxes: boxes, indexByID: map[string]int{}}
 	for i, b := range boxes {
-		s.by[b.ID] = i
-		s.room = append(s.room, max(fill*b.Link-b.Busy, 0))
-		s.slots = append(s.slots, max(b.Streams, 0))
-		s.disk = append(s.disk, disk[b.ID])
+		s.indexByID[b.ID] = i
+		s.freeLink = append(s.freeLink, max(fill*b.LinkCapacity-b.LinkLoad, 0))
+		s.freeStreams = append(s.freeStreams, max(b.FreeStreams, 0))
+		s.freeDisk = append(s.freeDisk, disk[b.ID])
 	}
 	return s
 }
@@ -58,12 +58,12 @@
 // its holders to an even level. While titles lack room, the one that lacks most worth gets a copy at the
 // box with most room left, racks and zones with fewest holders of it first, if that is thought to earn
 // more than copying costs. Disk is what boxes have free, in kB.
-func Spread(boxes []Box, disk map[string]float64, hours []Hour, b Bounds) []Copy {
-	s := newState(boxes, disk, b.Fill)
+func GreedyCopies(boxes []Box, disk map[string]float64, hours []TitleDemand, b Bounds) []Copy {
+	s := newSpreadState(boxes, disk, b.MaxUtilization)
 	holders := make([][]int, len(hours))
 	for i := range hours {
 		for _, id := range hours[i].Holders {
-			if k, ok := s.by[id]; ok {
+			if k, ok := s.indexByID[id]; ok {
 				holders[i] = append(holders[i], k)
 			}
 		}
@@ -72,29 +72,29 @@
 	made := make([]int, len(hours))
 	closed := make([]bool, len(hours))
 	for {
-		lacks, rest := s.pour(hours, holders)
+		lacks, rest := s.distribute(hours, holders)
 		best, most := -1, 0.0
 		for i := range hours {
-			if worth := lacks[i] * perKB(&hours[i]); !closed[i] && lacks[i] > 1e-6 && worth > most {
+			if worth := lacks[i] * worthPerKB(&hours[i]); !closed[i] && lacks[i] > 1e-6 && worth > most {
 				best, most = i, worth
 			}
 		}
-		if best < 0 || b.Total > 0 && len(out) >= b.Total {
+		if best < 0 || b.MaxCopies > 0 && len(out) >= b.MaxCopies {
 			return out
 		}
 		h := &hours[best]
-		k := s.target(h, holders[best], lacks[best], rest)
-		cost := b.Price * h.Size
-		if k < 0 || made[best] >= b.Copies || len(holders[best]) == 0 || !inTime(h, len(holders[best])-made[best], made[best]+1, b) {
+		k := s.chooseBox(h, holders[best], lacks[best], rest)
+		cost := b.PricePerKB * h.Size
+		if k < 0 || made[best] >= b.MaxCopiesPerTitle || len(holders[best]) == 0 || !finishesInTime(h, len(holders[best])-made[best], made[best]+1, b) {
 			closed[best] = true
 			continue
 		}
-		gain := min(lacks[best], rest[k]) * perKB(h) * h.Plays
+		gain := min(lacks[best], rest[k]) * worthPerKB(h) * h.DurationSeconds
 		if gain <= cost {
 			closed[best] = true
 			continue
 		}
-		s.disk[k] -= h.Size
+		s.freeDisk[k] -= h.Size
 		holders[best] = append(holders[best], k)
 		made[best]++
 		out = append(out, Copy{h.Peak, h.Title, s.boxes[k].ID, gain, cost})
@@ -102,52 +102,52 @@
 }
 
 // perKB is the worth that each kB earns.
-func perKB(h *Hour) float64 { return h.Worth / max(h.Rate, 1e-9) }
+func worthPerKB(h *TitleDemand) float64 { return h.Worth / max(h.Rate, 1e-9) }
 
 // inTime tells whether so many copies can be whole by the hour, each new one being a source of more.
-func inTime(h *Hour, sources, copies int, b Bounds) bool {
-	if b.Each <= 0 {
+func finishesInTime(h *TitleDemand, sources, copies int, b Bounds) bool {
+	if b.CopyRate <= 0 {
 		return false
 	}
 	rounds := math.Ceil(math.Log2(float64(sources+copies) / float64(max(sources, 1))))
-	return max(rounds, 1)*h.Size/b.Each <= b.Within
+	return max(rounds, 1)*h.Size/b.CopyRate <= b.SecondsUntilPeak
 }
 
 // Of pouring.
 const (
-	pours    = 16   // rounds of evening out
-	lackFrom = 0.03 // of what a title's viewers ask: less is no lack, as rounds leave some unevenness
+	distributionRounds = 16   // rounds of evening out
+	minShortfallShare  = 0.03 // of what a title's viewers ask: less is no lack, as rounds leave some unevenness
 )
 
 // pour shares what each hour asks out over its holders so that boxes come to like levels: from shares by room,
 // each round moves every title's viewers from its fuller holders to its emptier ones. It returns what each
 // title lacks and what each box has left, in kB/s.
-func (s *state) pour(hours []Hour, holders [][]int) (lacks, rest []float64) {
+func (s *spreadState) distribute(hours []TitleDemand, holders [][]int) (lacks, rest []float64) {
 	part := make([][]float64, len(hours)) // of an hour's rate, by holder
 	for i, ks := range holders {
 		part[i] = make([]float64, len(ks))
 		for n, k := range ks {
-			part[i][n] = s.can(k, &hours[i])
+			part[i][n] = s.usableRate(k, &hours[i])
 		}
-		even(part[i])
+		normalize(part[i])
 	}
 	load := make([]float64, len(s.boxes))
-	level := func(k int, h *Hour) float64 { return load[k] / max(s.can(k, h), 1e-6) }
-	for round := range pours {
+	level := func(k int, h *TitleDemand) float64 { return load[k] / max(s.usableRate(k, h), 1e-6) }
+	for round := range distributionRounds {
 		clear(load)
 		for i, ks := range holders {
 			for n, k := range ks {
 				load[k] += part[i][n] * hours[i].Rate
 			}
 		}
-		if round == pours-1 {
+		if round == distributionRounds-1 {
 			break
 		}
 		for i, ks := range holders {
 			for n, k := range ks {
 				part[i][n] /= max(level(k, &hours[i]), 1e-3)
 			}
-			even(part[i])
+			normalize(part[i])
 		}
 	}
 	lacks, rest = make([]float64, len(hours)), make([]float64, len(s.boxes))
@@ -161,23 +161,23 @@
 				lacks[i] += part[i][n] * h.Rate * (1 - 1/over)
 			}
 		}
-		if lacks[i] < lackFrom*h.Rate {
+		if lacks[i] < minShortfallShare*h.Rate {
 			lacks[i] = 0
 		}
 	}
 	for k := range rest {
-		rest[k] = max(s.room[k]-load[k], 0)
+		rest[k] = max(s.freeLink[k]-load[k], 0)
 	}
 	return lacks, rest
 }
 
 // can is what a box may give an hour's viewers, by its link and its streams.
-func (s *state) can(k int, h *Hour) float64 {
-	return min(s.room[k], s.slots[k]*h.Rate/max(h.Streams, 1))
+func (s *spreadState) usableRate(k int, h *TitleDemand) float64 {
+	return min(s.freeLink[k], s.freeStreams[k]*h.Rate/max(h.Sessions, 1))
 }
 
 // even scales parts to a sum of 1; where all are nothing, they become alike.
-func even(parts []float64) {
+func normalize(parts []float64) {
 	sum := 0.0
 	for _, p := range parts {
 		sum += p
@@ -193,12 +193,12 @@
 
 // target is the box for a title's next copy: in the rack with fewest holders of it, that with most room. A box
 // whose room would hardly serve one session is none.
-func (s *state) target(h *Hour, holders []int, lack float64, rest []float64) int {
+func (s *spreadState) chooseBox(h *TitleDemand, holders []int, lack float64, rest []float64) int {
 	racks := map[int]int{}
 	for _, k := range holders {
 		racks[s.boxes[k].Rack]++
 	}
-	one := h.Rate / max(h.Streams, 1)
+	one := h.Rate / max(h.Sessions, 1)
 	best := -1
 	better := func(a, c int) bool {
 		x, y := &s.boxes[a], &s.boxes[c]
@@ -211,7 +211,7 @@
 		return rest[a] > rest[c]
 	}
 	for k := range s.boxes {
-		if rest[k] < min(one, lack) || s.slots[k] < 1 || s.disk[k] < h.Size || slices.Contains(holders, k) {
+		if rest[k] < min(one, lack) || s.freeStreams[k] < 1 || s.freeDisk[k] < h.Size || slices.Contains(holders, k) {
 			continue
 		}
 		if best < 0 || better(k, best) {
--- a/internal/peaks/ledger.go
+++ b/internal/peaks/ledger.go
@@ -10,18 +10,18 @@
 type Key struct{ Peak, Title, Box string }
 
 // Use is what sessions of a peak's title take on a box, at one edge. Rate in kB/s.
-type Use struct {
+type Usage struct {
 	Key
 	Rate    float64 `json:"rate"`
 	Streams float64 `json:"streams"`
 }
 
 // Size of a box: what its link gives in kB/s, its streams, and what it says all sessions take of both.
-type Size struct{ Rate, Streams, Busy, Playing float64 }
+type BoxCapacity struct{ Rate, Streams, Busy, Playing float64 }
 
 // others is what sessions outside any peak take: what the box says less what edges say of peaks. The two
 // words come at different moments, and must not count a session twice.
-func (s Size) others(u Use) (rate, streams float64) {
+func (s BoxCapacity) otherUsage(u Usage) (rate, streams float64) {
 	return max(s.Busy-u.Rate, 0), max(s.Playing-u.Streams, 0)
 }
 
@@ -32,74 +32,74 @@
 // Ledger proves what is held. What edges use they report whole, so that a report that comes twice, or
 // late, gives nothing back twice; one that comes no more expires.
 type Ledger struct {
-	sizes map[string]Size
-	plan  map[Key]Hold
-	edges map[string]*report
-	most  map[string]float64 // sessions still to come, by peak and title; none: not limited
+	capacities       map[string]BoxCapacity
+	plannedHolds     map[Key]Hold
+	reports          map[string]*report
+	expectedSessions map[string]float64 // sessions still to come, by peak and title; none: not limited
 }
 
 type report struct {
-	seq  uint64
-	at   int64
-	uses map[Key]Use
+	seq        uint64
+	receivedAt int64
+	usage      map[Key]Usage
 }
 
 // NewLedger is empty.
 func NewLedger() *Ledger {
-	return &Ledger{sizes: map[string]Size{}, plan: map[Key]Hold{}, edges: map[string]*report{}, most: map[string]float64{}}
+	return &Ledger{capacities: map[string]BoxCapacity{}, plannedHolds: map[Key]Hold{}, reports: map[string]*report{}, expectedSessions: map[string]float64{}}
 }
 
 // Resize tells the boxes that may get new work. What is held on others falls away.
-func (l *Ledger) Resize(sizes map[string]Size) { l.sizes = sizes }
+func (l *Ledger) SetCapacities(sizes map[string]BoxCapacity) { l.capacities = sizes }
 
 // SetPlan replaces the plan.
 func (l *Ledger) SetPlan(holds []Hold) {
-	l.plan = make(map[Key]Hold, len(holds))
+	l.plannedHolds = make(map[Key]Hold, len(holds))
 	for _, h := range holds {
 		if h.Rate >= 0 && h.Streams >= 0 {
-			l.plan[Key{h.Peak, h.Title, h.Box}] = h
+			l.plannedHolds[Key{h.Peak, h.Title, h.Box}] = h
 		}
 	}
 }
 
 // Coming bounds what is held by the sessions that are still expected: by peak and title.
-func (l *Ledger) Coming(most map[string]float64) { l.most = most }
+func (l *Ledger) SetExpectedSessions(most map[string]float64) { l.expectedSessions = most }
 
 // PeakTitle is the key of Coming.
-func PeakTitle(peak, title string) string { return peak + "\x00" + title }
+func PeakTitleKey(peak, title string) string { return peak + "\x00" + title }
 
 // Report takes what an edge uses. One that is not newer than the last of that edge changes nothing.
-func (l *Ledger) Report(edge string, seq uint64, now int64, uses []Use) bool {
-	if r := l.edges[edge]; r != nil && seq <= r.seq {
+func (l *Ledger) RecordReport(edge string, seq uint64, now int64, uses []Usage) bool {
+	if r := l.reports[edge]; r != nil && seq <= r.seq {
 		return false
 	}
-	r := &report{seq: seq, at: now, uses: make(map[Key]Use, len(uses))}
+	r := &report{seq: seq, receivedAt: now, usage: make(map[Key]Usage, len(uses))}
 	for _, u := range uses {
 		if u.Rate >= 0 && u.Streams >= 0 {
-			r.uses[u.Key] = u
+			r.usage[u.Key] = u
 		}
 	}
-	l.edges[edge] = r
+	l.reports[edge] = r
 	return true
 }
 
 // Drop forgets an edge: another instance stands in its place.
-func (l *Ledger) Drop(edge string) { delete(l.edges, edge) }
+func (l *Ledger) RemoveEdge(edge string) { delete(l.reports, edge) }
 
 // Expire drops reports older than a time.
-func (l *Ledger) Expire(before int64) {
-	for e, r := range l.edges {
-		if r.at < before {
-			delete(l.edges, e)
+func (l *Ledger) ExpireReports(before int64) {
+	for e, r := range l.reports {
+		if r.receivedAt < before {
+			delete(l.reports, e)
 		}
 	}
 }
 
 // used sums up what is used under each key.
-func (l *Ledger) used() map[Key]Use {
-	out := map[Key]Use{}
-	for _, r := range l.edges {
-		for k, u := range r.uses {
+func (l *Ledger) usageByKey() map[Key]Usage {
+	out := map[Key]Usage{}
+	for _, r := range l.reports {
+		for k, u := range r.usage {
 			s := out[k]
 			s.Rate, s.Streams = s.Rate+u.Rate, s.Streams+u.Streams
 			out[k] = s
@@ -109,10 +109,10 @@
 }
 
 // PeakUse is what sessions of peaks take on each box.
-func (l *Ledger) PeakUse() map[string]Use { return byBox(l.used()) }
+func (l *Ledger) UsageByBox() map[string]Usage { return sumByBox(l.usageByKey()) }
 
-func byBox(used map[Key]Use) map[string]Use {
-	out := map[string]Use{}
+func sumByBox(used map[Key]Usage) map[string]Usage {
+	out := map[string]Usage{}
 	for k, u := range used {
 		s := out[k.Box]
 		s.Rate, s.Streams = s.Rate+u.Rate, s.Streams+u.Streams
@@ -122,10 +122,10 @@
 }
 
 // Held is what of the plan is not used yet, within what each box has left and what is still expected.
-func (l *Ledger) Held() []Hold {
-	used := l.used()
+func (l *Ledger) RemainingHolds() []Hold {
+	used := l.usageByKey()
 	var out []Hold
-	for k, h := range l.plan {
+	for k, h := range l.plannedHolds {
 		h.Rate, h.Streams = max(h.Rate-used[k].Rate, 0), max(h.Streams-used[k].Streams, 0)
 		if h.Streams > 0 {
 			out = append(out, h)
@@ -136,26 +136,26 @@
 	})
 	streams := map[string]float64{}
 	for _, h := range out {
-		streams[PeakTitle(h.Peak, h.Title)] += h.Streams
+		streams[PeakTitleKey(h.Peak, h.Title)] += h.Streams
 	}
 	for i := range out {
-		k := PeakTitle(out[i].Peak, out[i].Title)
-		if most, ok := l.most[k]; ok && streams[k] > most {
+		k := PeakTitleKey(out[i].Peak, out[i].Title)
+		if most, ok := l.expectedSessions[k]; ok && streams[k] > most {
 			out[i].scale(max(most, 0) / streams[k])
 		}
 	}
-	l.fit(out, used)
+	l.limitToCapacity(out, used)
 	return slices.DeleteFunc(out, func(h Hold) bool { return h.Streams < 1e-6 })
 }
 
 func (h *Hold) scale(by float64) { h.Rate, h.Streams = h.Rate*by, h.Streams*by }
 
 // fit cuts holds down to what their boxes have left.
-func (l *Ledger) fit(holds []Hold, used map[Key]Use) {
+func (l *Ledger) limitToCapacity(holds []Hold, used map[Key]Usage) {
 	rate, streams := map[string]float64{}, map[string]float64{}
-	use := byBox(used)
-	for b, s := range l.sizes {
-		kb, n := s.others(use[b])
+	use := sumByBox(used)
+	for b, s := range l.capacities {
+		kb, n := s.otherUsage(use[b])
 		rate[b], streams[b] = s.Rate-kb-use[b].Rate, s.Streams-n-use[b].Streams
 	}
 	held, heldStreams := map[string]float64{}, map[string]float64{}
@@ -178,12 +178,12 @@
 // Accounts are all boxes' accounts, of their links.
 func (l *Ledger) Accounts() map[string]Account {
 	out := map[string]Account{}
-	use := l.PeakUse()
-	for b, s := range l.sizes {
-		others, _ := s.others(use[b])
+	use := l.UsageByBox()
+	for b, s := range l.capacities {
+		others, _ := s.otherUsage(use[b])
 		out[b] = Account{Size: s.Rate, Used: others + use[b].Rate}
 	}
-	for _, h := range l.Held() {
+	for _, h := range l.RemainingHolds() {
 		a := out[h.Box]
 		a.Held += h.Rate
 		out[h.Box] = a
--- a/internal/peaks/lp.go
+++ b/internal/peaks/lp.go
@@ -26,30 +26,30 @@
 // earlier plan is not started again: the greedy plan stands in.
 type Solver struct {
 	Budget time.Duration
-	busy   chan struct{} // holds one token while free
+	idle   chan struct{} // holds one token while free
 }
 
 // NewSolver makes one with a budget.
 func NewSolver(budget time.Duration) *Solver {
-	s := &Solver{Budget: budget, busy: make(chan struct{}, 1)}
-	s.busy <- struct{}{}
+	s := &Solver{Budget: budget, idle: make(chan struct{}, 1)}
+	s.idle <- struct{}{}
 	return s
 }
 
 // Plan is the best plan that the budget allows. The reason tells why it is the greedy one.
 func (s *Solver) Plan(f *Fleet, demands []Demand) (*Plan, error) {
-	greedy := Greedy(f, demands)
+	greedy := SolveGreedy(f, demands)
 	select {
-	case <-s.busy:
+	case <-s.idle:
 	default:
 		return greedy, errors.New("peaks: the solver is still at work")
 	}
 	done := make(chan *Plan, 1)
 	failed := make(chan error, 1)
 	go func() {
-		defer func() { s.busy <- struct{}{} }()
+		defer func() { s.idle <- struct{}{} }()
 		begin := time.Now()
-		p, err := LP(f, demands)
+		p, err := SolveLP(f, demands)
 		if err != nil {
 			failed <- err
 			return
@@ -70,33 +70,33 @@
 }
 
 // LP is the optimal plan.
-func LP(f *Fleet, demands []Demand) (*Plan, error) {
-	var pieces []piece
-	var buys []Buy
+func SolveLP(f *Fleet, demands []Demand) (*Plan, error) {
+	var pieces []allocation
+	var buys []SelectedOffer
 	net := 0.0
-	for _, part := range f.parts(demands) {
-		got, n, err := f.solve(demands, part)
+	for _, part := range f.independentGroups(demands) {
+		got, n, err := f.solveGroup(demands, part)
 		if err != nil {
 			return nil, err
 		}
 		net += n
 		for _, x := range got {
 			if x.demand <= -2 {
-				if x.n > 1e-6 {
-					buys = append(buys, Buy{-2 - x.demand, x.box, x.n})
+				if x.sessions > 1e-6 {
+					buys = append(buys, SelectedOffer{-2 - x.demand, x.box, x.sessions})
 				}
 				continue
 			}
 			pieces = append(pieces, x)
 		}
 	}
-	p := f.collect(demands, pieces, "lp")
+	p := f.buildPlan(demands, pieces, "lp")
 	p.Buys, p.Net = buys, net
 	return p, nil
 }
 
 // parts are the demands that share boxes, or racks whose uplink could bind.
-func (f *Fleet) parts(demands []Demand) [][]int {
+func (f *Fleet) independentGroups(demands []Demand) [][]int {
 	group := make([]int, len(f.Boxes)+len(f.Uplinks))
 	for i := range group {
 		group[i] = i
@@ -109,7 +109,7 @@
 		return i
 	}
 	for b := range f.Boxes {
-		if f.binds(f.Boxes[b].Rack) {
+		if f.uplinkCanBind(f.Boxes[b].Rack) {
 			group[root(b)] = root(len(f.Boxes) + f.Boxes[b].Rack)
 		}
 	}
@@ -117,7 +117,7 @@
 	for d := range demands {
 		first[d] = -1
 		for b := range f.Boxes {
-			if f.has(&demands[d], &f.Boxes[b]) || f.offer(&demands[d], &f.Boxes[b]) >= 0 {
+			if f.holdsTitle(&demands[d], &f.Boxes[b]) || f.offerIndex(&demands[d], &f.Boxes[b]) >= 0 {
 				if first[d] < 0 {
 					first[d] = b
 				}
@@ -128,7 +128,7 @@
 	at := map[int]int{}
 	var out [][]int
 	for d := range demands {
-		if first[d] < 0 || f.count(&demands[d]) <= 0 {
+		if first[d] < 0 || f.sessionsWithinSeats(&demands[d]) <= 0 {
 			continue
 		}
 		r := root(first[d])
@@ -143,65 +143,65 @@
 }
 
 // binds tells whether a rack's uplink can hold its links back.
-func (f *Fleet) binds(rack int) bool {
+func (f *Fleet) uplinkCanBind(rack int) bool {
 	if f.Uplinks[rack] <= 0 {
 		return false
 	}
 	sum := 0.0
 	for i := range f.Boxes {
 		if f.Boxes[i].Rack == rack {
-			sum += max(Fill*f.Boxes[i].Link*f.Boxes[i].Warm, f.Boxes[i].Busy)
+			sum += max(MaxUtilization*f.Boxes[i].LinkCapacity*f.Boxes[i].RampShare, f.Boxes[i].LinkLoad)
 		}
 	}
-	return sum > Fill*f.Uplinks[rack]
+	return sum > MaxUtilization*f.Uplinks[rack]
 }
 
 // program is a linear program that grows by rows and columns.
-type program struct {
-	cost []float64
-	rows []row
+type linearProgram struct {
+	costs       []float64
+	constraints []constraint
 }
 
-type row struct {
-	cols  []int
-	vals  []float64
-	limit float64
+type constraint struct {
+	variables    []int
+	coefficients []float64
+	bound        float64
 }
 
-func (p *program) column(cost float64) int {
-	p.cost = append(p.cost, cost)
-	return len(p.cost) - 1
+func (p *linearProgram) addVariable(cost float64) int {
+	p.costs = append(p.costs, cost)
+	return len(p.costs) - 1
 }
 
-func (p *program) limit(to float64) int {
-	p.rows = append(p.rows, row{limit: to})
-	return len(p.rows) - 1
+func (p *linearProgram) addConstraint(to float64) int {
+	p.constraints = append(p.constraints, constraint{bound: to})
+	return len(p.constraints) - 1
 }
 
-func (p *program) set(r, col int, v float64) {
-	p.rows[r].cols, p.rows[r].vals = append(p.rows[r].cols, col), append(p.rows[r].vals, v)
+func (p *linearProgram) setCoefficient(r, col int, v float64) {
+	p.constraints[r].variables, p.constraints[r].coefficients = append(p.constraints[r].variables, col), append(p.constraints[r].coefficients, v)
 }
 
 // run solves it with a slack for each row, from the corner at which nothing is held. Rows are scaled to
 // like sizes, which the simplex needs for its tolerances.
-func (p *program) run() ([]float64, float64, error) {
-	n, m := len(p.cost), len(p.rows)
+func (p *linearProgram) solve() ([]float64, float64, error) {
+	n, m := len(p.costs), len(p.constraints)
 	a := mat.NewDense(m, n+m, nil)
 	b, c, basis := make([]float64, m), make([]float64, n+m), make([]int, m)
-	copy(c, p.cost)
-	for i, r := range p.rows {
+	copy(c, p.costs)
+	for i, r := range p.constraints {
 		scale := 0.0
-		for _, v := range r.vals {
+		for _, v := range r.coefficients {
 			scale = max(scale, math.Abs(v))
 		}
 		scale = max(scale, 1e-9)
-		for j, col := range r.cols {
-			a.Set(i, col, a.At(i, col)+r.vals[j]/scale)
+		for j, col := range r.variables {
+			a.Set(i, col, a.At(i, col)+r.coefficients[j]/scale)
 		}
 		a.Set(i, n+i, 1)
 		// rows of no room at all are many, and equal corners lead the simplex into singular bases: each
 		// row gets a little more, no two the same
-		b[i], basis[i] = max(r.limit, 0)/scale+perturb*(1+float64(i)/float64(m)), n+i
+		b[i], basis[i] = max(r.bound, 0)/scale+perturbation*(1+float64(i)/float64(m)), n+i
 	}
 	least, x, err := lp.Simplex(c, a, b, 1e-9, basis)
 	if err != nil {
@@ -210,65 +210,65 @@
 	return x[:n], -least, nil
 }
 
-const perturb = 1e-6
+const perturbation = 1e-6
 
 // solve sets up and solves the program of one part.
-func (f *Fleet) solve(demands []Demand, part []int) ([]piece, float64, error) {
-	p := &program{}
+func (f *Fleet) solveGroup(demands []Demand, part []int) ([]allocation, float64, error) {
+	p := &linearProgram{}
 	link, streams, rack := map[int]int{}, map[int]int{}, map[int]int{}
-	price := f.stepPrice()
-	var vars []piece
+	price := f.stepDownPrice()
+	var vars []allocation
 	for _, d := range part {
 		dm := &demands[d]
-		want := p.limit(f.count(dm))
+		want := p.addConstraint(f.sessionsWithinSeats(dm))
 		k := f.Classes[dm.Class]
 		for b := range f.Boxes {
 			x := &f.Boxes[b]
-			o := f.offer(dm, x)
-			if o < 0 && !f.has(dm, x) {
+			o := f.offerIndex(dm, x)
+			if o < 0 && !f.holdsTitle(dm, x) {
 				continue
 			}
 			if _, ok := link[b]; !ok {
-				f.addBox(p, b, price, link, streams, rack)
+				f.addBoxConstraints(p, b, price, link, streams, rack)
 			}
 			bought := -1
 			if o >= 0 { // sum of n(d,b,r) - most y <= 0, y <= 1
-				y := p.column(dm.Offers[o].Cost)
+				y := p.addVariable(dm.Offers[o].Cost)
 				for len(vars) < y {
-					vars = append(vars, piece{demand: -1})
+					vars = append(vars, allocation{demand: -1})
 				}
-				vars = append(vars, piece{demand: -2 - d, box: o})
-				_, most := x.room()
-				bought = p.limit(0)
-				p.set(bought, y, -max(min(most, f.count(dm)), 1e-3))
-				p.set(p.limit(1), y, 1)
+				vars = append(vars, allocation{demand: -2 - d, box: o})
+				_, most := x.freeCapacity()
+				bought = p.addConstraint(0)
+				p.setCoefficient(bought, y, -max(min(most, f.sessionsWithinSeats(dm)), 1e-3))
+				p.setCoefficient(p.addConstraint(1), y, 1)
 			}
-			for r := k.Floor; r <= k.Top; r++ {
-				col := p.column(price*f.rate(dm, r) - f.worth(dm, x)*f.Worths[r])
+			for r := k.FloorRung; r <= k.TopRung; r++ {
+				col := p.addVariable(price*f.sessionRate(dm, r) - f.sessionWorth(dm, x)*f.RungWorths[r])
 				for len(vars) < col {
-					vars = append(vars, piece{demand: -1}) // columns of z
+					vars = append(vars, allocation{demand: -1}) // columns of z
 				}
-				vars = append(vars, piece{d, b, r, 0})
-				p.set(want, col, 1)
-				p.set(link[b], col, f.rate(dm, r))
-				p.set(streams[b], col, 1)
+				vars = append(vars, allocation{d, b, r, 0})
+				p.setCoefficient(want, col, 1)
+				p.setCoefficient(link[b], col, f.sessionRate(dm, r))
+				p.setCoefficient(streams[b], col, 1)
 				if bought >= 0 {
-					p.set(bought, col, 1)
+					p.setCoefficient(bought, col, 1)
 				}
 				if i, ok := rack[x.Rack]; ok {
-					p.set(i, col, f.rate(dm, r))
+					p.setCoefficient(i, col, f.sessionRate(dm, r))
 				}
 			}
 		}
 	}
-	sol, net, err := p.run()
+	sol, net, err := p.solve()
 	if err != nil {
 		return nil, 0, err
 	}
 	out := vars[:0]
 	for i, v := range vars {
 		if v.demand != -1 { // not a column of z
-			v.n = sol[i]
+			v.sessions = sol[i]
 			out = append(out, v)
 		}
 	}
@@ -276,28 +276,28 @@
 }
 
 // addBox adds a box's rows, and what those playing there could give up.
-func (f *Fleet) addBox(p *program, b int, price float64, link, streams, rack map[int]int) {
+func (f *Fleet) addBoxConstraints(p *linearProgram, b int, price float64, link, streams, rack map[int]int) {
 	x := &f.Boxes[b]
-	kb, n := x.room()
-	link[b], streams[b] = p.limit(kb), p.limit(n)
-	if f.binds(x.Rack) {
+	kb, n := x.freeCapacity()
+	link[b], streams[b] = p.addConstraint(kb), p.addConstraint(n)
+	if f.uplinkCanBind(x.Rack) {
 		if _, ok := rack[x.Rack]; !ok {
-			room := Fill * f.Uplinks[x.Rack]
+			room := MaxUtilization * f.Uplinks[x.Rack]
 			for i := range f.Boxes {
 				if f.Boxes[i].Rack == x.Rack {
-					room -= f.Boxes[i].Busy
+					room -= f.Boxes[i].LinkLoad
 				}
 			}
-			rack[x.Rack] = p.limit(max(room, 0))
+			rack[x.Rack] = p.addConstraint(max(room, 0))
 		}
 	}
-	if x.Busy <= 0 {
+	if x.LinkLoad <= 0 {
 		return
 	}
-	z := p.column(price)
-	p.set(p.limit(giveUp*x.Busy), z, 1)
-	p.set(link[b], z, -1)
+	z := p.addVariable(price)
+	p.setCoefficient(p.addConstraint(maxStepDownShare*x.LinkLoad), z, 1)
+	p.setCoefficient(link[b], z, -1)
 	if i, ok := rack[x.Rack]; ok {
-		p.set(i, z, -1)
+		p.setCoefficient(i, z, -1)
 	}
 }
--- a/internal/peaks/pays.go
+++ b/internal/peaks/pays.go
@@ -5,10 +5,10 @@
 // do come. Room on a link can: the module steps others down as newcomers arrive, in the same instant.
 // Streams cannot: a session ends when it ends. So streams are held, no rate, and only where the hour is thought to
 // need all that a box has left, for sessions that earn more than those they keep out.
-func Paying(f *Fleet, demands []Demand, p *Plan) *Plan {
+func KeepProfitableHolds(f *Fleet, demands []Demand, p *Plan) *Plan {
 	worth := map[string]float64{}
 	for _, d := range demands {
-		worth[PeakTitle(d.Peak, d.Title)] = d.Worth
+		worth[PeakTitleKey(d.Peak, d.Title)] = d.Worth
 	}
 	usual := 0.0
 	for _, c := range f.Classes {
@@ -16,7 +16,7 @@
 	}
 	left, held := map[string]float64{}, map[string]float64{}
 	for i := range f.Boxes {
-		_, left[f.Boxes[i].ID] = f.Boxes[i].room()
+		_, left[f.Boxes[i].ID] = f.Boxes[i].freeCapacity()
 	}
 	for _, h := range p.Holds {
 		held[h.Box] += h.Streams
@@ -24,8 +24,8 @@
 	out := *p
 	out.Holds = nil
 	for _, h := range p.Holds {
-		scarce := held[h.Box] >= scarceFrom*left[h.Box]
-		if scarce && worth[PeakTitle(h.Peak, h.Title)] > usual {
+		scarce := held[h.Box] >= scarceStreamsShare*left[h.Box]
+		if scarce && worth[PeakTitleKey(h.Peak, h.Title)] > usual {
 			h.Rate = 0
 			out.Holds = append(out.Holds, h)
 		}
@@ -33,4 +33,4 @@
 	return &out
 }
 
-const scarceFrom = 0.98 // of the streams that a box has left: an hour that is thought to take so many takes all
+const scarceStreamsShare = 0.98 // of the streams that a box has left: an hour that is thought to take so many takes all
--- a/internal/peaks/pays_test.go
+++ b/internal/peaks/pays_test.go
@@ -7,10 +7,10 @@
 )
 
 func spare(boxes int) *Fleet {
-	f := &Fleet{Uplinks: make([]float64, 1), Cells: boxes, Edges: 3, Ladder: []float64{260, 810, 2540}, Worths: []float64{0.2, 0.6, 1},
-		Classes: []Class{{Factor: 1, Top: 2, Worth: 2}, {Factor: 1, Top: 2, Worth: 1}}}
+	f := &Fleet{Uplinks: make([]float64, 1), Cells: boxes, Edges: 3, Ladder: []float64{260, 810, 2540}, RungWorths: []float64{0.2, 0.6, 1},
+		Classes: []Class{{RateFactor: 1, TopRung: 2, Worth: 2}, {RateFactor: 1, TopRung: 2, Worth: 1}}}
 	for i := range boxes {
-		f.Boxes = append(f.Boxes, Box{ID: fmt.Sprint("b", i), Cell: i, Zone: i % 2, Link: 10000, Streams: 20, Busy: 4000, Playing: 10, Warm: 1})
+		f.Boxes = append(f.Boxes, Box{ID: fmt.Sprint("b", i), Cell: i, Zone: i % 2, LinkCapacity: 10000, MaxStreams: 20, LinkLoad: 4000, ActiveSessions: 10, RampShare: 1})
 	}
 	return f
 }
@@ -23,12 +23,12 @@
 		holds        bool
 	}{"streams run out": {100, 2, true}, "streams enough": {10, 2, false}, "others earn more": {100, 1, false}} {
 		f := spare(4)
-		d := []Demand{{Peak: "p", Title: "t", Span: 4, Count: c.count, Worth: c.worth}}
-		p, err := LP(f, d)
+		d := []Demand{{Peak: "p", Title: "t", CellSpan: 4, Sessions: c.count, Worth: c.worth}}
+		p, err := SolveLP(f, d)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := Paying(f, d, p)
+		got := KeepProfitableHolds(f, d, p)
 		if (len(got.Holds) > 0) != c.holds || slices.ContainsFunc(got.Holds, func(h Hold) bool { return h.Rate != 0 || h.Streams <= 0 }) {
 			t.Errorf("%s: %+v of %+v", name, got.Holds, p.Holds)
 		}
@@ -38,14 +38,14 @@
 // An hour of one zone is planned at that zone's boxes as far as they go, by either way.
 func TestZonesOfAPlan(t *testing.T) {
 	f := spare(4)
-	f.ZonePrice = 0.1
+	f.CrossZoneCost = 0.1
 	for _, count := range []float64{3, 60} {
-		d := []Demand{{Peak: "p", Title: "t", Span: 4, Count: count, Worth: 2, Zoned: true, Zone: 1}}
-		p, err := LP(f, d)
+		d := []Demand{{Peak: "p", Title: "t", CellSpan: 4, Sessions: count, Worth: 2, HasZone: true, Zone: 1}}
+		p, err := SolveLP(f, d)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for by, plan := range map[string]*Plan{"lp": p, "greedy": Greedy(f, d)} {
+		for by, plan := range map[string]*Plan{"lp": p, "greedy": SolveGreedy(f, d)} {
 			in, out := 0.0, 0.0
 			for _, h := range plan.Holds {
 				if h.Box == "b1" || h.Box == "b3" {
@@ -65,8 +65,8 @@
 func TestOffers(t *testing.T) {
 	f := spare(4)
 	for cost, want := range map[float64]bool{0.01: true, 1000: false} {
-		d := []Demand{{Peak: "p", Title: "t", Count: 40, Worth: 2, Holders: []string{"b0"}, Offers: []Offer{{"b1", cost}, {"b2", cost}}}}
-		p, err := LP(f, d)
+		d := []Demand{{Peak: "p", Title: "t", Sessions: 40, Worth: 2, Holders: []string{"b0"}, Offers: []CopyOffer{{"b1", cost}, {"b2", cost}}}}
+		p, err := SolveLP(f, d)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/peaks/peaks_test.go
+++ b/internal/peaks/peaks_test.go
@@ -13,10 +13,10 @@
 
 const now = int64(1_800_000_000_000)
 
-var known = Known{Classes: []string{"play"}, Zones: []string{"z"}, Titles: map[string]bool{"a": true, "b": true}}
+var known = KnownNames{Classes: []string{"play"}, Zones: []string{"z"}, Titles: map[string]bool{"a": true, "b": true}}
 
 func peak() Announcement {
-	return Announcement{ID: "p", Version: 1, Titles: []string{"a"}, Class: "play", Start: now + 60_000, Uncertain: 5000, Rate: 10, Length: 30_000}
+	return Announcement{ID: "p", Version: 1, Titles: []string{"a"}, Class: "play", Start: now + 60_000, Uncertainty: 5000, Rate: 10, Duration: 30_000}
 }
 
 func TestBook(t *testing.T) {
@@ -28,18 +28,18 @@
 		{"titles", func(a *Announcement) { a.Titles = nil }}, {"titles[0]", func(a *Announcement) { a.Titles = []string{"x"} }},
 		{"titles[1]", func(a *Announcement) { a.Titles = []string{"a", "a"} }}, {"class", func(a *Announcement) { a.Class = "x" }},
 		{"zone", func(a *Announcement) { a.Zone = "x" }}, {"rate", func(a *Announcement) { a.Rate = math.Inf(1) }}, {"rate", func(a *Announcement) { a.Rate = math.NaN() }},
-		{"rate", func(a *Announcement) { a.Rate = -1 }}, {"length_ms", func(a *Announcement) { a.Length = 0 }}, {"length_ms", func(a *Announcement) { a.Length = math.MaxInt64 }},
-		{"session_ms", func(a *Announcement) { a.Session = -1 }}, {"uncertain_ms", func(a *Announcement) { a.Uncertain = 1 << 40 }},
+		{"rate", func(a *Announcement) { a.Rate = -1 }}, {"length_ms", func(a *Announcement) { a.Duration = 0 }}, {"length_ms", func(a *Announcement) { a.Duration = math.MaxInt64 }},
+		{"session_ms", func(a *Announcement) { a.SessionDuration = -1 }}, {"uncertain_ms", func(a *Announcement) { a.Uncertainty = 1 << 40 }},
 		{"worth", func(a *Announcement) { a.Worth = math.NaN() }}, {"start_ms", func(a *Announcement) { a.Start = 5 }},
 		{"start_ms", func(a *Announcement) { a.Start = math.MaxInt64 }}, {"start_ms", func(a *Announcement) { a.Start = now - 40_000 }},
 	} {
-		b, a := NewBook(), peak()
+		b, a := NewAnnouncementStore(), peak()
 		c.change(&a)
 		if _, err := b.Announce(a, known, now); err == nil || !strings.Contains(err.Error(), "peak: "+c.field+":") || len(b.List()) != 0 {
 			t.Errorf("%s: %v, %v", c.field, err, b.List())
 		}
 	}
-	b := NewBook()
+	b := NewAnnouncementStore()
 	say := func(want bool, wrong string, change func(*Announcement)) {
 		t.Helper()
 		a := peak()
@@ -83,30 +83,30 @@
 			if ms%3000 == 0 {
 				n = 1.2
 			}
-			if ms >= c.from && ms < c.from+a.Length {
+			if ms >= c.from && ms < c.from+a.Duration {
 				n += c.rate
 			}
-			f.Saw(a.Start+ms, n, &a)
+			f.RecordArrivals(a.Start+ms, n, &a)
 		}
-		e := f.Expect(a.Start+c.at, &a, 30*time.Second)
-		if e.Rate < c.lo || e.Rate > c.hi || math.Abs(e.Coming.Seconds()-c.seconds) > 1.5 {
-			t.Errorf("%s: %.1f a second for %v, want %v to %v for %v s", c.name, e.Rate, e.Coming, c.lo, c.hi, c.seconds)
+		e := f.Forecast(a.Start+c.at, &a, 30*time.Second)
+		if e.Rate < c.lo || e.Rate > c.hi || math.Abs(e.Remaining.Seconds()-c.seconds) > 1.5 {
+			t.Errorf("%s: %.1f a second for %v, want %v to %v for %v s", c.name, e.Rate, e.Remaining, c.lo, c.hi, c.seconds)
 		}
 	}
 	a := peak()
 	a.Cancelled = true
-	if e := (&Follower{}).Expect(a.Start, &a, time.Minute); e.Rate != 0 {
+	if e := (&Follower{}).Forecast(a.Start, &a, time.Minute); e.Rate != 0 {
 		t.Error("a cancelled peak is expected")
 	}
 }
 
 // fleet of n boxes in racks of four, each holding what its cell says.
 func fleet(n int) *Fleet {
-	f := &Fleet{Cells: n, Edges: 3, Ladder: []float64{260, 460, 810, 1440, 2540}, Worths: []float64{0.17, 0.41, 0.61, 0.81, 1},
-		Classes: []Class{{Factor: 1, Top: 4, Worth: 1}, {Factor: 1.2, Top: 4, Worth: 2, Seats: 10}, {Factor: 1, Floor: 1, Top: 3, Worth: 2}}}
+	f := &Fleet{Cells: n, Edges: 3, Ladder: []float64{260, 460, 810, 1440, 2540}, RungWorths: []float64{0.17, 0.41, 0.61, 0.81, 1},
+		Classes: []Class{{RateFactor: 1, TopRung: 4, Worth: 1}, {RateFactor: 1.2, TopRung: 4, Worth: 2, Seats: 10}, {RateFactor: 1, FloorRung: 1, TopRung: 3, Worth: 2}}}
 	for i := range n {
-		f.Boxes = append(f.Boxes, Box{ID: fmt.Sprintf("b%03d", i), Rack: i / 4, Cell: i, Link: 9000 + float64(i%3)*3000, Streams: 27, Warm: 1,
-			Busy: 3000 + float64(i%5)*1000, Playing: 5})
+		f.Boxes = append(f.Boxes, Box{ID: fmt.Sprintf("b%03d", i), Rack: i / 4, Cell: i, LinkCapacity: 9000 + float64(i%3)*3000, MaxStreams: 27, RampShare: 1,
+			LinkLoad: 3000 + float64(i%5)*1000, ActiveSessions: 5})
 	}
 	for range (n + 3) / 4 {
 		f.Uplinks = append(f.Uplinks, 36000)
@@ -126,33 +126,33 @@
 		link[h.Box] += h.Rate
 		streams[h.Box] += h.Streams
 		rack[b.Rack] += h.Rate
-		count[PeakTitle(h.Peak, h.Title)] += h.Streams
+		count[PeakTitleKey(h.Peak, h.Title)] += h.Streams
 		for _, d := range demands {
-			if d.Peak == h.Peak && d.Title == h.Title && !b.holds(d.Home, d.Span, f.Cells) {
+			if d.Peak == h.Peak && d.Title == h.Title && !b.holdsCells(d.HomeCell, d.CellSpan, f.Cells) {
 				return fmt.Errorf("%s does not hold %s", h.Box, h.Title)
 			}
 		}
 	}
 	take := 0.0
 	if mayTake {
-		take = giveUp
+		take = maxStepDownShare
 	}
 	busy := map[int]float64{}
 	for id, b := range box {
-		kb, n := b.room()
-		if link[id] > kb+take*b.Busy+1 || streams[id] > n+1e-3 {
+		kb, n := b.freeCapacity()
+		if link[id] > kb+take*b.LinkLoad+1 || streams[id] > n+1e-3 {
 			return fmt.Errorf("%s: %v kB/s of %v, %v streams of %v", id, link[id], kb, streams[id], n)
 		}
-		busy[b.Rack] += b.Busy
+		busy[b.Rack] += b.LinkLoad
 	}
 	for r, kb := range rack {
-		if kb > max(Fill*f.Uplinks[r]-busy[r], 0)+take*busy[r]+1 {
+		if kb > max(MaxUtilization*f.Uplinks[r]-busy[r], 0)+take*busy[r]+1 {
 			return fmt.Errorf("rack %d: %v kB/s", r, kb)
 		}
 	}
 	for _, d := range demands {
-		if n := count[PeakTitle(d.Peak, d.Title)]; n > f.count(&d)+1e-3 {
-			return fmt.Errorf("%s of %s: %v sessions of %v", d.Title, d.Peak, n, f.count(&d))
+		if n := count[PeakTitleKey(d.Peak, d.Title)]; n > f.sessionsWithinSeats(&d)+1e-3 {
+			return fmt.Errorf("%s of %s: %v sessions of %v", d.Title, d.Peak, n, f.sessionsWithinSeats(&d))
 		}
 	}
 	return nil
@@ -161,7 +161,7 @@
 func demands(f *Fleet, n int, draw func(int) int) (out []Demand) {
 	for i := range n {
 		c := draw(3)
-		out = append(out, Demand{Peak: fmt.Sprint("p", i), Title: "t", Class: c, Home: draw(f.Cells), Span: 3 + draw(3), Count: float64(5 + draw(60)),
+		out = append(out, Demand{Peak: fmt.Sprint("p", i), Title: "t", Class: c, HomeCell: draw(f.Cells), CellSpan: 3 + draw(3), Sessions: float64(5 + draw(60)),
 			Worth: f.Classes[c].Worth})
 	}
 	return out
@@ -171,7 +171,7 @@
 func net(f *Fleet, p *Plan) float64 {
 	v := p.Value
 	for _, h := range p.Holds {
-		v -= f.stepPrice() * h.Rate
+		v -= f.stepDownPrice() * h.Rate
 	}
 	return v
 }
@@ -190,19 +190,19 @@
 		for i := range f.Boxes {
 			switch draw(6) {
 			case 0:
-				f.Boxes[i].Warm = 0.4
+				f.Boxes[i].RampShare = 0.4
 			case 1:
-				f.Boxes[i].Busy = 2 * f.Boxes[i].Link
+				f.Boxes[i].LinkLoad = 2 * f.Boxes[i].LinkCapacity
 			case 2:
-				f.Boxes[i].Playing = 30
+				f.Boxes[i].ActiveSessions = 30
 			}
 		}
 		d := demands(f, 1+draw(5), draw)
-		g := Greedy(f, d)
+		g := SolveGreedy(f, d)
 		if err := check(f, d, g, false); err != nil {
 			rt.Fatalf("greedy: %v", err)
 		}
-		p, err := LP(f, d)
+		p, err := SolveLP(f, d)
 		if err != nil { // the solver's floating point gave up: the greedy plan stands in
 			failed++
 			return
@@ -220,8 +220,8 @@
 // More seats are held than a clip has: no more than its seats at all edges.
 func TestSeatsBoundHolds(t *testing.T) {
 	f := fleet(8)
-	d := []Demand{{Peak: "p", Title: "t", Class: 1, Span: 8, Count: 500, Worth: 2}}
-	for _, p := range []*Plan{Greedy(f, d), must(LP(f, d))} {
+	d := []Demand{{Peak: "p", Title: "t", Class: 1, CellSpan: 8, Sessions: 500, Worth: 2}}
+	for _, p := range []*Plan{SolveGreedy(f, d), must(SolveLP(f, d))} {
 		sum := 0.0
 		for _, h := range p.Holds {
 			sum += h.Streams
@@ -244,12 +244,12 @@
 func TestTwoPeaksOneRoom(t *testing.T) {
 	f := fleet(8)
 	for i := range f.Boxes {
-		f.Boxes[i].Busy, f.Boxes[i].Playing = 0, 0
+		f.Boxes[i].LinkLoad, f.Boxes[i].ActiveSessions = 0, 0
 	}
-	d := []Demand{{Peak: "cheap", Title: "t", Home: 0, Span: 4, Count: 200, Worth: 1}, {Peak: "dear", Title: "u", Home: 0, Span: 4, Count: 60, Worth: 3}}
-	f.Boxes[0].Warm = 0.25
+	d := []Demand{{Peak: "cheap", Title: "t", HomeCell: 0, CellSpan: 4, Sessions: 200, Worth: 1}, {Peak: "dear", Title: "u", HomeCell: 0, CellSpan: 4, Sessions: 60, Worth: 3}}
+	f.Boxes[0].RampShare = 0.25
 	f.Boxes = slices.Delete(f.Boxes, 1, 2) // gone
-	for _, p := range []*Plan{Greedy(f, d), must(LP(f, d))} {
+	for _, p := range []*Plan{SolveGreedy(f, d), must(SolveLP(f, d))} {
 		n, cold := map[string]float64{}, 0.0
 		for _, h := range p.Holds {
 			n[h.Peak] += h.Streams
@@ -298,12 +298,12 @@
 		l := NewLedger()
 		boxes, titles := []string{"a", "b", "c"}, []string{"t", "u"}
 		draw := func(name string) float64 { return rapid.Float64Range(0, 100).Draw(t, name) }
-		sizes := map[string]Size{}
+		sizes := map[string]BoxCapacity{}
 		key := func() Key {
 			return Key{rapid.SampledFrom([]string{"p", "q"}).Draw(t, "peak"), rapid.SampledFrom(titles).Draw(t, "title"), rapid.SampledFrom(boxes).Draw(t, "box")}
 		}
 		seq := uint64(0)
-		var last []Use
+		var last []Usage
 		plan := map[Key]Hold{}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
@@ -325,13 +325,13 @@
 				seq++
 				last = nil
 				for range rapid.IntRange(0, 4).Draw(t, "uses") {
-					last = append(last, Use{key(), draw("used"), draw("used streams")})
+					last = append(last, Usage{key(), draw("used"), draw("used streams")})
 				}
-				l.Report("e"+fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "edge")), seq, int64(step), last)
+				l.RecordReport("e"+fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "edge")), seq, int64(step), last)
 			case 3: // a report told again, or older, changes nothing
 				before := fmt.Sprint(l.Accounts())
-				for e, r := range l.edges {
-					if l.Report(e, r.seq, int64(step), nil) {
+				for e, r := range l.reports {
+					if l.RecordReport(e, r.seq, int64(step), nil) {
 						t.Fatal("an old report was taken")
 					}
 				}
@@ -339,24 +339,24 @@
 					t.Fatalf("%s became %s", before, after)
 				}
 			case 4: // drain, die, return
-				sizes = map[string]Size{}
+				sizes = map[string]BoxCapacity{}
 				for _, b := range boxes {
 					if rapid.Bool().Draw(t, "listed") {
-						sizes[b] = Size{draw("size"), draw("size streams"), draw("other"), draw("other streams")}
+						sizes[b] = BoxCapacity{draw("size"), draw("size streams"), draw("other"), draw("other streams")}
 					}
 				}
-				l.Resize(sizes)
+				l.SetCapacities(sizes)
 			case 5: // an edge restarts or falls silent
-				l.Expire(int64(step - 3))
+				l.ExpireReports(int64(step - 3))
 			case 6:
-				l.Coming(map[string]float64{PeakTitle("p", "t"): draw("coming")})
+				l.SetExpectedSessions(map[string]float64{PeakTitleKey("p", "t"): draw("coming")})
 			}
 			for b, a := range l.Accounts() {
 				if math.Abs(a.Held+a.Used+a.Free-a.Size) > 1e-6 || a.Held < 0 || a.Held > max(a.Size-a.Used, 0)+1e-6 {
 					t.Fatalf("%s: %+v", b, a)
 				}
 			}
-			for _, h := range l.Held() {
+			for _, h := range l.RemainingHolds() {
 				p := plan[Key{h.Peak, h.Title, h.Box}]
 				if _, listed := sizes[h.Box]; h.Rate > p.Rate+1e-9 || h.Streams > p.Streams+1e-9 || !listed {
 					t.Fatalf("held %+v of planned %+v, listed %v", h, p, listed)
@@ -373,19 +373,19 @@
 	i := 7
 	d := demands(f, 20, func(n int) int { i = i*1103515245 + 12345; return int(uint32(i)>>8) % n })
 	for j := range d {
-		d[j].Count *= 3
+		d[j].Sessions *= 3
 	}
-	g := Greedy(f, d)
+	g := SolveGreedy(f, d)
 	b.Run("greedy", func(b *testing.B) {
 		for b.Loop() {
-			Greedy(f, d)
+			SolveGreedy(f, d)
 		}
 		b.ReportMetric(g.Value, "worth/s")
 	})
 	b.Run("lp", func(b *testing.B) {
 		var p *Plan
 		for b.Loop() {
-			p = must(LP(f, d))
+			p = must(SolveLP(f, d))
 		}
 		b.ReportMetric(p.Value, "worth/s")
 	})
--- a/internal/planner/copies.go
+++ b/internal/planner/copies.go
@@ -31,8 +31,8 @@
 // have copies managed.
 type copyState struct {
 	manager        *copies.Manager
-	decisions      *mapping.Board
-	drift          *mapping.Drift
+	decisions      *mapping.Decisions
+	drift          *mapping.DriftTracker
 	titleSizes     map[string]float64 // kB, as boxes report them
 	lastChoice     mapping.Choice
 	lastDriftAt    int64
@@ -43,11 +43,11 @@
 
 func (p *Planner) newCopyState() copyState {
 	settings := p.Site.Copies
-	state := copyState{decisions: mapping.NewBoard(), drift: mapping.NewDrift(driftHalfLife),
+	state := copyState{decisions: mapping.NewDecisions(), drift: mapping.NewDriftTracker(driftHalfLife),
 		titleSizes: map[string]float64{}}
 	if settings.Managed {
-		state.manager = copies.New(copies.Rules{Least: settings.Least, AtOnce: settings.AtOnce, Share: settings.Share,
-			Grace: settings.Grace.D(), Patience: settings.Patience.D(), Backoff: settings.Backoff.D()})
+		state.manager = copies.New(copies.Config{MinCopies: settings.Least, MaxConcurrent: settings.AtOnce, LinkShare: settings.Share,
+			DropGrace: settings.Grace.D(), ProgressTimeout: settings.Patience.D(), Backoff: settings.Backoff.D()})
 	}
 	return state
 }
@@ -95,17 +95,17 @@
 	*knownVersion, *lastRead, *misses = list.Version+1, time.Now(), 0
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	inventory := copies.Inventory{Boot: list.Boot, Free: list.Free, Copies: map[string]copies.Copy{}}
+	inventory := copies.Inventory{BootID: list.Boot, FreeDisk: list.Free, Copies: map[string]copies.Copy{}}
 	for _, t := range list.Titles {
-		inventory.Copies[t.Name] = copies.Copy{Whole: t.Whole, Copying: t.Copying, Done: t.Done, Size: t.Size,
-			Playing: t.Playing, Error: t.Error}
+		inventory.Copies[t.Name] = copies.Copy{Complete: t.Whole, InProgress: t.Copying, Copied: t.Done, Size: t.Size,
+			Sessions: t.Playing, Error: t.Error}
 		if t.Size > 0 && p.copyState.titleSizes[t.Name] != t.Size {
 			p.copyState.titleSizes[t.Name] = t.Size
 			p.updateManagerTitle(t.Name)
 		}
 	}
 	p.updateManagerBoxes()
-	p.copyState.manager.Saw(addr, inventory, time.Now().UnixMilli())
+	p.copyState.manager.HandleInventory(addr, inventory, time.Now().UnixMilli())
 	p.updateHolders()
 }
 
@@ -143,7 +143,7 @@
 		manager.RemoveTitle(name)
 		return
 	}
-	manager.SetTitle(copies.Title{Name: name, Size: p.copyState.titleSizes[name], Base: p.baseBoxes(t)})
+	manager.SetTitle(copies.Title{Name: name, Size: p.copyState.titleSizes[name], PermanentBoxes: p.baseBoxes(t)})
 }
 
 // updateManagerBoxes passes the monitored boxes to the copy manager. p.mu is held.
@@ -155,8 +155,8 @@
 	for id, b := range p.monitor.boxes {
 		if b.effectiveState() != view.StateGone {
 			link := b.box.Weight * float64(p.Site.Links.PerWeight)
-			boxes = append(boxes, copies.Box{ID: id, Ready: b.effectiveState() == view.StateReady, Link: link,
-				Busy: b.linkUtilization * link})
+			boxes = append(boxes, copies.Box{ID: id, Ready: b.effectiveState() == view.StateReady, LinkCapacity: link,
+				LinkLoad: b.linkUtilization * link})
 		}
 	}
 	p.copyState.manager.SetBoxes(boxes)
@@ -165,7 +165,7 @@
 // updateHolders sets the holders of each title in the view from the copy manager. p.mu is held.
 func (p *Planner) updateHolders() {
 	manager := p.copyState.manager
-	if manager == nil || !manager.Known() {
+	if manager == nil || !manager.AllReported() {
 		return
 	}
 	for name, t := range p.monitor.titles {
@@ -204,7 +204,7 @@
 		now := time.Now().UnixMilli()
 		p.updateManagerBoxes()
 		p.updateWantedCopies(now)
-		commands := p.copyState.manager.Step(now)
+		commands := p.copyState.manager.NextCommands(now)
 		p.copyState.commandsSent += len(commands)
 		p.updateHolders() // publishes the removal of a holder before its copy is dropped
 		p.mu.Unlock()
@@ -226,7 +226,7 @@
 	query, method := url.Values{"epoch": {strconv.FormatUint(p.epoch, 10)}}, "DELETE"
 	if c.Kind == copies.Fetch {
 		method = "PUT"
-		query.Set("from", c.From)
+		query.Set("from", c.Source)
 		query.Set("rate", strconv.FormatFloat(c.Rate, 'f', 3, 64))
 		query.Set("size", strconv.FormatFloat(c.Size, 'f', 0, 64))
 	}
@@ -235,11 +235,11 @@
 	switch {
 	case err != nil:
 	case r.Status/100 == 2:
-		answer = copies.Taken
+		answer = copies.Accepted
 	case r.Status == 507:
 		answer = copies.NoSpace
 	case r.Status == 409 && string(r.Get("rainpulley-reason")) == "epoch":
-		answer = copies.Outdated
+		answer = copies.Superseded
 	case r.Status == 409:
 		answer = copies.InUse
 	}
@@ -247,19 +247,19 @@
 		return
 	}
 	p.mu.Lock()
-	p.copyState.manager.Answered(c, answer, time.Now().UnixMilli())
-	if answer != copies.Taken {
+	p.copyState.manager.HandleAnswer(c, answer, time.Now().UnixMilli())
+	if answer != copies.Accepted {
 		p.copyState.commandsFailed++
 	}
 	p.mu.Unlock()
-	p.Log.Info("copy command sent", "title", c.Title, "server", c.Box, "do", method, "from", c.From, "rate", c.Rate,
-		"taken", answer == copies.Taken, "error", err)
+	p.Log.Info("copy command sent", "title", c.Title, "server", c.Box, "do", method, "from", c.Source, "rate", c.Rate,
+		"taken", answer == copies.Accepted, "error", err)
 }
 
 // updateWantedCopies passes to the copy manager which copies are wanted beyond the permanent ones. p.mu is held.
 func (p *Planner) updateWantedCopies(now int64) {
 	state := &p.copyState
-	state.decisions.Keep(func(id string) bool {
+	state.decisions.Retain(func(id string) bool {
 		a, ok := p.peakState.book.Get(id)
 		return ok && p.needsCopies(&a, now)
 	})
@@ -273,37 +273,37 @@
 	for _, c := range slices.Concat(state.decisions.Copies(), state.driftCopies) {
 		keys = append(keys, copies.Key{Title: c.Title, Box: c.Box})
 	}
-	state.manager.Want(keys)
+	state.manager.SetExtraCopies(keys)
 }
 
 // needsCopies reports whether the copies for a peak should exist now: from the site's lead time before its earliest
 // start until its last sessions end, unless it is cancelled or no longer expected. p.mu is held.
 func (p *Planner) needsCopies(a *peaks.Announcement, now int64) bool {
-	if a.Cancelled || now < a.Start-a.Uncertain-p.Site.Copies.Ahead.D().Milliseconds() ||
-		now > a.Start+a.Uncertain+a.Length+p.sessionLength(a).Milliseconds() {
+	if a.Cancelled || now < a.Start-a.Uncertainty-p.Site.Copies.Ahead.D().Milliseconds() ||
+		now > a.Start+a.Uncertainty+a.Duration+p.sessionLength(a).Milliseconds() {
 		return false
 	}
 	follower := p.peakState.followers[a.ID]
-	return now < a.Start || follower == nil || follower.Begun() || follower.Expect(now, a, p.sessionLength(a)).Rate > 0
+	return now < a.Start || follower == nil || follower.Started() || follower.Forecast(now, a, p.sessionLength(a)).Rate > 0
 }
 
 // planDriftCopies chooses copies by the popularity of titles, as the session counts of boxes show it. p.mu is held.
 func (p *Planner) planDriftCopies(now int64) []mapping.Copy {
-	playing := p.copyState.manager.Playing()
-	p.copyState.drift.Saw(now, playing)
+	playing := p.copyState.manager.SessionsByTitle()
+	p.copyState.drift.Update(now, playing)
 	fleet := p.planFleet()
 	boxes, disk := p.mappingBoxes(fleet)
 	topRate, meanWorth := fleet.Ladder[len(fleet.Ladder)-1], 0.0
 	for _, c := range fleet.Classes {
 		meanWorth += c.Worth / float64(len(fleet.Classes))
 	}
-	var titles []mapping.Hour
+	var titles []mapping.TitleDemand
 	for name := range p.monitor.titles {
-		titles = append(titles, mapping.Hour{Title: name, Size: p.copyState.titleSizes[name], Rate: topRate,
-			Worth: meanWorth, Plays: driftHorizon.Seconds(), Zone: -1, Holders: p.baseBoxes(p.monitor.titles[name])})
+		titles = append(titles, mapping.TitleDemand{Title: name, Size: p.copyState.titleSizes[name], Rate: topRate,
+			Worth: meanWorth, DurationSeconds: driftHorizon.Seconds(), Zone: -1, Holders: p.baseBoxes(p.monitor.titles[name])})
 	}
-	slices.SortFunc(titles, func(a, b mapping.Hour) int { return strings.Compare(a.Title, b.Title) })
-	return p.copyState.drift.Copies(boxes, disk, titles, p.copyBounds(fleet, driftHorizon.Seconds()))
+	slices.SortFunc(titles, func(a, b mapping.TitleDemand) int { return strings.Compare(a.Title, b.Title) })
+	return p.copyState.drift.PlanCopies(boxes, disk, titles, p.copyBounds(fleet, driftHorizon.Seconds()))
 }
 
 // mappingBoxes returns the boxes of the fleet for the choice of copies, with their free disk in kB. p.mu is held.
@@ -312,8 +312,8 @@
 	for _, b := range fleet.Boxes {
 		state := p.monitor.boxes[b.ID]
 		boxes = append(boxes, mapping.Box{ID: b.ID, Zone: p.Site.Zone(state.box.Zone), Rack: b.Rack, Cell: b.Cell,
-			Link: b.Link, Busy: b.Busy, Streams: max(b.Streams-b.Playing, 0)})
-		disk[b.ID] = p.copyState.manager.Free(b.ID)
+			LinkCapacity: b.LinkCapacity, LinkLoad: b.LinkLoad, FreeStreams: max(b.MaxStreams-b.ActiveSessions, 0)})
+		disk[b.ID] = p.copyState.manager.FreeDisk(b.ID)
 	}
 	return boxes, disk
 }
@@ -324,11 +324,11 @@
 	settings := p.Site.Copies
 	ratePerCopy := 0.0
 	for _, b := range fleet.Boxes {
-		ratePerCopy += max(min(settings.Share*b.Link, b.Link-b.Busy), 0) /
+		ratePerCopy += max(min(settings.Share*b.LinkCapacity, b.LinkCapacity-b.LinkLoad), 0) /
 			float64(len(fleet.Boxes)*max(settings.AtOnce, 1))
 	}
-	return mapping.Bounds{Fill: peaks.Fill, Price: fleet.CopyPrice(), Copies: settings.Most, Each: ratePerCopy,
-		Within: copyTimeMargin * within}
+	return mapping.Bounds{MaxUtilization: peaks.MaxUtilization, PricePerKB: fleet.CopyPricePerKB(), MaxCopiesPerTitle: settings.Most, CopyRate: ratePerCopy,
+		SecondsUntilPeak: copyTimeMargin * within}
 }
 
 // chooseCopies chooses copies for the peaks without a valid decision. It solves the linear program without holding
@@ -348,8 +348,8 @@
 	}
 	var open []peaks.Announcement
 	for _, a := range p.peakState.book.List() {
-		if p.needsCopies(&a, now) && p.copyState.decisions.Open(a.ID, a.Version, readyCount, ready) &&
-			p.copyState.manager.Known() {
+		if p.needsCopies(&a, now) && p.copyState.decisions.NeedsDecision(a.ID, a.Version, readyCount, ready) &&
+			p.copyState.manager.AllReported() {
 			open = append(open, a)
 		}
 	}
@@ -360,7 +360,7 @@
 	fleet := p.planFleet()
 	boxes, disk := p.mappingBoxes(fleet)
 	var demands []peaks.Demand
-	var hours []mapping.Hour
+	var hours []mapping.TitleDemand
 	earliestStart := open[0].Start
 	for _, a := range open {
 		earliestStart = min(earliestStart, a.Start)
@@ -372,25 +372,25 @@
 	}
 	bounds := p.copyBounds(fleet, float64(max(earliestStart-now, 0))/1000)
 	p.mu.Unlock()
-	choice := mapping.Choose(fleet, demands, hours, boxes, disk, bounds, p.Copies, time.Now, solveBudget)
+	choice := mapping.ChooseCopies(fleet, demands, hours, boxes, disk, bounds, p.Copies, time.Now, solveBudget)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range open {
-		p.copyState.decisions.Decide(a.ID, a.Version, readyCount, ready, choice.Copies)
+		p.copyState.decisions.Record(a.ID, a.Version, readyCount, ready, choice.Copies)
 	}
 	p.copyState.lastChoice = choice
-	p.Log.Info("copies chosen", "hours", len(open), "copies", len(choice.Copies), "by", choice.By,
-		"worth_without", choice.None, "worth_greedy", choice.Greedy, "worth", choice.Best, "took", choice.Took,
-		"within_s", bounds.Within, "each_kb_s", bounds.Each)
+	p.Log.Info("copies chosen", "hours", len(open), "copies", len(choice.Copies), "by", choice.Method,
+		"worth_without", choice.NoCopiesValue, "worth_greedy", choice.GreedyValue, "worth", choice.BestValue, "took", choice.Elapsed,
+		"within_s", bounds.SecondsUntilPeak, "each_kb_s", bounds.CopyRate)
 }
 
 // copyDemand returns the expected demand for one title of a peak. The boxes of copies that are already decided count
 // as holders. The result is false where no demand is expected. p.mu is held.
 func (p *Planner) copyDemand(a *peaks.Announcement, name string, fleet *peaks.Fleet,
-	ready func(string) bool) (peaks.Demand, mapping.Hour, bool) {
-	d, _ := p.peakDemand(a, name, a.Rate/float64(len(a.Titles)), time.Duration(a.Length)*time.Millisecond)
-	if d.Count <= 0 {
-		return d, mapping.Hour{}, false
+	ready func(string) bool) (peaks.Demand, mapping.TitleDemand, bool) {
+	d, _ := p.peakDemand(a, name, a.Rate/float64(len(a.Titles)), time.Duration(a.Duration)*time.Millisecond)
+	if d.Sessions <= 0 {
+		return d, mapping.TitleDemand{}, false
 	}
 	for _, c := range p.copyState.decisions.Copies() {
 		if c.Title == name && ready(c.Box) {
@@ -399,11 +399,11 @@
 	}
 	slices.Sort(d.Holders)
 	d.Holders = slices.Compact(d.Holders)
-	d.Count = fleet.Wanted(&d)
-	rung := fleet.EvenRung(&d)
+	d.Sessions = fleet.SessionsWithinSeats(&d)
+	rung := fleet.EvenShareRung(&d)
 	class := fleet.Classes[d.Class]
-	return d, mapping.Hour{Peak: a.ID, Title: name, Size: p.copyState.titleSizes[name],
-		Rate: d.Count * fleet.Ladder[rung] * class.Factor, Streams: d.Count,
-		Worth: d.Count * d.Worth * fleet.Worths[rung], Plays: float64(a.Length)/1000 + p.sessionLength(a).Seconds(),
+	return d, mapping.TitleDemand{Peak: a.ID, Title: name, Size: p.copyState.titleSizes[name],
+		Rate: d.Sessions * fleet.Ladder[rung] * class.RateFactor, Sessions: d.Sessions,
+		Worth: d.Sessions * d.Worth * fleet.RungWorths[rung], DurationSeconds: float64(a.Duration)/1000 + p.sessionLength(a).Seconds(),
 		Zone: p.Site.Zone(a.Zone), Holders: d.Holders}, true
 }
--- a/internal/planner/copies_test.go
+++ b/internal/planner/copies_test.go
@@ -34,10 +34,10 @@
 		"cancelled within the lead time": {-500, -1000, true, false},
 		"cancelled while it runs":        {20, 0, true, false},
 	} {
-		a := peaks.Announcement{ID: "p", Version: 1, Titles: []string{"t"}, Start: start, Length: 120_000, Session: 60_000, Rate: 10, Cancelled: c.cancel}
+		a := peaks.Announcement{ID: "p", Version: 1, Titles: []string{"t"}, Start: start, Duration: 120_000, SessionDuration: 60_000, Rate: 10, Cancelled: c.cancel}
 		f := &peaks.Follower{}
 		if c.begun > -1000 {
-			f.Saw(start+1000*c.begun, 100, &a)
+			f.RecordArrivals(start+1000*c.begun, 100, &a)
 		}
 		p.peakState.followers["p"] = f
 		if got := p.needsCopies(&a, start+1000*c.at); got != c.want {
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -34,7 +34,7 @@
 		return float64(len(p.peakState.book.List()))
 	})
 	gauge("held_kilobytes_per_second", "Room held for peaks.", nil, func() (kb float64) {
-		for _, h := range p.peakState.ledger.Held() {
+		for _, h := range p.peakState.ledger.RemainingHolds() {
 			kb += h.Rate
 		}
 		return kb
@@ -44,7 +44,7 @@
 		return p.peakState.plan.Value
 	})
 	if manager := p.copyState.manager; manager != nil {
-		gauge("copies_under_way", "Copies that boxes are making.", nil, func() float64 { return float64(manager.Jobs()) })
+		gauge("copies_under_way", "Copies that boxes are making.", nil, func() float64 { return float64(manager.RunningJobs()) })
 		gauge("copies_wanted", "Copies beyond those at rest that are decided.", nil, func() float64 {
 			return float64(len(p.copyState.decisions.Copies()) + len(p.copyState.driftCopies))
 		})
@@ -55,7 +55,7 @@
 			return float64(p.copyState.commandsFailed)
 		})
 		gauge("copies_outdated", "1: boxes obey a later planner, this one commands no more.", nil, func() float64 {
-			if manager.Outdated() {
+			if manager.Superseded() {
 				return 1
 			}
 			return 0
--- a/internal/planner/peaks.go
+++ b/internal/planner/peaks.go
@@ -28,7 +28,7 @@
 
 // peakState is the planner's state of announced peaks; guarded by Planner.mu.
 type peakState struct {
-	book            *peaks.Book
+	book            *peaks.AnnouncementStore
 	ledger          *peaks.Ledger
 	followers       map[string]*peaks.Follower // by peak
 	lastArrivals    map[string]float64         // last reported count, by edge instance, peak and title
@@ -40,14 +40,14 @@
 }
 
 func newPeakState() peakState {
-	return peakState{book: peaks.NewBook(), ledger: peaks.NewLedger(), followers: map[string]*peaks.Follower{},
+	return peakState{book: peaks.NewAnnouncementStore(), ledger: peaks.NewLedger(), followers: map[string]*peaks.Follower{},
 		lastArrivals: map[string]float64{}, pendingArrivals: map[string]float64{}, edgeInstances: map[string]string{},
 		plan: &peaks.Plan{}, fileReadTimes: map[string]time.Time{}}
 }
 
 // knownNames returns the zones, classes and titles that an announcement may refer to. p.mu is held.
-func (p *Planner) knownNames() peaks.Known {
-	known := peaks.Known{Zones: p.Site.Zones, Titles: map[string]bool{}}
+func (p *Planner) knownNames() peaks.KnownNames {
+	known := peaks.KnownNames{Zones: p.Site.Zones, Titles: map[string]bool{}}
 	for _, c := range p.Site.Classes {
 		known.Classes = append(known.Classes, c.Name)
 	}
@@ -97,7 +97,7 @@
 func (p *Planner) registerPeakRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /v1/peaks", func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock()
-		response := map[string]any{"peaks": p.peakState.book.List(), "holds": p.peakState.ledger.Held(),
+		response := map[string]any{"peaks": p.peakState.book.List(), "holds": p.peakState.ledger.RemainingHolds(),
 			"accounts": p.peakState.ledger.Accounts(), "plan": map[string]any{"by": p.peakState.plan.By,
 				"value": p.peakState.plan.Value, "took_ms": p.peakState.plan.Took.Seconds() * 1000}}
 		p.mu.Unlock()
@@ -122,7 +122,7 @@
 	var a peaks.Announcement
 	err := readJSON(w, r, &a)
 	if err == nil && a.ID != r.PathValue("id") {
-		err = &peaks.FieldError{Field: "id", Why: "differs from the path's"}
+		err = &peaks.FieldError{Field: "id", Reason: "differs from the path's"}
 	}
 	changed := false
 	if err == nil {
@@ -168,9 +168,9 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	uses := make([]peaks.Use, 0, len(report.Usage))
+	uses := make([]peaks.Usage, 0, len(report.Usage))
 	for _, x := range report.Usage {
-		uses = append(uses, peaks.Use{Key: peaks.Key{Peak: x.Peak, Title: x.Title, Box: x.Box}, Rate: x.Rate,
+		uses = append(uses, peaks.Usage{Key: peaks.Key{Peak: x.Peak, Title: x.Title, Box: x.Box}, Rate: x.Rate,
 			Streams: x.Streams})
 	}
 	p.mu.Lock()
@@ -178,12 +178,12 @@
 	state := &p.peakState
 	position, _, _ := strings.Cut(report.Edge, ".")
 	if old := state.edgeInstances[position]; old != report.Edge { // restarted: it reports the sessions it took over
-		state.ledger.Drop(old)
+		state.ledger.RemoveEdge(old)
 		state.edgeInstances[position] = report.Edge
 	}
-	if state.ledger.Report(report.Edge, report.Seq, time.Now().UnixMilli(), uses) {
+	if state.ledger.RecordReport(report.Edge, report.Seq, time.Now().UnixMilli(), uses) {
 		for _, x := range report.Arrivals {
-			k := report.Edge + "\x00" + peaks.PeakTitle(x.Peak, x.Title)
+			k := report.Edge + "\x00" + peaks.PeakTitleKey(x.Peak, x.Title)
 			if last, seen := state.lastArrivals[k]; seen && x.Count > last {
 				state.pendingArrivals[x.Peak] += x.Count - last
 			}
@@ -216,7 +216,7 @@
 		p.mu.Lock()
 		p.peakState.plan = plan
 		p.peakState.ledger.SetPlan(plan.Holds)
-		p.peakState.ledger.Coming(expectedSessions)
+		p.peakState.ledger.SetExpectedSessions(expectedSessions)
 		p.publishHolds()
 		p.mu.Unlock()
 	}
@@ -228,7 +228,7 @@
 	case "none":
 		return &peaks.Plan{}
 	case "greedy":
-		return peaks.Greedy(fleet, demands)
+		return peaks.SolveGreedy(fleet, demands)
 	}
 	plan, err := solver.Plan(fleet, demands)
 	if err != nil {
@@ -237,15 +237,15 @@
 	if p.Holds == "all" {
 		return plan
 	}
-	return peaks.Paying(fleet, demands, plan)
+	return peaks.KeepProfitableHolds(fleet, demands, plan)
 }
 
 // forecast returns the fleet, the demand expected from each peak, and the sessions still expected by peak and title.
 // p.mu is held.
 func (p *Planner) forecast(now int64) (*peaks.Fleet, []peaks.Demand, map[string]float64) {
 	state := &p.peakState
-	state.book.Forget(now)
-	state.ledger.Expire(now - usageReportTTL.Milliseconds())
+	state.book.RemoveExpired(now)
+	state.ledger.ExpireReports(now - usageReportTTL.Milliseconds())
 	var demands []peaks.Demand
 	expectedSessions := map[string]float64{}
 	for _, a := range state.book.List() {
@@ -254,17 +254,17 @@
 			follower = &peaks.Follower{}
 			state.followers[a.ID] = follower
 		}
-		follower.Saw(now, state.pendingArrivals[a.ID], &a)
-		expected := follower.Expect(now, &a, p.sessionLength(&a))
+		follower.RecordArrivals(now, state.pendingArrivals[a.ID], &a)
+		expected := follower.Forecast(now, &a, p.sessionLength(&a))
 		if expected.Rate <= 0 {
 			continue
 		}
 		rate := expected.Rate / float64(len(a.Titles))
 		for _, name := range a.Titles {
-			d, arrivalSeconds := p.peakDemand(&a, name, rate, expected.Coming)
-			if d.Count > 0 {
+			d, arrivalSeconds := p.peakDemand(&a, name, rate, expected.Remaining)
+			if d.Sessions > 0 {
 				demands = append(demands, d)
-				expectedSessions[peaks.PeakTitle(a.ID, name)] = rate * arrivalSeconds
+				expectedSessions[peaks.PeakTitleKey(a.ID, name)] = rate * arrivalSeconds
 			}
 		}
 	}
@@ -275,7 +275,7 @@
 // sessionLength returns how long sessions of a peak play. Without an announced length it is the length of the peak's
 // first title, or else one minute. p.mu is held.
 func (p *Planner) sessionLength(a *peaks.Announcement) time.Duration {
-	lengthMs := a.Session
+	lengthMs := a.SessionDuration
 	if lengthMs <= 0 && len(a.Titles) > 0 {
 		lengthMs = p.monitor.titles[a.Titles[0]].LengthMs
 	}
@@ -300,9 +300,9 @@
 		worth = p.Site.Classes[class].Worth
 	}
 	zone := p.Site.Zone(a.Zone)
-	return peaks.Demand{Peak: a.ID, Title: name, Class: class, Home: t.HomeCell, Span: t.CellSpan, Worth: worth,
-		Holders: titleHolders(t), Zoned: zone >= 0, Zone: zone,
-		Count: rate * min(sessionSeconds, float64(a.Length)/1000)}, arrivalsFor.Seconds()
+	return peaks.Demand{Peak: a.ID, Title: name, Class: class, HomeCell: t.HomeCell, CellSpan: t.CellSpan, Worth: worth,
+		Holders: titleHolders(t), HasZone: zone >= 0, Zone: zone,
+		Sessions: rate * min(sessionSeconds, float64(a.Duration)/1000)}, arrivalsFor.Seconds()
 }
 
 // titleHolders returns a copy of a title's list of holders; nil where its cells define the holders.
@@ -318,25 +318,25 @@
 func (p *Planner) planFleet() *peaks.Fleet {
 	site := p.Site
 	fleet := &peaks.Fleet{Uplinks: make([]float64, site.Racks), Cells: site.Cells, Edges: len(site.Edges),
-		ZonePrice: site.Prices.Zone}
+		CrossZoneCost: site.Prices.Zone}
 	for i := range fleet.Uplinks {
 		fleet.Uplinks[i] = float64(site.Links.Uplink)
 	}
 	for _, r := range site.Ladder {
-		fleet.Ladder, fleet.Worths = append(fleet.Ladder, float64(r.Rate)), append(fleet.Worths, r.Worth)
+		fleet.Ladder, fleet.RungWorths = append(fleet.Ladder, float64(r.Rate)), append(fleet.RungWorths, r.Worth)
 	}
 	for _, k := range site.Classes {
-		c := peaks.Class{Factor: k.RateFactor, Floor: k.Floor, Top: len(site.Ladder) - 1, Worth: k.Worth, Seats: k.Seats}
-		if c.Factor <= 0 {
-			c.Factor = 1
+		c := peaks.Class{RateFactor: k.RateFactor, FloorRung: k.Floor, TopRung: len(site.Ladder) - 1, Worth: k.Worth, Seats: k.Seats}
+		if c.RateFactor <= 0 {
+			c.RateFactor = 1
 		}
 		if k.Top != nil {
-			c.Top = *k.Top
+			c.TopRung = *k.Top
 		}
 		fleet.Classes = append(fleet.Classes, c)
 	}
-	peakUse := p.peakState.ledger.PeakUse()
-	sizes := map[string]peaks.Size{}
+	peakUse := p.peakState.ledger.UsageByBox()
+	sizes := map[string]peaks.BoxCapacity{}
 	now := time.Now()
 	for _, b := range p.published.Boxes {
 		if b.State != view.StateReady {
@@ -347,17 +347,17 @@
 			continue
 		}
 		box := peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Zone: site.Zone(b.Zone),
-			Link: b.Weight * float64(site.Links.PerWeight), Warm: rampShare(site, b.StartedMs, now)}
+			LinkCapacity: b.Weight * float64(site.Links.PerWeight), RampShare: rampShare(site, b.StartedMs, now)}
 		if k := site.Kind(b.Kind); k >= 0 {
-			box.Streams = float64(site.Kinds[k].Streams)
+			box.MaxStreams = float64(site.Kinds[k].Streams)
 		}
 		used := peakUse[b.ID]
-		box.Busy, box.Playing = max(state.linkUtilization*box.Link-used.Rate, 0), max(state.streams-used.Streams, 0)
+		box.LinkLoad, box.ActiveSessions = max(state.linkUtilization*box.LinkCapacity-used.Rate, 0), max(state.streams-used.Streams, 0)
 		fleet.Boxes = append(fleet.Boxes, box)
-		sizes[b.ID] = peaks.Size{Rate: box.Link, Streams: box.Streams, Busy: state.linkUtilization * box.Link,
+		sizes[b.ID] = peaks.BoxCapacity{Rate: box.LinkCapacity, Streams: box.MaxStreams, Busy: state.linkUtilization * box.LinkCapacity,
 			Playing: state.streams}
 	}
-	p.peakState.ledger.Resize(sizes)
+	p.peakState.ledger.SetCapacities(sizes)
 	return fleet
 }
 
@@ -377,14 +377,14 @@
 func (p *Planner) publishHolds() {
 	state := &p.peakState
 	holds := &view.Holds{LeaseMs: holdLease.Milliseconds()}
-	for _, x := range state.ledger.Held() {
+	for _, x := range state.ledger.RemainingHolds() {
 		holds.Entries = append(holds.Entries, view.Hold{Title: x.Title, Class: p.Site.Classes[x.Class].Name, Box: x.Box,
 			Rate: x.Rate, Streams: x.Streams})
 	}
 	now := time.Now().UnixMilli()
 	for _, a := range state.book.List() {
-		if a.Cancelled || now < a.Start-a.Uncertain-arrivalCountLead.Milliseconds() ||
-			now > a.Start+a.Uncertain+2*a.Length+arrivalCountLead.Milliseconds() {
+		if a.Cancelled || now < a.Start-a.Uncertainty-arrivalCountLead.Milliseconds() ||
+			now > a.Start+a.Uncertainty+2*a.Duration+arrivalCountLead.Milliseconds() {
 			continue
 		}
 		for _, t := range a.Titles {
@@ -436,7 +436,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, a := range list {
-		if err := a.Check(p.knownNames(), time.Now().UnixMilli()); err != nil {
+		if err := a.Validate(p.knownNames(), time.Now().UnixMilli()); err != nil {
 			return fmt.Errorf("[%d]: %w", i, err)
 		}
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -141,7 +141,7 @@
 		return // no source has reported yet: the view would be an empty fleet
 	}
 	if p.published.Version == 0 && (!p.monitor.AllChecked() ||
-		p.copyState.manager != nil && !p.copyState.manager.Known()) {
+		p.copyState.manager != nil && !p.copyState.manager.AllReported()) {
 		return
 	}
 	next, viewChanged := p.monitor.View()
--- a/internal/scenario/paced.go
+++ b/internal/scenario/paced.go
@@ -66,10 +66,10 @@
 	f := r.fleet.True()
 	p := &paced{r: r, racks: make([]float64, len(f.Uplinks)), holders: map[string][]*pacedBox{}, seated: map[[2]string]int{}, ahead: ahead}
 	for _, u := range f.Uplinks { // True divides by what plans fill to
-		p.uplinks = append(p.uplinks, u*peaks.Fill)
+		p.uplinks = append(p.uplinks, u*peaks.MaxUtilization)
 	}
 	for i := range f.Boxes {
-		b := &pacedBox{id: f.Boxes[i].ID, rack: f.Boxes[i].Rack, link: f.Boxes[i].Link * peaks.Fill, streams: f.Boxes[i].Streams}
+		b := &pacedBox{id: f.Boxes[i].ID, rack: f.Boxes[i].Rack, link: f.Boxes[i].LinkCapacity * peaks.MaxUtilization, streams: f.Boxes[i].MaxStreams}
 		p.boxes = append(p.boxes, b)
 		for _, t := range r.Site.Titles {
 			if n := f.Cells; spread && r.inPeak(t.Name) || ((f.Boxes[i].Cell-t.Home)%n+n)%n < t.Span {
--- a/internal/scenario/peak.go
+++ b/internal/scenario/peak.go
@@ -37,9 +37,9 @@
 		if rate <= 0 {
 			rate = p.Rate
 		}
-		a := peaks.Announcement{ID: fmt.Sprint("peak-", i), Version: 1, Class: p.Class, Rate: rate * r.Speed, Session: r.session(p.Class),
-			Start: now.Add(time.Duration(float64(p.At.D()+p.Off.D()) / r.Speed)).UnixMilli(), Uncertain: int64(float64(p.Uncertain.D().Milliseconds()) / r.Speed),
-			Length: int64(float64(p.Length.D().Milliseconds()) / r.Speed)}
+		a := peaks.Announcement{ID: fmt.Sprint("peak-", i), Version: 1, Class: p.Class, Rate: rate * r.Speed, SessionDuration: r.session(p.Class),
+			Start: now.Add(time.Duration(float64(p.At.D()+p.Off.D()) / r.Speed)).UnixMilli(), Uncertainty: int64(float64(p.Uncertain.D().Milliseconds()) / r.Speed),
+			Duration: int64(float64(p.Length.D().Milliseconds()) / r.Speed)}
 		for k := range p.Titles {
 			a.Titles = append(a.Titles, r.Site.Titles[p.First+k].Name)
 		}
@@ -191,7 +191,7 @@
 				return
 			}
 			f, demands, all := r.wanted(wants, t, spread)
-			p, err := peaks.LP(f, demands)
+			p, err := peaks.SolveLP(f, demands)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -217,7 +217,7 @@
 func (r *Run) wanted(wants []want, t float64, spread bool) (*peaks.Fleet, []peaks.Demand, float64) {
 	f := r.fleet.True()
 	for _, g := range r.Site.Ladder {
-		f.Ladder, f.Worths = append(f.Ladder, float64(g.Rate)), append(f.Worths, g.Worth)
+		f.Ladder, f.RungWorths = append(f.Ladder, float64(g.Rate)), append(f.RungWorths, g.Worth)
 	}
 	type group struct {
 		title       string
@@ -235,11 +235,11 @@
 		for class, k := range r.Site.Classes {
 			for best := range r.Site.Ladder {
 				if c := n[group{title.Name, class, best}]; c > 0 {
-					f.Classes = append(f.Classes, peaks.Class{Factor: k.RateFactor, Floor: k.Floor, Top: best, Worth: k.Worth})
+					f.Classes = append(f.Classes, peaks.Class{RateFactor: k.RateFactor, FloorRung: k.Floor, TopRung: best, Worth: k.Worth})
 					d := peaks.Demand{Peak: "all", Title: fmt.Sprint(title.Name, class, best), Class: len(f.Classes) - 1,
-						Home: title.Home, Span: title.Span, Count: c, Worth: k.Worth}
+						HomeCell: title.Home, CellSpan: title.Span, Sessions: c, Worth: k.Worth}
 					if spread && r.inPeak(title.Name) {
-						d.Span = f.Cells
+						d.CellSpan = f.Cells
 					}
 					demands = append(demands, d)
 				}
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -263,13 +263,13 @@
 func (f *Fleet) True() *peaks.Fleet {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := &peaks.Fleet{Cells: f.Site.Cells, Idle: true}
+	out := &peaks.Fleet{Cells: f.Site.Cells, NoCompetingLoad: true}
 	for _, u := range f.uplinks {
-		out.Uplinks = append(out.Uplinks, u/peaks.Fill)
+		out.Uplinks = append(out.Uplinks, u/peaks.MaxUtilization)
 	}
 	for i, b := range f.Boxes {
-		out.Boxes = append(out.Boxes, peaks.Box{ID: b.Addr, Rack: b.rack, Cell: f.Site.Boxes[i].Cell, Link: b.link / peaks.Fill,
-			Streams: float64(b.streams), Warm: 1})
+		out.Boxes = append(out.Boxes, peaks.Box{ID: b.Addr, Rack: b.rack, Cell: f.Site.Boxes[i].Cell, LinkCapacity: b.link / peaks.MaxUtilization,
+			MaxStreams: float64(b.streams), RampShare: 1})
 	}
 	return out
 }
