--- a/internal/copies/copies.go
+++ b/internal/copies/copies.go
@@ -133,17 +133,17 @@
 // SetBoxes tells the fleet. A box that is not named is gone; what it said of its copies is not believed
 // any longer, as it may come back without them.
 func (m *Manager) SetBoxes(list []Box) {
-	seen := map[string]bool{}
+	listed := map[string]bool{}
 	for _, b := range list {
-		seen[b.ID] = true
-		if o := m.boxes[b.ID]; o != nil {
-			o.Box = b
+		listed[b.ID] = true
+		if existing := m.boxes[b.ID]; existing != nil {
+			existing.Box = b
 		} else {
 			m.boxes[b.ID] = &boxState{Box: b}
 		}
 	}
 	for id := range m.boxes {
-		if !seen[id] {
+		if !listed[id] {
 			delete(m.boxes, id)
 		}
 	}
@@ -158,24 +158,24 @@
 }
 
 // Saw takes a box's inventory.
-func (m *Manager) HandleInventory(id string, inv Inventory, now int64) {
-	b := m.boxes[id]
-	if b == nil {
+func (m *Manager) HandleInventory(id string, inventory Inventory, now int64) {
+	state := m.boxes[id]
+	if state == nil {
 		return
 	}
-	b.reported, b.inventory = true, inv
+	state.reported, state.inventory = true, inventory
 	for k, j := range m.jobs {
 		if k.Box != id || !j.running {
 			continue
 		}
-		c, there := inv.Copies[k.Title]
+		c, present := inventory.Copies[k.Title]
 		switch {
 		case c.Complete:
 			delete(m.jobs, k)
 		case c.Copied > j.copied:
 			j.copied, j.lastProgressAt = c.Copied, now
 		}
-		if there && c.InProgress || c.Complete {
+		if present && c.InProgress || c.Complete {
 			continue
 		}
 		if now-j.sentAt > time.Second.Milliseconds() { // an inventory from before the command says nothing of it
@@ -183,13 +183,13 @@
 		}
 	}
 	for k := range m.dropSentAt {
-		if _, there := inv.Copies[k.Title]; k.Box == id && !there {
+		if _, present := inventory.Copies[k.Title]; k.Box == id && !present {
 			delete(m.dropSentAt, k)
 			delete(m.withdrawnAt, k)
 		}
 	}
 	for k := range m.withdrawnAt {
-		if c := inv.Copies[k.Title]; k.Box == id && !c.Complete {
+		if c := inventory.Copies[k.Title]; k.Box == id && !c.Complete {
 			delete(m.withdrawnAt, k)
 		}
 	}
@@ -202,13 +202,13 @@
 }
 
 // Answered takes a box's answer to a command.
-func (m *Manager) HandleAnswer(c Command, a Answer, now int64) {
-	k := Key{c.Title, c.Box}
-	if a == Superseded {
+func (m *Manager) HandleAnswer(command Command, answer Answer, now int64) {
+	k := Key{command.Title, command.Box}
+	if answer == Superseded {
 		m.superseded = true
 	}
-	if c.Kind == Drop {
-		if a != Accepted {
+	if command.Kind == Drop {
+		if answer != Accepted {
 			delete(m.dropSentAt, k) // it stays told no more, and is tried again
 			if _, ok := m.withdrawnAt[k]; ok {
 				m.withdrawnAt[k] = max(m.withdrawnAt[k], now-m.DropGrace.Milliseconds()+m.Backoff.Milliseconds())
@@ -216,9 +216,9 @@
 		}
 		return
 	}
-	if j := m.jobs[k]; j != nil && j.running && a != Accepted {
+	if j := m.jobs[k]; j != nil && j.running && answer != Accepted {
 		j.recordFailure(now, m.Backoff)
-		if a == NoSpace {
+		if answer == NoSpace {
 			j.retryAt = now + 8*m.Backoff.Milliseconds()
 		}
 	}
@@ -241,8 +241,8 @@
 
 // told tells a holder that is published.
 func (m *Manager) isPublished(k Key) bool {
-	_, out := m.withdrawnAt[k]
-	return m.isComplete(k) && !out && m.titles[k.Title] != nil
+	_, withdrawn := m.withdrawnAt[k]
+	return m.isComplete(k) && !withdrawn && m.titles[k.Title] != nil
 }
 
 // Holders are a title's holders for edges, in order.
@@ -258,9 +258,9 @@
 }
 
 // ready are the told holders that take new work.
-func (m *Manager) countReadyHolders(title string, but string) (n int) {
+func (m *Manager) countReadyHolders(title string, exceptBox string) (n int) {
 	for id, b := range m.boxes {
-		if id != but && b.Ready && m.isPublished(Key{title, id}) {
+		if id != exceptBox && b.Ready && m.isPublished(Key{title, id}) {
 			n++
 		}
 	}
@@ -307,7 +307,7 @@
 		}
 	}
 	for _, k := range m.reportedKeys() { // of a title that is no more
-		if _, out := m.withdrawnAt[k]; !out && m.titles[k.Title] == nil && m.isComplete(k) {
+		if _, withdrawn := m.withdrawnAt[k]; !withdrawn && m.titles[k.Title] == nil && m.isComplete(k) {
 			m.withdrawnAt[k] = now
 		}
 	}
@@ -336,9 +336,9 @@
 		if at, sent := m.dropSentAt[k]; sent && now-at < dropRetryMs {
 			continue
 		}
-		since, retired := m.withdrawnAt[k]
+		since, withdrawn := m.withdrawnAt[k]
 		switch {
-		case c.Complete && (!retired || now-since < m.DropGrace.Milliseconds() || c.Sessions > 0):
+		case c.Complete && (!withdrawn || now-since < m.DropGrace.Milliseconds() || c.Sessions > 0):
 			continue
 		case c.Complete && m.titles[k.Title] != nil && m.countReadyHolders(k.Title, k.Box) < m.MinCopies:
 			continue
@@ -354,53 +354,53 @@
 
 // fetches starts the copies that are wanted and missing, those of titles with fewest holders first.
 func (m *Manager) fetchCommands(now int64) (out []Command) {
-	in, from := map[string]int{}, map[string]int{}
-	for k, j := range m.jobs {
+	incoming, outgoing := map[string]int{}, map[string]int{}
+	for k, job := range m.jobs {
 		if !m.isWanted(k) || m.boxes[k.Box] == nil {
 			delete(m.jobs, k)
 			continue
 		}
-		if j.running && now-max(j.lastProgressAt, j.sentAt) > m.ProgressTimeout.Milliseconds() {
-			j.recordFailure(now, m.Backoff)
-			j.retryAt = now // another source at once
+		if job.running && now-max(job.lastProgressAt, job.sentAt) > m.ProgressTimeout.Milliseconds() {
+			job.recordFailure(now, m.Backoff)
+			job.retryAt = now // another source at once
 		}
-		if j.running {
-			in[k.Box]++
-			from[j.source]++
+		if job.running {
+			incoming[k.Box]++
+			outgoing[job.source]++
 		}
 	}
-	unled := m.untrackedCopies()
-	for k := range unled {
-		in[k.Box]++
+	untracked := m.untrackedCopies()
+	for k := range untracked {
+		incoming[k.Box]++
 	}
 	for _, k := range m.missingCopies() {
-		b, t, j := m.boxes[k.Box], m.titles[k.Title], m.jobs[k]
-		others := in[k.Box]
-		if unled[k] {
-			others--
+		state, title, job := m.boxes[k.Box], m.titles[k.Title], m.jobs[k]
+		concurrent := incoming[k.Box]
+		if untracked[k] {
+			concurrent--
 		}
-		if j != nil && (j.running || now < j.retryAt) || others >= m.MaxConcurrent {
+		if job != nil && (job.running || now < job.retryAt) || concurrent >= m.MaxConcurrent {
 			continue
 		}
-		if _, begun := b.inventory.Copies[k.Title]; !begun && t.Size > b.inventory.FreeDisk { // what is begun has its room already
+		if _, started := state.inventory.Copies[k.Title]; !started && title.Size > state.inventory.FreeDisk { // what is begun has its room already
 			continue
 		}
-		last := ""
-		if j != nil {
-			last = j.source
+		lastSource := ""
+		if job != nil {
+			lastSource = job.source
 		}
-		src := m.chooseSource(k, last, from)
-		if src == nil {
+		source := m.chooseSource(k, lastSource, outgoing)
+		if source == nil {
 			continue
 		}
-		if j == nil {
-			j = &copyJob{}
-			m.jobs[k] = j
+		if job == nil {
+			job = &copyJob{}
+			m.jobs[k] = job
 		}
-		j.source, j.running, j.sentAt, j.lastProgressAt, j.copied = src.ID, true, now, now, b.inventory.Copies[k.Title].Copied
-		in[k.Box] = others + 1
-		from[src.ID]++
-		out = append(out, Command{Fetch, k.Title, k.Box, src.ID, m.LinkShare * min(src.LinkCapacity, b.LinkCapacity) / float64(m.MaxConcurrent), t.Size})
+		job.source, job.running, job.sentAt, job.lastProgressAt, job.copied = source.ID, true, now, now, state.inventory.Copies[k.Title].Copied
+		incoming[k.Box] = concurrent + 1
+		outgoing[source.ID]++
+		out = append(out, Command{Fetch, k.Title, k.Box, source.ID, m.LinkShare * min(source.LinkCapacity, state.LinkCapacity) / float64(m.MaxConcurrent), title.Size})
 	}
 	return out
 }
@@ -434,8 +434,8 @@
 	}
 	out = slices.DeleteFunc(out, func(k Key) bool {
 		b := m.boxes[k.Box]
-		_, going := m.dropSentAt[k]
-		return b == nil || !b.Ready || going || m.isComplete(k)
+		_, dropping := m.dropSentAt[k]
+		return b == nil || !b.Ready || dropping || m.isComplete(k)
 	})
 	holders := map[string]int{}
 	for _, k := range out {
@@ -449,10 +449,10 @@
 
 // source is the told holder with most room on its link; not the last one tried where there is another. One that
 // drains may be copied from, as what it holds is about to go; one that is hot only where all are.
-func (m *Manager) chooseSource(k Key, last string, from map[string]int) (best *boxState) {
+func (m *Manager) chooseSource(k Key, lastSource string, outgoing map[string]int) (best *boxState) {
 	better := func(a, b *boxState) bool {
-		if (a.ID == last) != (b.ID == last) {
-			return a.ID != last
+		if (a.ID == lastSource) != (b.ID == lastSource) {
+			return a.ID != lastSource
 		}
 		if a.freeLinkShare() != b.freeLinkShare() {
 			return a.freeLinkShare() > b.freeLinkShare()
@@ -460,7 +460,7 @@
 		return a.ID < b.ID
 	}
 	for id, b := range m.boxes {
-		if id != k.Box && from[id] < m.MaxConcurrent && m.isPublished(Key{k.Title, id}) && (best == nil || better(b, best)) {
+		if id != k.Box && outgoing[id] < m.MaxConcurrent && m.isPublished(Key{k.Title, id}) && (best == nil || better(b, best)) {
 			best = b
 		}
 	}
--- a/internal/copies/copies_test.go
+++ b/internal/copies/copies_test.go
@@ -10,134 +10,134 @@
 	"pgregory.net/rapid"
 )
 
-func rules() Config {
+func testConfig() Config {
 	return Config{MinCopies: 2, MaxConcurrent: 1, LinkShare: 0.2, DropGrace: 5 * time.Second, ProgressTimeout: 10 * time.Second, Backoff: time.Second}
 }
 
 // fleet is a model of boxes that do what they are told, with faults.
-type fleet struct {
-	m     *Manager
-	now   int64
-	list  []Box
-	disks map[string]map[string]*Copy
-	free  map[string]float64
-	told  map[Key]int64 // last moment at which a key was published
-	fetch map[Key]string
-	drops int
+type testFleet struct {
+	manager     *Manager
+	now         int64
+	boxes       []Box
+	disks       map[string]map[string]*Copy
+	freeDisk    map[string]float64
+	publishedAt map[Key]int64 // last moment at which a key was published
+	transfers   map[Key]string
+	drops       int
 }
 
-func newFleet(n int) *fleet {
-	f := &fleet{m: New(rules()), now: 1_000_000, disks: map[string]map[string]*Copy{}, free: map[string]float64{}, told: map[Key]int64{}, fetch: map[Key]string{}}
+func newTestFleet(n int) *testFleet {
+	f := &testFleet{manager: New(testConfig()), now: 1_000_000, disks: map[string]map[string]*Copy{}, freeDisk: map[string]float64{}, publishedAt: map[Key]int64{}, transfers: map[Key]string{}}
 	for i := range n {
 		id := fmt.Sprint("b", i)
-		f.list = append(f.list, Box{ID: id, Ready: true, LinkCapacity: 1000, LinkLoad: float64(100 * i)})
-		f.disks[id], f.free[id] = map[string]*Copy{}, 10_000
+		f.boxes = append(f.boxes, Box{ID: id, Ready: true, LinkCapacity: 1000, LinkLoad: float64(100 * i)})
+		f.disks[id], f.freeDisk[id] = map[string]*Copy{}, 10_000
 	}
 	return f
 }
 
-func (f *fleet) put(title string, boxes ...string) {
+func (f *testFleet) addCopies(title string, boxes ...string) {
 	for _, b := range boxes {
 		f.disks[b][title] = &Copy{Complete: true, Copied: 1000, Size: 1000}
 	}
 }
 
-func (f *fleet) tell() {
-	f.m.SetBoxes(f.list)
+func (f *testFleet) reportAll() {
+	f.manager.SetBoxes(f.boxes)
 	for id, d := range f.disks {
-		inv := Inventory{FreeDisk: f.free[id], Copies: map[string]Copy{}}
+		inv := Inventory{FreeDisk: f.freeDisk[id], Copies: map[string]Copy{}}
 		for t, c := range d {
 			inv.Copies[t] = *c
 		}
-		f.m.HandleInventory(id, inv, f.now)
+		f.manager.HandleInventory(id, inv, f.now)
 	}
 }
 
 // step passes time, moves copies by some kB and carries out commands.
-func (f *fleet) step(ms int64, kb float64) []Command {
+func (f *testFleet) step(ms int64, kb float64) []Command {
 	f.now += ms
-	for k, from := range f.fetch {
+	for k, from := range f.transfers {
 		c := f.disks[k.Box][k.Title]
 		src := f.disks[from][k.Title]
 		if c == nil || !c.InProgress {
-			delete(f.fetch, k)
+			delete(f.transfers, k)
 			continue
 		}
 		if src == nil || !src.Complete {
 			c.InProgress, c.Error = false, "source gone"
-			delete(f.fetch, k)
+			delete(f.transfers, k)
 			continue
 		}
 		if c.Copied = min(c.Copied+kb, c.Size); c.Copied == c.Size {
 			c.Complete, c.InProgress = true, false
-			delete(f.fetch, k)
+			delete(f.transfers, k)
 		}
 	}
-	f.tell()
-	out := f.m.NextCommands(f.now)
+	f.reportAll()
+	out := f.manager.NextCommands(f.now)
 	for _, t := range []string{"t0", "t1", "t2"} {
-		for _, b := range f.m.Holders(t) {
-			f.told[Key{t, b}] = f.now
+		for _, b := range f.manager.Holders(t) {
+			f.publishedAt[Key{t, b}] = f.now
 		}
 	}
 	return out
 }
 
-func (f *fleet) carry(c Command) Answer {
+func (f *testFleet) execute(c Command) Answer {
 	k, d := Key{c.Title, c.Box}, f.disks[c.Box]
 	if c.Kind == Drop {
 		if x := d[c.Title]; x != nil && x.Sessions > 0 {
 			return InUse
 		}
 		delete(d, c.Title)
-		delete(f.fetch, k)
+		delete(f.transfers, k)
 		f.drops++
 		return Accepted
 	}
 	if d[c.Title] == nil {
-		if f.free[c.Box] < c.Size {
+		if f.freeDisk[c.Box] < c.Size {
 			return NoSpace
 		}
 		d[c.Title] = &Copy{Size: c.Size}
 	}
 	d[c.Title].InProgress, d[c.Title].Error = true, ""
-	f.fetch[k] = c.Source
+	f.transfers[k] = c.Source
 	return Accepted
 }
 
-func (f *fleet) run(steps int, ms int64, kb float64) {
+func (f *testFleet) run(steps int, ms int64, kb float64) {
 	for range steps {
 		for _, c := range f.step(ms, kb) {
-			f.m.HandleAnswer(c, f.carry(c), f.now)
+			f.manager.HandleAnswer(c, f.execute(c), f.now)
 		}
 	}
 }
 
-func (f *fleet) holders(t *testing.T, title string, want ...string) {
+func (f *testFleet) checkHolders(t *testing.T, title string, want ...string) {
 	t.Helper()
-	if got := f.m.Holders(title); !slices.Equal(got, want) {
+	if got := f.manager.Holders(title); !slices.Equal(got, want) {
 		t.Errorf("holders %v, want %v", got, want)
 	}
 }
 
-func base(f *fleet) {
-	f.put("t0", "b0", "b1")
-	f.m.SetTitle(Title{Name: "t0", Size: 1000, PermanentBoxes: []string{"b0", "b1"}})
+func addTestTitle(f *testFleet) {
+	f.addCopies("t0", "b0", "b1")
+	f.manager.SetTitle(Title{Name: "t0", Size: 1000, PermanentBoxes: []string{"b0", "b1"}})
 	f.run(1, 100, 0)
 }
 
 // A copy is a holder once it is whole, and given back when nobody wants it: told no more, then dropped after the grace.
-func TestCopyAndGiveBack(t *testing.T) {
-	f := newFleet(4)
-	base(f)
-	f.m.SetExtraCopies([]Key{{"t0", "b2"}})
+func TestCopyIsPublishedAndDropped(t *testing.T) {
+	f := newTestFleet(4)
+	addTestTitle(f)
+	f.manager.SetExtraCopies([]Key{{"t0", "b2"}})
 	f.run(3, 1000, 400)
-	f.holders(t, "t0", "b0", "b1")
+	f.checkHolders(t, "t0", "b0", "b1")
 	f.run(2, 1000, 400)
-	f.holders(t, "t0", "b0", "b1", "b2")
-	f.m.SetExtraCopies(nil)
+	f.checkHolders(t, "t0", "b0", "b1", "b2")
+	f.manager.SetExtraCopies(nil)
 	f.run(1, 1000, 0)
-	f.holders(t, "t0", "b0", "b1")
+	f.checkHolders(t, "t0", "b0", "b1")
 	f.run(3, 1000, 0)
 	if f.disks["b2"]["t0"] == nil {
 		t.Error("dropped before the grace was over")
@@ -155,78 +155,78 @@
 }
 
 // The hard cases of copying, each caused.
-func TestTroubles(t *testing.T) {
-	for name, c := range map[string]func(t *testing.T, f *fleet){
-		"the source dies": func(t *testing.T, f *fleet) {
-			from := f.fetch[Key{"t0", "b2"}]
-			f.list = slices.DeleteFunc(f.list, func(b Box) bool { return b.ID == from })
+func TestCopyFailures(t *testing.T) {
+	for name, c := range map[string]func(t *testing.T, f *testFleet){
+		"the source dies": func(t *testing.T, f *testFleet) {
+			from := f.transfers[Key{"t0", "b2"}]
+			f.boxes = slices.DeleteFunc(f.boxes, func(b Box) bool { return b.ID == from })
 			delete(f.disks, from)
 			f.run(20, 1000, 300)
-			if !slices.Contains(f.m.Holders("t0"), "b2") {
+			if !slices.Contains(f.manager.Holders("t0"), "b2") {
 				t.Error("not copied from another")
 			}
 		},
-		"the source stalls": func(t *testing.T, f *fleet) {
-			first := f.fetch[Key{"t0", "b2"}]
+		"the source stalls": func(t *testing.T, f *testFleet) {
+			first := f.transfers[Key{"t0", "b2"}]
 			f.run(13, 1000, 0)
-			if now := f.fetch[Key{"t0", "b2"}]; now == first {
+			if now := f.transfers[Key{"t0", "b2"}]; now == first {
 				t.Errorf("still from %s", now)
 			}
 		},
-		"the target dies at 99% and returns": func(t *testing.T, f *fleet) {
+		"the target dies at 99% and returns": func(t *testing.T, f *testFleet) {
 			f.disks["b2"]["t0"].Copied = 990
 			f.run(1, 100, 0)
 			f.disks["b2"]["t0"].InProgress = false
-			delete(f.fetch, Key{"t0", "b2"})
+			delete(f.transfers, Key{"t0", "b2"})
 			f.run(5, 1000, 10)
-			if !slices.Contains(f.m.Holders("t0"), "b2") {
+			if !slices.Contains(f.manager.Holders("t0"), "b2") {
 				t.Errorf("half a copy not fetched again: %+v", f.disks["b2"]["t0"])
 			}
 		},
-		"the target dies, and the hour is cancelled": func(t *testing.T, f *fleet) {
+		"the target dies, and the hour is cancelled": func(t *testing.T, f *testFleet) {
 			f.disks["b2"]["t0"].InProgress = false
-			delete(f.fetch, Key{"t0", "b2"})
-			f.m.SetExtraCopies(nil)
+			delete(f.transfers, Key{"t0", "b2"})
+			f.manager.SetExtraCopies(nil)
 			f.run(3, 1000, 0)
 			if f.disks["b2"]["t0"] != nil {
 				t.Error("half a copy that nobody wants stays")
 			}
 		},
-		"cancelled mid-copy": func(t *testing.T, f *fleet) {
-			f.m.SetExtraCopies(nil)
+		"cancelled mid-copy": func(t *testing.T, f *testFleet) {
+			f.manager.SetExtraCopies(nil)
 			f.run(2, 1000, 100)
-			if f.disks["b2"]["t0"] != nil || f.m.RunningJobs() != 0 {
+			if f.disks["b2"]["t0"] != nil || f.manager.RunningJobs() != 0 {
 				t.Error("goes on copying")
 			}
 		},
-		"the target drains": func(t *testing.T, f *fleet) {
-			f.list[2].Ready = false
+		"the target drains": func(t *testing.T, f *testFleet) {
+			f.boxes[2].Ready = false
 			f.run(8, 1000, 200)
-			if len(f.m.Holders("t0")) != 3 || f.m.countReadyHolders("t0", "") != 2 {
-				t.Errorf("holders %v", f.m.Holders("t0"))
+			if len(f.manager.Holders("t0")) != 3 || f.manager.countReadyHolders("t0", "") != 2 {
+				t.Errorf("holders %v", f.manager.Holders("t0"))
 			}
 		},
-		"a holder at rest dies while a copy is given back": func(t *testing.T, f *fleet) {
+		"a holder at rest dies while a copy is given back": func(t *testing.T, f *testFleet) {
 			f.run(6, 1000, 300)
-			f.m.SetExtraCopies(nil)
+			f.manager.SetExtraCopies(nil)
 			f.run(2, 1000, 0)
-			f.list = f.list[1:]
+			f.boxes = f.boxes[1:]
 			delete(f.disks, "b0")
 			f.run(12, 1000, 0)
-			f.holders(t, "t0", "b1", "b2")
+			f.checkHolders(t, "t0", "b1", "b2")
 		},
-		"a later planner speaks": func(t *testing.T, f *fleet) {
-			f.m.HandleAnswer(Command{Kind: Fetch, Title: "t0", Box: "b2"}, Superseded, f.now)
-			f.m.SetExtraCopies(nil)
-			if got := f.step(1000, 0); got != nil || !f.m.Superseded() {
+		"a later planner speaks": func(t *testing.T, f *testFleet) {
+			f.manager.HandleAnswer(Command{Kind: Fetch, Title: "t0", Box: "b2"}, Superseded, f.now)
+			f.manager.SetExtraCopies(nil)
+			if got := f.step(1000, 0); got != nil || !f.manager.Superseded() {
 				t.Errorf("commands of an outdated planner: %v", got)
 			}
 		},
-		"the title is removed": func(t *testing.T, f *fleet) {
+		"the title is removed": func(t *testing.T, f *testFleet) {
 			f.run(6, 1000, 300)
-			f.m.RemoveTitle("t0")
+			f.manager.RemoveTitle("t0")
 			f.run(1, 100, 0)
-			f.holders(t, "t0")
+			f.checkHolders(t, "t0")
 			f.run(8, 1000, 0)
 			for id, d := range f.disks {
 				if d["t0"] != nil {
@@ -236,74 +236,74 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(4)
-			base(f)
-			f.m.SetExtraCopies([]Key{{"t0", "b2"}})
+			f := newTestFleet(4)
+			addTestTitle(f)
+			f.manager.SetExtraCopies([]Key{{"t0", "b2"}})
 			f.run(2, 1000, 100)
-			if f.m.RunningJobs() != 1 {
-				t.Fatalf("%d copies under way", f.m.RunningJobs())
+			if f.manager.RunningJobs() != 1 {
+				t.Fatalf("%d copies under way", f.manager.RunningJobs())
 			}
 			c(t, f)
 		})
 	}
-	hot := newFleet(4)
-	hot.list[0].LinkLoad = 990
-	base(hot)
-	hot.m.SetExtraCopies([]Key{{"t0", "b2"}})
+	hot := newTestFleet(4)
+	hot.boxes[0].LinkLoad = 990
+	addTestTitle(hot)
+	hot.manager.SetExtraCopies([]Key{{"t0", "b2"}})
 	hot.run(1, 100, 0)
-	if from := hot.fetch[Key{"t0", "b2"}]; from != "b1" {
+	if from := hot.transfers[Key{"t0", "b2"}]; from != "b1" {
 		t.Errorf("copied from %q, the hot box", from)
 	}
-	f := newFleet(3)
-	base(f)
-	f.free["b2"] = 500
-	f.m.SetExtraCopies([]Key{{"t0", "b2"}})
+	f := newTestFleet(3)
+	addTestTitle(f)
+	f.freeDisk["b2"] = 500
+	f.manager.SetExtraCopies([]Key{{"t0", "b2"}})
 	f.run(5, 1000, 100)
-	if f.m.RunningJobs() != 0 {
+	if f.manager.RunningJobs() != 0 {
 		t.Error("copied to a disk without room")
 	}
-	f.list = append(f.list, Box{ID: "new", Ready: true, LinkCapacity: 1000})
-	f.m.SetBoxes(f.list)
-	if f.m.AllReported() || f.m.NextCommands(f.now) != nil {
+	f.boxes = append(f.boxes, Box{ID: "new", Ready: true, LinkCapacity: 1000})
+	f.manager.SetBoxes(f.boxes)
+	if f.manager.AllReported() || f.manager.NextCommands(f.now) != nil {
 		t.Error("acts before all boxes told what they hold")
 	}
 }
 
 // Commands that ran though their answers were lost count as copies that the box makes.
-func TestLostAnswersCount(t *testing.T) {
-	f := newFleet(5)
+func TestCopiesWithLostAnswersAreCounted(t *testing.T) {
+	f := newTestFleet(5)
 	var keys []Key
 	for _, name := range []string{"t0", "t1", "t2", "t3"} {
-		f.put(name, "b1", "b2", "b3")
-		f.m.SetTitle(Title{Name: name, Size: 1000, PermanentBoxes: []string{"b1", "b2", "b3"}})
+		f.addCopies(name, "b1", "b2", "b3")
+		f.manager.SetTitle(Title{Name: name, Size: 1000, PermanentBoxes: []string{"b1", "b2", "b3"}})
 		keys = append(keys, Key{name, "b0"})
 	}
-	f.m.SetExtraCopies(keys)
+	f.manager.SetExtraCopies(keys)
 	for range 20 {
 		for _, c := range f.step(1500, 1) {
-			f.carry(c)
-			f.m.HandleAnswer(c, Failed, f.now)
+			f.execute(c)
+			f.manager.HandleAnswer(c, Failed, f.now)
 		}
-		if n := len(f.fetch); n > f.m.MaxConcurrent {
+		if n := len(f.transfers); n > f.manager.MaxConcurrent {
 			t.Fatalf("b0 makes %d copies", n)
 		}
 	}
-	if len(f.fetch) == 0 {
+	if len(f.transfers) == 0 {
 		t.Error("nothing is copied")
 	}
 }
 
 // Whatever happens: only whole copies are told, none is dropped that edges may still use, that plays, or below the
 // stated copies; a box takes part in no more copies than it should.
-func TestNeverProperty(t *testing.T) {
+func TestCopyInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(5)
+		f := newTestFleet(5)
 		draw := func(n int, what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
 		title := func() string { return fmt.Sprint("t", draw(3, "title")) }
 		for i := range 3 {
 			boxes := []string{fmt.Sprint("b", i), fmt.Sprint("b", (i+1)%5), fmt.Sprint("b", (i+2)%5)}
-			f.put(fmt.Sprint("t", i), boxes...)
-			f.m.SetTitle(Title{Name: fmt.Sprint("t", i), Size: 1000, PermanentBoxes: boxes})
+			f.addCopies(fmt.Sprint("t", i), boxes...)
+			f.manager.SetTitle(Title{Name: fmt.Sprint("t", i), Size: 1000, PermanentBoxes: boxes})
 		}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			switch draw(9, "what") {
@@ -312,15 +312,15 @@
 				for range draw(5, "keys") {
 					keys = append(keys, Key{title(), fmt.Sprint("b", draw(5, "box"))})
 				}
-				f.m.SetExtraCopies(keys)
+				f.manager.SetExtraCopies(keys)
 			case 1:
-				f.list[draw(len(f.list), "box")].Ready = draw(2, "ready") == 1
+				f.boxes[draw(len(f.boxes), "box")].Ready = draw(2, "ready") == 1
 			case 2: // a box restarts: copies under way stop
 				id := fmt.Sprint("b", draw(5, "box"))
-				for k := range f.fetch {
+				for k := range f.transfers {
 					if k.Box == id {
 						f.disks[id][k.Title].InProgress = false
-						delete(f.fetch, k)
+						delete(f.transfers, k)
 					}
 				}
 			case 3:
@@ -331,16 +331,16 @@
 					}
 				}
 			case 4:
-				f.free[fmt.Sprint("b", draw(5, "box"))] = float64(draw(3, "free") * 1000)
+				f.freeDisk[fmt.Sprint("b", draw(5, "box"))] = float64(draw(3, "free") * 1000)
 			case 5:
 				t := title()
 				b := []string{fmt.Sprint("b", draw(5, "box")), fmt.Sprint("b", draw(5, "box"))}
 				slices.Sort(b)
-				f.m.SetTitle(Title{Name: t, Size: 1000, PermanentBoxes: slices.Compact(b)})
+				f.manager.SetTitle(Title{Name: t, Size: 1000, PermanentBoxes: slices.Compact(b)})
 			}
 			cmds := f.step(int64(100+draw(4000, "ms")), float64(draw(800, "kb")))
 			in, from := map[string]int{}, map[string]int{}
-			for k, src := range f.fetch {
+			for k, src := range f.transfers {
 				in[k.Box]++
 				from[src]++
 			}
@@ -351,36 +351,36 @@
 					if x != nil && x.Complete || !f.disks[c.Source][c.Title].Complete {
 						t.Fatalf("%+v: whole already, or no whole source", c)
 					}
-					if f.fetch[k] == "" {
+					if f.transfers[k] == "" {
 						in[c.Box]++
 					}
 				} else if x.Complete {
 					left := 0
-					for _, b := range f.list {
+					for _, b := range f.boxes {
 						if o := f.disks[b.ID][c.Title]; b.ID != c.Box && b.Ready && o != nil && o.Complete {
 							left++
 						}
 					}
-					if x.Sessions > 0 || f.now-f.told[k] < f.m.DropGrace.Milliseconds() && f.told[k] > 0 || left < f.m.MinCopies {
-						t.Fatalf("%+v: playing %d, told %d ms ago, %d others left", c, x.Sessions, f.now-f.told[k], left)
+					if x.Sessions > 0 || f.now-f.publishedAt[k] < f.manager.DropGrace.Milliseconds() && f.publishedAt[k] > 0 || left < f.manager.MinCopies {
+						t.Fatalf("%+v: playing %d, told %d ms ago, %d others left", c, x.Sessions, f.now-f.publishedAt[k], left)
 					}
 				}
 				if draw(4, "lost") > 0 {
-					f.m.HandleAnswer(c, f.carry(c), f.now)
+					f.manager.HandleAnswer(c, f.execute(c), f.now)
 				} else if draw(2, "ran") == 0 {
-					f.carry(c)
-					f.m.HandleAnswer(c, Failed, f.now)
+					f.execute(c)
+					f.manager.HandleAnswer(c, Failed, f.now)
 				} else {
-					f.m.HandleAnswer(c, Failed, f.now)
+					f.manager.HandleAnswer(c, Failed, f.now)
 				}
 			}
 			for id, n := range in {
-				if n > f.m.MaxConcurrent+1 { // one whose command was lost may run beside
+				if n > f.manager.MaxConcurrent+1 { // one whose command was lost may run beside
 					t.Fatalf("%s makes %d copies", id, n)
 				}
 			}
 			for _, name := range []string{"t0", "t1", "t2"} {
-				for _, b := range f.m.Holders(name) {
+				for _, b := range f.manager.Holders(name) {
 					if x := f.disks[b][name]; x == nil || !x.Complete {
 						t.Fatalf("%s told at %s: %+v", name, b, x)
 					}
--- a/internal/mapping/board.go
+++ b/internal/mapping/board.go
@@ -32,15 +32,15 @@
 
 // Open tells that an hour is to be decided, or decided anew: also when more boxes take work than when it was,
 // as a choice made while boxes were down may have found none.
-func (b *Decisions) NeedsDecision(peak string, version uint64, boxes int, ready func(box string) bool) bool {
+func (b *Decisions) NeedsDecision(peak string, version uint64, readyBoxes int, ready func(box string) bool) bool {
 	d := b.byPeak[peak]
-	return d == nil || d.version != version || boxes > d.readyBoxes || slices.ContainsFunc(d.copies, func(c Copy) bool { return !ready(c.Box) })
+	return d == nil || d.version != version || readyBoxes > d.readyBoxes || slices.ContainsFunc(d.copies, func(c Copy) bool { return !ready(c.Box) })
 }
 
 // Decide takes a choice. Copies of before at boxes that still take work stay beside those chosen now: the
 // choice was made with them as holders.
-func (b *Decisions) Record(peak string, version uint64, boxes int, ready func(box string) bool, chosen []Copy) {
-	d := &decision{version: version, readyBoxes: boxes}
+func (b *Decisions) Record(peak string, version uint64, readyBoxes int, ready func(box string) bool, chosen []Copy) {
+	d := &decision{version: version, readyBoxes: readyBoxes}
 	if old := b.byPeak[peak]; old != nil && old.version == version {
 		for _, c := range old.copies {
 			if ready(c.Box) {
--- a/internal/mapping/choose.go
+++ b/internal/mapping/choose.go
@@ -24,102 +24,102 @@
 // planned anew with it; so is the greedy choice, and none. The best of the three stands, so that a
 // choice is never worth less than no copies by the same reckoning. The program's candidates are the greedy
 // copies and as many again. way may be "greedy" or "none", for comparisons. now is read between steps: past the budget, the best so far stands.
-func ChooseCopies(f *peaks.Fleet, demands []peaks.Demand, hours []TitleDemand, boxes []Box, disk map[string]float64, b Bounds, way string, now func() time.Time, budget time.Duration) (out Choice) {
-	begin := now()
+func ChooseCopies(fleet *peaks.Fleet, demands []peaks.Demand, titleDemands []TitleDemand, boxes []Box, freeDisk map[string]float64, bounds Bounds, method string, now func() time.Time, budget time.Duration) (out Choice) {
+	start := now()
 	out.Method = "none"
-	spent := func() bool { return now().Sub(begin) > budget }
-	defer func() { out.Elapsed = now().Sub(begin) }()
+	overBudget := func() bool { return now().Sub(start) > budget }
+	defer func() { out.Elapsed = now().Sub(start) }()
 	var ok bool
-	if out.NoCopiesValue, ok = netValue(f, demands, hours, nil); !ok || len(hours) == 0 || way == "none" || spent() {
+	if out.NoCopiesValue, ok = netValue(fleet, demands, titleDemands, nil); !ok || len(titleDemands) == 0 || method == "none" || overBudget() {
 		return out
 	}
 	out.BestValue = out.NoCopiesValue
-	greedy := GreedyCopies(boxes, disk, hours, b)
-	take := func(by string, copies []Copy) float64 {
-		v, ok := netValue(f, demands, hours, copies)
-		if ok && v > out.BestValue {
-			out.BestValue, out.Method, out.Copies = v, by, copies
+	greedy := GreedyCopies(boxes, freeDisk, titleDemands, bounds)
+	consider := func(name string, copies []Copy) float64 {
+		value, ok := netValue(fleet, demands, titleDemands, copies)
+		if ok && value > out.BestValue {
+			out.BestValue, out.Method, out.Copies = value, name, copies
 		}
-		return v
+		return value
 	}
-	out.GreedyValue = take("greedy", greedy)
-	if spent() || len(greedy) == 0 || way == "greedy" {
+	out.GreedyValue = consider("greedy", greedy)
+	if overBudget() || len(greedy) == 0 || method == "greedy" {
 		return out
 	}
-	wide := b
-	wide.PricePerKB = 0
-	more := GreedyCopies(boxes, disk, hours, wide)
+	unpriced := bounds
+	unpriced.PricePerKB = 0
+	extra := GreedyCopies(boxes, freeDisk, titleDemands, unpriced)
 	candidates := slices.Clone(greedy)
-	for _, c := range more {
+	for _, c := range extra {
 		if len(candidates) < 2*len(greedy) && !slices.ContainsFunc(greedy, func(g Copy) bool { return g.Title == c.Title && g.Box == c.Box }) {
 			candidates = append(candidates, c)
 		}
 	}
-	if copies, ok := solveRelaxed(f, demands, hours, candidates); ok {
-		take("lp", copies)
+	if copies, ok := solveRelaxed(fleet, demands, titleDemands, candidates); ok {
+		consider("lp", copies)
 	}
 	return out
 }
 
 // relaxed solves the program with copies offered, and rounds.
-func solveRelaxed(f *peaks.Fleet, demands []peaks.Demand, hours []TitleDemand, candidates []Copy) ([]Copy, bool) {
+func solveRelaxed(fleet *peaks.Fleet, demands []peaks.Demand, titleDemands []TitleDemand, candidates []Copy) ([]Copy, bool) {
 	offered := slices.Clone(demands)
-	at := map[[2]int]Copy{}
+	candidateByOffer := map[[2]int]Copy{}
 	for i := range offered {
 		offered[i].Offers = nil
 		for _, c := range candidates {
 			if c.Title == offered[i].Title && c.Peak == offered[i].Peak {
-				at[[2]int{i, len(offered[i].Offers)}] = c
-				offered[i].Offers = append(offered[i].Offers, peaks.CopyOffer{Box: c.Box, Cost: c.Cost / peakSeconds(hours, c.Title)})
+				candidateByOffer[[2]int{i, len(offered[i].Offers)}] = c
+				offered[i].Offers = append(offered[i].Offers, peaks.CopyOffer{Box: c.Box, Cost: c.Cost / peakSeconds(titleDemands, c.Title)})
 			}
 		}
 	}
-	p, err := peaks.SolveLP(f, offered)
+	plan, err := peaks.SolveLP(fleet, offered)
 	if err != nil {
 		return nil, false
 	}
-	slices.SortStableFunc(p.Buys, func(a, c peaks.SelectedOffer) int { return cmp.Compare(c.Part, a.Part) })
+	slices.SortStableFunc(plan.Buys, func(a, c peaks.SelectedOffer) int { return cmp.Compare(c.Part, a.Part) })
 	var out []Copy
-	for _, y := range p.Buys {
-		if y.Part >= roundingThreshold {
-			out = append(out, at[[2]int{y.Demand, y.Offer}])
+	for _, selected := range plan.Buys {
+		if selected.Part >= roundingThreshold {
+			out = append(out, candidateByOffer[[2]int{selected.Demand, selected.Offer}])
 		}
 	}
 	return out, true
 }
 
-func peakSeconds(hours []TitleDemand, title string) float64 {
-	for i := range hours {
-		if hours[i].Title == title {
-			return max(hours[i].DurationSeconds, 1)
+func peakSeconds(titleDemands []TitleDemand, title string) float64 {
+	for i := range titleDemands {
+		if titleDemands[i].Title == title {
+			return max(titleDemands[i].DurationSeconds, 1)
 		}
 	}
 	return 1
 }
 
 // worth is what the hour earns a second with copies made, less what making them costs.
-func netValue(f *peaks.Fleet, demands []peaks.Demand, hours []TitleDemand, copies []Copy) (float64, bool) {
-	with := slices.Clone(demands)
+func netValue(fleet *peaks.Fleet, demands []peaks.Demand, titleDemands []TitleDemand, copies []Copy) (float64, bool) {
+	withCopies := slices.Clone(demands)
 	cost := 0.0
 	for _, c := range copies {
-		cost += c.Cost / peakSeconds(hours, c.Title)
+		cost += c.Cost / peakSeconds(titleDemands, c.Title)
 	}
-	for i := range with {
-		with[i].Offers = nil
-		held := slices.Clone(with[i].Holders)
+	for i := range withCopies {
+		withCopies[i].Offers = nil
+		holders := slices.Clone(withCopies[i].Holders)
 		for _, c := range copies {
-			if c.Title == with[i].Title && !slices.Contains(held, c.Box) {
-				held = append(held, c.Box)
+			if c.Title == withCopies[i].Title && !slices.Contains(holders, c.Box) {
+				holders = append(holders, c.Box)
 			}
 		}
-		if with[i].Holders != nil {
-			slices.Sort(held)
-			with[i].Holders = held
+		if withCopies[i].Holders != nil {
+			slices.Sort(holders)
+			withCopies[i].Holders = holders
 		}
 	}
-	p, err := peaks.SolveLP(f, with)
+	plan, err := peaks.SolveLP(fleet, withCopies)
 	if err != nil {
 		return 0, false
 	}
-	return p.Net - cost, true
+	return plan.Net - cost, true
 }
--- a/internal/mapping/drift.go
+++ b/internal/mapping/drift.go
@@ -28,20 +28,20 @@
 
 // Saw takes how many sessions of each title play.
 func (d *DriftTracker) Update(now int64, playing map[string]float64) {
-	say := 1.0
+	weight := 1.0
 	if d.updatedAt > 0 && d.HalfLife > 0 {
-		say = 1 - math.Exp2(-float64(max(now-d.updatedAt, 0))/float64(d.HalfLife.Milliseconds()))
+		weight = 1 - math.Exp2(-float64(max(now-d.updatedAt, 0))/float64(d.HalfLife.Milliseconds()))
 	}
 	d.updatedAt = now
 	for t := range d.averageSessions {
 		if _, ok := playing[t]; !ok {
-			if d.averageSessions[t] *= 1 - say; d.averageSessions[t] < 0.01 {
+			if d.averageSessions[t] *= 1 - weight; d.averageSessions[t] < 0.01 {
 				delete(d.averageSessions, t)
 			}
 		}
 	}
 	for t, n := range playing {
-		d.averageSessions[t] += say * (n - d.averageSessions[t])
+		d.averageSessions[t] += weight * (n - d.averageSessions[t])
 	}
 }
 
@@ -51,28 +51,28 @@
 // Copies says which copies should lie beyond those at rest. Titles' holders are given as at rest. All links
 // are thought of as empty and shared out evenly: a title lacks where its holders cannot give its viewers
 // what the others get.
-func (d *DriftTracker) PlanCopies(boxes []Box, disk map[string]float64, titles []TitleDemand, b Bounds) (out []Copy) {
-	links, viewers := 0.0, 0.0
-	empty := slices.Clone(boxes)
-	for i := range empty {
-		links += empty[i].LinkCapacity
-		empty[i].LinkLoad = 0
+func (d *DriftTracker) PlanCopies(boxes []Box, freeDisk map[string]float64, titles []TitleDemand, bounds Bounds) (out []Copy) {
+	totalLink, totalSessions := 0.0, 0.0
+	unloaded := slices.Clone(boxes)
+	for i := range unloaded {
+		totalLink += unloaded[i].LinkCapacity
+		unloaded[i].LinkLoad = 0
 	}
 	for _, t := range titles {
-		viewers += d.averageSessions[t.Title]
+		totalSessions += d.averageSessions[t.Title]
 	}
-	if viewers < 1 || links <= 0 {
+	if totalSessions < 1 || totalLink <= 0 {
 		clear(d.extraCopies)
 		return nil
 	}
-	even := b.MaxUtilization * links / viewers
-	hours := d.titleDemands(titles, even, 1)
-	d.releaseCopies(empty, disk, d.titleDemands(titles, even, 1/releaseMargin), b)
-	for i := range hours {
-		hours[i].Holders = union(titles[i].Holders, d.extraCopies[titles[i].Title])
+	evenRate := bounds.MaxUtilization * totalLink / totalSessions
+	demands := d.titleDemands(titles, evenRate, 1)
+	d.releaseCopies(unloaded, freeDisk, d.titleDemands(titles, evenRate, 1/releaseMargin), bounds)
+	for i := range demands {
+		demands[i].Holders = union(titles[i].Holders, d.extraCopies[titles[i].Title])
 	}
-	b.MaxCopies = maxCopiesPerPass
-	for _, c := range GreedyCopies(empty, disk, hours, b) {
+	bounds.MaxCopies = maxCopiesPerPass
+	for _, c := range GreedyCopies(unloaded, freeDisk, demands, bounds) {
 		d.extraCopies[c.Title] = union(d.extraCopies[c.Title], []string{c.Box})
 	}
 	for _, t := range titles {
@@ -83,41 +83,41 @@
 	return out
 }
 
-func (d *DriftTracker) titleDemands(titles []TitleDemand, even, times float64) []TitleDemand {
+func (d *DriftTracker) titleDemands(titles []TitleDemand, evenRate, factor float64) []TitleDemand {
 	out := slices.Clone(titles)
 	for i := range out {
-		n := d.averageSessions[out[i].Title] * times
-		top := out[i].Rate // of one session, at the best
-		out[i].Sessions, out[i].Rate, out[i].Worth = n, n*min(even/times, top), n*out[i].Worth
+		sessions := d.averageSessions[out[i].Title] * factor
+		maxRate := out[i].Rate // of one session, at the best
+		out[i].Sessions, out[i].Rate, out[i].Worth = sessions, sessions*min(evenRate/factor, maxRate), sessions*out[i].Worth
 	}
 	return out
 }
 
 // giveBack takes copies away one by one, where their title would not lack them if its viewers grew again.
-func (d *DriftTracker) releaseCopies(boxes []Box, disk map[string]float64, hours []TitleDemand, b Bounds) {
-	s := newSpreadState(boxes, disk, b.MaxUtilization)
-	holders := make([][]int, len(hours))
-	places := func(i int, made []string) (out []int) {
-		for _, id := range union(hours[i].Holders, made) {
-			if k, ok := s.indexByID[id]; ok {
+func (d *DriftTracker) releaseCopies(boxes []Box, freeDisk map[string]float64, demands []TitleDemand, bounds Bounds) {
+	state := newSpreadState(boxes, freeDisk, bounds.MaxUtilization)
+	holders := make([][]int, len(demands))
+	holderIndexes := func(i int, extra []string) (out []int) {
+		for _, id := range union(demands[i].Holders, extra) {
+			if k, ok := state.indexByID[id]; ok {
 				out = append(out, k)
 			}
 		}
 		return out
 	}
-	for i := range hours {
-		holders[i] = places(i, d.extraCopies[hours[i].Title])
+	for i := range demands {
+		holders[i] = holderIndexes(i, d.extraCopies[demands[i].Title])
 	}
-	for i := range hours {
-		t := hours[i].Title
-		d.extraCopies[t] = slices.DeleteFunc(d.extraCopies[t], func(id string) bool { _, ok := s.indexByID[id]; return !ok })
+	for i := range demands {
+		t := demands[i].Title
+		d.extraCopies[t] = slices.DeleteFunc(d.extraCopies[t], func(id string) bool { _, ok := state.indexByID[id]; return !ok })
 		if n := len(d.extraCopies[t]); n > 0 {
-			old := holders[i]
-			holders[i] = places(i, d.extraCopies[t][:n-1])
-			if lacks, _ := s.distribute(hours, holders); lacks[i] <= 1e-6 {
+			previous := holders[i]
+			holders[i] = holderIndexes(i, d.extraCopies[t][:n-1])
+			if shortfalls, _ := state.distribute(demands, holders); shortfalls[i] <= 1e-6 {
 				d.extraCopies[t] = d.extraCopies[t][:n-1]
 			} else {
-				holders[i] = old
+				holders[i] = previous
 			}
 		}
 		if len(d.extraCopies[t]) == 0 {
--- a/internal/mapping/mapping.go
+++ b/internal/mapping/mapping.go
@@ -57,19 +57,19 @@
 // Sequential is the paper's map to compare with: each box takes the next titles in their order, around
 // and around, until its disk is full.
 func Sequential(boxes []Box, titles []Title) Placement {
-	m, next := Placement{}, 0
+	placement, nextTitle := Placement{}, 0
 	for _, b := range boxes {
-		disk, taken := b.DiskCapacity, 0
+		freeDisk, taken := b.DiskCapacity, 0
 		for range titles {
-			t := titles[next]
-			if t.Size > disk || taken == len(titles) {
+			t := titles[nextTitle]
+			if t.Size > freeDisk || taken == len(titles) {
 				break
 			}
-			m.add(t.Name, b.ID)
-			disk, next, taken = disk-t.Size, (next+1)%len(titles), taken+1
+			placement.add(t.Name, b.ID)
+			freeDisk, nextTitle, taken = freeDisk-t.Size, (nextTitle+1)%len(titles), taken+1
 		}
 	}
-	return m
+	return placement
 }
 
 // Heuristic is the paper's: box by box, those titles are taken that are farthest from the box, given what
@@ -77,14 +77,14 @@
 // ask more than its holders' links give stays as far as one that nobody holds, so that the most wanted
 // titles get copies by what is asked of them (the paper leaves that to caches beside its mirrors).
 func Heuristic(boxes []Box, titles []Title) Placement {
-	m := Placement{}
+	placement := Placement{}
 	share := demandShare(boxes, titles)
-	given := make([]float64, len(titles)) // of what a title's viewers ask, what its holders give
-	near := make([][]int, len(boxes))
-	for i := range near {
-		near[i] = make([]int, len(titles))
+	supplied := make([]float64, len(titles)) // of what a title's viewers ask, what its holders give
+	nearest := make([][]int, len(boxes))
+	for i := range nearest {
+		nearest[i] = make([]int, len(titles))
 		for j := range titles {
-			near[i][j] = distanceNoHolder
+			nearest[i][j] = distanceNoHolder
 		}
 	}
 	order := make([]int, len(titles))
@@ -93,69 +93,69 @@
 		for j := range order {
 			order[j] = j
 		}
-		far := func(j int) int {
-			if given[j] < titles[j].Demand {
+		effectiveDistance := func(j int) int {
+			if supplied[j] < titles[j].Demand {
 				return distanceNoHolder
 			}
-			return near[i][j]
+			return nearest[i][j]
 		}
-		lacks := func(j int) float64 { return titles[j].Demand - given[j] }
+		shortfall := func(j int) float64 { return titles[j].Demand - supplied[j] }
 		slices.SortStableFunc(order, func(x, y int) int {
-			return cmp.Or(cmp.Compare(far(y), far(x)), cmp.Compare(lacks(y), lacks(x)), cmp.Compare(titles[y].Demand, titles[x].Demand),
+			return cmp.Or(cmp.Compare(effectiveDistance(y), effectiveDistance(x)), cmp.Compare(shortfall(y), shortfall(x)), cmp.Compare(titles[y].Demand, titles[x].Demand),
 				strings.Compare(titles[x].Name, titles[y].Name))
 		})
-		disk, links := b.DiskCapacity, b.LinkCapacity*share
-		var took []int
+		freeDisk, linkRate := b.DiskCapacity, b.LinkCapacity*share
+		var taken []int
 		for _, j := range order {
-			if titles[j].Size <= disk {
-				disk -= titles[j].Size
-				took = append(took, j)
-				m.add(titles[j].Name, b.ID)
+			if titles[j].Size <= freeDisk {
+				freeDisk -= titles[j].Size
+				taken = append(taken, j)
+				placement.add(titles[j].Name, b.ID)
 			}
 		}
-		distributeLink(took, titles, given, links)
+		distributeLink(taken, titles, supplied, linkRate)
 		for k := range boxes {
 			d := Distance(&boxes[k], b)
-			for _, j := range took {
-				near[k][j] = min(near[k][j], d)
+			for _, j := range taken {
+				nearest[k][j] = min(nearest[k][j], d)
 			}
 		}
 	}
-	return m
+	return placement
 }
 
 // linkShare is the part of the links that all viewers together will use: a box is thought to give each of
 // its titles a part of that.
 func demandShare(boxes []Box, titles []Title) float64 {
-	links, want := 0.0, 0.0
+	links, demand := 0.0, 0.0
 	for _, b := range boxes {
 		links += b.LinkCapacity
 	}
 	for _, t := range titles {
-		want += t.Demand
+		demand += t.Demand
 	}
 	if links <= 0 {
 		return 0
 	}
-	return want / links
+	return demand / links
 }
 
 // give shares a box's link among the titles that it took, as much as each still lacks, evenly.
-func distributeLink(took []int, titles []Title, given []float64, link float64) {
-	for left := len(took); left > 0 && link > 0; {
-		part, filled := link/float64(left), 0
-		for _, j := range took {
-			if lack := titles[j].Demand - given[j]; lack > 0 && lack <= part {
-				given[j], link, filled = titles[j].Demand, link-lack, filled+1
+func distributeLink(taken []int, titles []Title, supplied []float64, link float64) {
+	for remaining := len(taken); remaining > 0 && link > 0; {
+		share, filled := link/float64(remaining), 0
+		for _, j := range taken {
+			if shortfall := titles[j].Demand - supplied[j]; shortfall > 0 && shortfall <= share {
+				supplied[j], link, filled = titles[j].Demand, link-shortfall, filled+1
 			}
 		}
 		if filled > 0 {
-			left -= filled
+			remaining -= filled
 			continue
 		}
-		for _, j := range took {
-			if given[j] < titles[j].Demand {
-				given[j] += part
+		for _, j := range taken {
+			if supplied[j] < titles[j].Demand {
+				supplied[j] += share
 			}
 		}
 		return
@@ -163,8 +163,8 @@
 }
 
 func (m Placement) add(title, box string) {
-	i, has := slices.BinarySearch(m[title], box)
-	if !has {
+	i, found := slices.BinarySearch(m[title], box)
+	if !found {
 		m[title] = slices.Insert(m[title], i, box)
 	}
 }
@@ -176,17 +176,17 @@
 }
 
 // MeanDistance is the paper's measure: from every box to every title, weighed by what is wanted.
-func MeanDistance(boxes []Box, titles []Title, m Placement) float64 {
+func MeanDistance(boxes []Box, titles []Title, placement Placement) float64 {
 	sum, weight := 0.0, 0.0
 	for _, t := range titles {
 		for i := range boxes {
-			best := distanceNoHolder
+			nearest := distanceNoHolder
 			for k := range boxes {
-				if m.Has(t.Name, boxes[k].ID) {
-					best = min(best, Distance(&boxes[i], &boxes[k]))
+				if placement.Has(t.Name, boxes[k].ID) {
+					nearest = min(nearest, Distance(&boxes[i], &boxes[k]))
 				}
 			}
-			sum, weight = sum+t.Demand*float64(best), weight+t.Demand
+			sum, weight = sum+t.Demand*float64(nearest), weight+t.Demand
 		}
 	}
 	if weight == 0 {
--- a/internal/mapping/mapping_test.go
+++ b/internal/mapping/mapping_test.go
@@ -14,7 +14,7 @@
 )
 
 // fleet is boxes in racks and zones, titles wanted by Zipf's law, each disk holding a part of them.
-func fleet(boxes, titles int, zipf, part float64) ([]Box, []Title) {
+func newTestFleet(boxes, titles int, zipf, part float64) ([]Box, []Title) {
 	var bs []Box
 	var ts []Title
 	sum := 0.0
@@ -35,9 +35,9 @@
 
 // Both maps fill disks and never beyond, and the heuristic brings titles nearer than the sequential map, as
 // the paper's Table 1 has it.
-func TestMapsOfThePaper(t *testing.T) {
+func TestPlacementsOfDoublePTreePaper(t *testing.T) {
 	for _, zipf := range []float64{0.7, 0.8, 1} {
-		boxes, titles := fleet(63, 100, zipf, 0.2)
+		boxes, titles := newTestFleet(63, 100, zipf, 0.2)
 		seq, heu := Sequential(boxes, titles), Heuristic(boxes, titles)
 		for name, m := range map[string]Placement{"sequential": seq, "heuristic": heu} {
 			used := map[string]float64{}
@@ -63,7 +63,7 @@
 	}
 }
 
-func hoursOn(boxes []Box, peaksN, titles int, span int, rate float64) ([]TitleDemand, []peaks.Demand, *peaks.Fleet) {
+func newTitleDemands(boxes []Box, peaksN, titles int, span int, rate float64) ([]TitleDemand, []peaks.Demand, *peaks.Fleet) {
 	f := &peaks.Fleet{Uplinks: make([]float64, len(boxes)/4+1), Cells: len(boxes), Edges: 300, Ladder: []float64{260, 460, 810, 1440, 2540},
 		RungWorths: []float64{0.17, 0.41, 0.61, 0.81, 1}, Classes: []peaks.Class{{RateFactor: 1.2, TopRung: 4, Worth: 2}, {RateFactor: 0.7, TopRung: 3, Worth: 1}}}
 	for _, b := range boxes {
@@ -101,12 +101,12 @@
 
 // An hour of which the titles' holders lack room gets copies, and is worth more with them; one that lacks
 // none, comes too soon, or costs more than it earns, gets none.
-func TestChoose(t *testing.T) {
-	boxes, _ := fleet(48, 1, 1, 1)
+func TestChooseCopies(t *testing.T) {
+	boxes, _ := newTestFleet(48, 1, 1, 1)
 	for i := range boxes {
 		boxes[i].LinkLoad = boxes[i].LinkCapacity / 2
 	}
-	hours, demands, f := hoursOn(boxes, 1, 3, 4, 40)
+	hours, demands, f := newTitleDemands(boxes, 1, 3, 4, 40)
 	full := ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute)
 	if len(full.Copies) == 0 || full.BestValue <= full.NoCopiesValue || full.BestValue < full.GreedyValue {
 		t.Errorf("choice %+v", full)
@@ -127,7 +127,7 @@
 		"too dear":     ChooseCopies(f, demands, hours, boxes, disks(boxes), dear, "lp", time.Now, time.Minute),
 		"room enough":  ChooseCopies(f, demands, few, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute),
 		"disks full":   ChooseCopies(f, demands, hours, boxes, none, bounds(), "lp", time.Now, time.Minute),
-		"no time left": ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), "lp", clockOf(time.Hour), time.Second),
+		"no time left": ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), "lp", steppingClock(time.Hour), time.Second),
 		"told not to":  ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), "none", time.Now, time.Minute),
 	} {
 		if len(c.Copies) != 0 || c.Method != "none" {
@@ -137,23 +137,23 @@
 }
 
 // clockOf steps so far at each reading.
-func clockOf(step time.Duration) func() time.Time {
+func steppingClock(step time.Duration) func() time.Time {
 	now := time.Unix(0, 0)
 	return func() time.Time { now = now.Add(step); return now }
 }
 
 // Copies go where their title is not, where disk and room are, at most so many; two hours that want the same
 // spare boxes share them out within their disks.
-func TestSpreadProperty(t *testing.T) {
+func TestGreedyCopiesLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		boxes, _ := fleet(rapid.IntRange(6, 30).Draw(t, "boxes"), 1, 1, 1)
+		boxes, _ := newTestFleet(rapid.IntRange(6, 30).Draw(t, "boxes"), 1, 1, 1)
 		free := map[string]float64{}
 		for i := range boxes {
 			boxes[i].LinkLoad = rapid.Float64Range(0, 9000).Draw(t, "busy")
 			boxes[i].FreeStreams = float64(rapid.IntRange(0, 30).Draw(t, "streams"))
 			free[boxes[i].ID] = float64(rapid.IntRange(0, 3).Draw(t, "disk")) * 360_000
 		}
-		hours, _, _ := hoursOn(boxes, rapid.IntRange(1, 3).Draw(t, "peaks"), rapid.IntRange(1, 3).Draw(t, "titles"), 3, float64(rapid.IntRange(1, 80).Draw(t, "rate")))
+		hours, _, _ := newTitleDemands(boxes, rapid.IntRange(1, 3).Draw(t, "peaks"), rapid.IntRange(1, 3).Draw(t, "titles"), 3, float64(rapid.IntRange(1, 80).Draw(t, "rate")))
 		b := bounds()
 		b.MaxCopiesPerTitle = rapid.IntRange(0, 6).Draw(t, "most")
 		used, made := map[string]float64{}, map[string]int{}
@@ -172,8 +172,8 @@
 }
 
 // Popularity that drifts gets copies, a few at a time, and they are given back when it is gone.
-func TestDrift(t *testing.T) {
-	boxes, _ := fleet(24, 1, 1, 1)
+func TestDriftTracker(t *testing.T) {
+	boxes, _ := newTestFleet(24, 1, 1, 1)
 	var titles []TitleDemand
 	for i := range 12 {
 		h := TitleDemand{Title: fmt.Sprintf("t%02d", i), Size: 360_000, Rate: 2540, Worth: 1, DurationSeconds: 600, Zone: -1}
@@ -213,7 +213,7 @@
 	}
 }
 
-func TestBoard(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	b, all := NewDecisions(), func(string) bool { return true }
 	if !b.NeedsDecision("p", 1, 4, all) {
 		t.Error("a new hour is not open")
@@ -241,12 +241,12 @@
 
 // What the map is worth beside cell and span with the same storage: kB/s that the fleet gives when viewers ask
 // 0.95 of all links, by maximum flow (a linear program).
-func TestMapGains(t *testing.T) {
+func TestHeuristicServesMoreThanCells(t *testing.T) {
 	if testing.Short() {
 		t.Skip("some seconds")
 	}
 	for _, zipf := range []float64{0.8, 0.9, 1} {
-		boxes, titles := fleet(48, 120, zipf, 0)
+		boxes, titles := newTestFleet(48, 120, zipf, 0)
 		for i := range titles {
 			titles[i].Demand *= 0.95 / 0.8
 		}
@@ -265,7 +265,7 @@
 			sum += boxes[i].DiskCapacity
 		}
 		heu := Heuristic(boxes, titles)
-		a, b := flow(t, boxes, titles, cells), flow(t, boxes, titles, heu)
+		a, b := servedShare(t, boxes, titles, cells), servedShare(t, boxes, titles, heu)
 		t.Logf("Zipf %v: given of asked %.3f by cell and span, %.3f by the map (%+.1f%%), storage %.0f", zipf, a, b, 100*(b/a-1), sum)
 		if b < a {
 			t.Errorf("Zipf %v: the map gives less", zipf)
@@ -273,7 +273,7 @@
 	}
 }
 
-func flow(t *testing.T, boxes []Box, titles []Title, m Placement) float64 {
+func servedShare(t *testing.T, boxes []Box, titles []Title, m Placement) float64 {
 	f := &peaks.Fleet{NoCompetingLoad: true, Cells: len(boxes), Uplinks: make([]float64, len(boxes)), Ladder: []float64{1}, RungWorths: []float64{1}, Classes: []peaks.Class{{RateFactor: 1, Worth: 1}}}
 	for _, b := range boxes {
 		f.Boxes = append(f.Boxes, peaks.Box{ID: b.ID, Rack: b.Rack, LinkCapacity: b.LinkCapacity / peaks.MaxUtilization, MaxStreams: 1e9, RampShare: 1})
@@ -291,12 +291,12 @@
 	return p.Value / asked
 }
 
-func BenchmarkChoose(b *testing.B) {
-	boxes, _ := fleet(280, 1, 1, 1)
+func BenchmarkChooseCopies(b *testing.B) {
+	boxes, _ := newTestFleet(280, 1, 1, 1)
 	for i := range boxes {
 		boxes[i].LinkLoad = boxes[i].LinkCapacity / 2
 	}
-	hours, demands, f := hoursOn(boxes, 20, 3, 4, 30)
+	hours, demands, f := newTitleDemands(boxes, 20, 3, 4, 30)
 	for _, way := range []string{"greedy", "lp"} {
 		b.Run(way, func(b *testing.B) {
 			var c Choice
--- a/internal/mapping/spread.go
+++ b/internal/mapping/spread.go
@@ -43,13 +43,13 @@
 	freeDisk    []float64
 }
 
-func newSpreadState(boxes []Box, disk map[string]float64, fill float64) *spreadState {
+func newSpreadState(boxes []Box, freeDisk map[string]float64, maxUtilization float64) *spreadState {
 	s := &spreadState{boxes: boxes, indexByID: map[string]int{}}
 	for i, b := range boxes {
 		s.indexByID[b.ID] = i
-		s.freeLink = append(s.freeLink, max(fill*b.LinkCapacity-b.LinkLoad, 0))
+		s.freeLink = append(s.freeLink, max(maxUtilization*b.LinkCapacity-b.LinkLoad, 0))
 		s.freeStreams = append(s.freeStreams, max(b.FreeStreams, 0))
-		s.freeDisk = append(s.freeDisk, disk[b.ID])
+		s.freeDisk = append(s.freeDisk, freeDisk[b.ID])
 	}
 	return s
 }
@@ -58,59 +58,59 @@
 // its holders to an even level. While titles lack room, the one that lacks most worth gets a copy at the
 // box with most room left, racks and zones with fewest holders of it first, if that is thought to earn
 // more than copying costs. Disk is what boxes have free, in kB.
-func GreedyCopies(boxes []Box, disk map[string]float64, hours []TitleDemand, b Bounds) []Copy {
-	s := newSpreadState(boxes, disk, b.MaxUtilization)
-	holders := make([][]int, len(hours))
-	for i := range hours {
-		for _, id := range hours[i].Holders {
-			if k, ok := s.indexByID[id]; ok {
-				holders[i] = append(holders[i], k)
+func GreedyCopies(boxes []Box, freeDisk map[string]float64, demands []TitleDemand, bounds Bounds) []Copy {
+	state := newSpreadState(boxes, freeDisk, bounds.MaxUtilization)
+	holders := make([][]int, len(demands))
+	for i := range demands {
+		for _, id := range demands[i].Holders {
+			if box, ok := state.indexByID[id]; ok {
+				holders[i] = append(holders[i], box)
 			}
 		}
 	}
 	var out []Copy
-	made := make([]int, len(hours))
-	closed := make([]bool, len(hours))
+	copiesMade := make([]int, len(demands))
+	settled := make([]bool, len(demands))
 	for {
-		lacks, rest := s.distribute(hours, holders)
-		best, most := -1, 0.0
-		for i := range hours {
-			if worth := lacks[i] * worthPerKB(&hours[i]); !closed[i] && lacks[i] > 1e-6 && worth > most {
-				best, most = i, worth
+		shortfalls, spare := state.distribute(demands, holders)
+		best, bestWorth := -1, 0.0
+		for i := range demands {
+			if worth := shortfalls[i] * worthPerKB(&demands[i]); !settled[i] && shortfalls[i] > 1e-6 && worth > bestWorth {
+				best, bestWorth = i, worth
 			}
 		}
-		if best < 0 || b.MaxCopies > 0 && len(out) >= b.MaxCopies {
+		if best < 0 || bounds.MaxCopies > 0 && len(out) >= bounds.MaxCopies {
 			return out
 		}
-		h := &hours[best]
-		k := s.chooseBox(h, holders[best], lacks[best], rest)
-		cost := b.PricePerKB * h.Size
-		if k < 0 || made[best] >= b.MaxCopiesPerTitle || len(holders[best]) == 0 || !finishesInTime(h, len(holders[best])-made[best], made[best]+1, b) {
-			closed[best] = true
+		demand := &demands[best]
+		box := state.chooseBox(demand, holders[best], shortfalls[best], spare)
+		cost := bounds.PricePerKB * demand.Size
+		if box < 0 || copiesMade[best] >= bounds.MaxCopiesPerTitle || len(holders[best]) == 0 || !finishesInTime(demand, len(holders[best])-copiesMade[best], copiesMade[best]+1, bounds) {
+			settled[best] = true
 			continue
 		}
-		gain := min(lacks[best], rest[k]) * worthPerKB(h) * h.DurationSeconds
+		gain := min(shortfalls[best], spare[box]) * worthPerKB(demand) * demand.DurationSeconds
 		if gain <= cost {
-			closed[best] = true
+			settled[best] = true
 			continue
 		}
-		s.freeDisk[k] -= h.Size
-		holders[best] = append(holders[best], k)
-		made[best]++
-		out = append(out, Copy{h.Peak, h.Title, s.boxes[k].ID, gain, cost})
+		state.freeDisk[box] -= demand.Size
+		holders[best] = append(holders[best], box)
+		copiesMade[best]++
+		out = append(out, Copy{demand.Peak, demand.Title, state.boxes[box].ID, gain, cost})
 	}
 }
 
 // perKB is the worth that each kB earns.
-func worthPerKB(h *TitleDemand) float64 { return h.Worth / max(h.Rate, 1e-9) }
+func worthPerKB(demand *TitleDemand) float64 { return demand.Worth / max(demand.Rate, 1e-9) }
 
 // inTime tells whether so many copies can be whole by the hour, each new one being a source of more.
-func finishesInTime(h *TitleDemand, sources, copies int, b Bounds) bool {
-	if b.CopyRate <= 0 {
+func finishesInTime(demand *TitleDemand, sources, copies int, bounds Bounds) bool {
+	if bounds.CopyRate <= 0 {
 		return false
 	}
 	rounds := math.Ceil(math.Log2(float64(sources+copies) / float64(max(sources, 1))))
-	return max(rounds, 1)*h.Size/b.CopyRate <= b.SecondsUntilPeak
+	return max(rounds, 1)*demand.Size/bounds.CopyRate <= bounds.SecondsUntilPeak
 }
 
 // Of pouring.
@@ -122,100 +122,100 @@
 // pour shares what each hour asks out over its holders so that boxes come to like levels: from shares by room,
 // each round moves every title's viewers from its fuller holders to its emptier ones. It returns what each
 // title lacks and what each box has left, in kB/s.
-func (s *spreadState) distribute(hours []TitleDemand, holders [][]int) (lacks, rest []float64) {
-	part := make([][]float64, len(hours)) // of an hour's rate, by holder
-	for i, ks := range holders {
-		part[i] = make([]float64, len(ks))
-		for n, k := range ks {
-			part[i][n] = s.usableRate(k, &hours[i])
-		}
-		normalize(part[i])
+func (s *spreadState) distribute(demands []TitleDemand, holders [][]int) (shortfalls, spare []float64) {
+	shares := make([][]float64, len(demands)) // of an hour's rate, by holder
+	for i, boxes := range holders {
+		shares[i] = make([]float64, len(boxes))
+		for n, box := range boxes {
+			shares[i][n] = s.usableRate(box, &demands[i])
+		}
+		normalize(shares[i])
 	}
 	load := make([]float64, len(s.boxes))
-	level := func(k int, h *TitleDemand) float64 { return load[k] / max(s.usableRate(k, h), 1e-6) }
+	utilization := func(box int, demand *TitleDemand) float64 { return load[box] / max(s.usableRate(box, demand), 1e-6) }
 	for round := range distributionRounds {
 		clear(load)
-		for i, ks := range holders {
-			for n, k := range ks {
-				load[k] += part[i][n] * hours[i].Rate
+		for i, boxes := range holders {
+			for n, box := range boxes {
+				load[box] += shares[i][n] * demands[i].Rate
 			}
 		}
 		if round == distributionRounds-1 {
 			break
 		}
-		for i, ks := range holders {
-			for n, k := range ks {
-				part[i][n] /= max(level(k, &hours[i]), 1e-3)
+		for i, boxes := range holders {
+			for n, box := range boxes {
+				shares[i][n] /= max(utilization(box, &demands[i]), 1e-3)
 			}
-			normalize(part[i])
+			normalize(shares[i])
 		}
 	}
-	lacks, rest = make([]float64, len(hours)), make([]float64, len(s.boxes))
-	for i, ks := range holders {
-		h := &hours[i]
-		if len(ks) == 0 {
-			lacks[i] = h.Rate
-		}
-		for n, k := range ks {
-			if over := level(k, h); over > 1 {
-				lacks[i] += part[i][n] * h.Rate * (1 - 1/over)
+	shortfalls, spare = make([]float64, len(demands)), make([]float64, len(s.boxes))
+	for i, boxes := range holders {
+		demand := &demands[i]
+		if len(boxes) == 0 {
+			shortfalls[i] = demand.Rate
+		}
+		for n, box := range boxes {
+			if ratio := utilization(box, demand); ratio > 1 {
+				shortfalls[i] += shares[i][n] * demand.Rate * (1 - 1/ratio)
 			}
 		}
-		if lacks[i] < minShortfallShare*h.Rate {
-			lacks[i] = 0
+		if shortfalls[i] < minShortfallShare*demand.Rate {
+			shortfalls[i] = 0
 		}
 	}
-	for k := range rest {
-		rest[k] = max(s.freeLink[k]-load[k], 0)
+	for box := range spare {
+		spare[box] = max(s.freeLink[box]-load[box], 0)
 	}
-	return lacks, rest
+	return shortfalls, spare
 }
 
 // can is what a box may give an hour's viewers, by its link and its streams.
-func (s *spreadState) usableRate(k int, h *TitleDemand) float64 {
-	return min(s.freeLink[k], s.freeStreams[k]*h.Rate/max(h.Sessions, 1))
+func (s *spreadState) usableRate(box int, demand *TitleDemand) float64 {
+	return min(s.freeLink[box], s.freeStreams[box]*demand.Rate/max(demand.Sessions, 1))
 }
 
 // even scales parts to a sum of 1; where all are nothing, they become alike.
-func normalize(parts []float64) {
+func normalize(shares []float64) {
 	sum := 0.0
-	for _, p := range parts {
-		sum += p
+	for _, share := range shares {
+		sum += share
 	}
-	for n := range parts {
+	for n := range shares {
 		if sum > 0 {
-			parts[n] /= sum
+			shares[n] /= sum
 		} else {
-			parts[n] = 1 / float64(len(parts))
+			shares[n] = 1 / float64(len(shares))
 		}
 	}
 }
 
 // target is the box for a title's next copy: in the rack with fewest holders of it, that with most room. A box
 // whose room would hardly serve one session is none.
-func (s *spreadState) chooseBox(h *TitleDemand, holders []int, lack float64, rest []float64) int {
-	racks := map[int]int{}
-	for _, k := range holders {
-		racks[s.boxes[k].Rack]++
+func (s *spreadState) chooseBox(demand *TitleDemand, holders []int, shortfall float64, spare []float64) int {
+	holdersByRack := map[int]int{}
+	for _, box := range holders {
+		holdersByRack[s.boxes[box].Rack]++
 	}
-	one := h.Rate / max(h.Sessions, 1)
+	sessionRate := demand.Rate / max(demand.Sessions, 1)
 	best := -1
 	better := func(a, c int) bool {
 		x, y := &s.boxes[a], &s.boxes[c]
-		if inA, inC := x.Zone == h.Zone, y.Zone == h.Zone; h.Zone >= 0 && inA != inC {
+		if inA, inC := x.Zone == demand.Zone, y.Zone == demand.Zone; demand.Zone >= 0 && inA != inC {
 			return inA
 		}
-		if racks[x.Rack] != racks[y.Rack] {
-			return racks[x.Rack] < racks[y.Rack]
+		if holdersByRack[x.Rack] != holdersByRack[y.Rack] {
+			return holdersByRack[x.Rack] < holdersByRack[y.Rack]
 		}
-		return rest[a] > rest[c]
+		return spare[a] > spare[c]
 	}
-	for k := range s.boxes {
-		if rest[k] < min(one, lack) || s.freeStreams[k] < 1 || s.freeDisk[k] < h.Size || slices.Contains(holders, k) {
+	for box := range s.boxes {
+		if spare[box] < min(sessionRate, shortfall) || s.freeStreams[box] < 1 || s.freeDisk[box] < demand.Size || slices.Contains(holders, box) {
 			continue
 		}
-		if best < 0 || better(k, best) {
-			best = k
+		if best < 0 || better(box, best) {
+			best = box
 		}
 	}
 	return best
--- a/internal/peaks/book.go
+++ b/internal/peaks/book.go
@@ -49,12 +49,12 @@
 
 func (e *FieldError) Error() string { return "peak: " + e.Field + ": " + e.Reason }
 
-func newFieldError(field, format string, a ...any) error {
-	return &FieldError{field, fmt.Sprintf(format, a...)}
+func newFieldError(field, format string, args ...any) error {
+	return &FieldError{field, fmt.Sprintf(format, args...)}
 }
 
 // Check finds what cannot be in an announcement. now is Unix milliseconds.
-func (a *Announcement) Validate(k KnownNames, now int64) error {
+func (a *Announcement) Validate(known KnownNames, now int64) error {
 	switch {
 	case a.ID == "" || len(a.ID) > 64 || strings.ContainsFunc(a.ID, func(r rune) bool { return r <= ' ' || r == '/' || r > '~' }):
 		return newFieldError("id", "%q: 1 to 64 printable characters without blanks and slashes", a.ID)
@@ -64,9 +64,9 @@
 		return nil
 	case len(a.Titles) == 0 || len(a.Titles) > maxTitles:
 		return newFieldError("titles", "%d: 1 to %d", len(a.Titles), maxTitles)
-	case !slices.Contains(k.Classes, a.Class):
+	case !slices.Contains(known.Classes, a.Class):
 		return newFieldError("class", "%q is not known", a.Class)
-	case a.Zone != "" && !slices.Contains(k.Zones, a.Zone):
+	case a.Zone != "" && !slices.Contains(known.Zones, a.Zone):
 		return newFieldError("zone", "%q is not known", a.Zone)
 	case !(a.Rate > 0) || a.Rate > maxRate:
 		return newFieldError("rate", "%v: above 0, %d at most", a.Rate, maxRate)
@@ -84,7 +84,7 @@
 		return newFieldError("start_ms", "%d: the peak is past", a.Start)
 	}
 	for i, t := range a.Titles {
-		if !k.Titles[t] {
+		if !known.Titles[t] {
 			return newFieldError(fmt.Sprintf("titles[%d]", i), "%q is not known", t)
 		}
 		if slices.Contains(a.Titles[:i], t) {
@@ -103,18 +103,18 @@
 }
 
 // Announce takes an announcement, a change or a cancellation. changed is false where it says nothing new.
-func (b *AnnouncementStore) Announce(a Announcement, k KnownNames, now int64) (changed bool, err error) {
-	if err := a.Validate(k, now); err != nil {
+func (b *AnnouncementStore) Announce(a Announcement, known KnownNames, now int64) (changed bool, err error) {
+	if err := a.Validate(known, now); err != nil {
 		return false, err
 	}
-	old := b.byID[a.ID]
+	previous := b.byID[a.ID]
 	switch {
-	case old == nil && len(b.byID) >= maxPeaks:
+	case previous == nil && len(b.byID) >= maxPeaks:
 		return false, newFieldError("id", "%d peaks are announced already", maxPeaks)
-	case old != nil && a.Version < old.Version:
+	case previous != nil && a.Version < previous.Version:
 		return false, nil
-	case old != nil && a.Version == old.Version:
-		if !old.equal(&a) {
+	case previous != nil && a.Version == previous.Version:
+		if !previous.equal(&a) {
 			return false, newFieldError("version", "%d of %s was announced with another content", a.Version, a.ID)
 		}
 		return false, nil
--- a/internal/peaks/follow.go
+++ b/internal/peaks/follow.go
@@ -34,18 +34,18 @@
 }
 
 // Saw takes arrivals of the peak since the last call.
-func (f *Follower) RecordArrivals(now int64, n float64, a *Announcement) {
+func (f *Follower) RecordArrivals(now int64, count float64, announcement *Announcement) {
 	f.arrivals = slices.DeleteFunc(f.arrivals, func(c arrivalCount) bool { return c.at <= now-arrivalWindow.Milliseconds() })
-	if !(n > 0) {
+	if !(count > 0) {
 		return
 	}
-	f.arrivals = append(f.arrivals, arrivalCount{now, n})
-	f.totalArrivals += n
-	part := earlyStartShare
-	if now >= a.Start-a.Uncertainty {
-		part = dueStartShare
+	f.arrivals = append(f.arrivals, arrivalCount{now, count})
+	f.totalArrivals += count
+	share := earlyStartShare
+	if now >= announcement.Start-announcement.Uncertainty {
+		share = dueStartShare
 	}
-	if f.startedAt == 0 && f.recentArrivals() >= max(minStartArrivals, part*a.Rate*arrivalWindow.Seconds()) && now >= a.Start-a.Uncertainty-60_000 {
+	if f.startedAt == 0 && f.recentArrivals() >= max(minStartArrivals, share*announcement.Rate*arrivalWindow.Seconds()) && now >= announcement.Start-announcement.Uncertainty-60_000 {
 		f.startedAt = now
 	}
 }
@@ -68,33 +68,33 @@
 
 // Expect weighs the announcement against what was seen: a peak that is late is waited for, and given up
 // by halves; one that runs (its sessions play for so long each) is believed at the rate that is seen, within bounds, for as long as announced.
-func (f *Follower) Forecast(now int64, a *Announcement, plays time.Duration) Forecast {
-	if a.Cancelled {
+func (f *Follower) Forecast(now int64, announcement *Announcement, sessionLength time.Duration) Forecast {
+	if announcement.Cancelled {
 		return Forecast{}
 	}
 	if f.startedAt == 0 {
-		if now < a.Start-a.Uncertainty-min(plays/leadDivisor, maxLead).Milliseconds() {
+		if now < announcement.Start-announcement.Uncertainty-min(sessionLength/leadDivisor, maxLead).Milliseconds() {
 			return Forecast{}
 		}
-		part := 1.0
-		if over := now - a.Start - max(a.Uncertainty, 1000) - lateGrace.Milliseconds(); over > 0 {
-			part = math.Exp2(-float64(over) / float64(lateHalfLife.Milliseconds()))
+		factor := 1.0
+		if overdue := now - announcement.Start - max(announcement.Uncertainty, 1000) - lateGrace.Milliseconds(); overdue > 0 {
+			factor = math.Exp2(-float64(overdue) / float64(lateHalfLife.Milliseconds()))
 		}
-		if part < minForecastShare {
+		if factor < minForecastShare {
 			return Forecast{}
 		}
-		return Forecast{a.Rate * part, milliseconds(a.Duration)}
+		return Forecast{announcement.Rate * factor, milliseconds(announcement.Duration)}
 	}
-	left := f.startedAt + a.Duration - now
-	ran := min(float64(now-f.startedAt)/1000, arrivalWindow.Seconds())
-	rate := a.Rate
-	if ran >= 1 {
-		rate = min(max(f.recentArrivals()/ran, minRateFactor*a.Rate), maxRateFactor*a.Rate)
-		known := ran / arrivalWindow.Seconds() // the longer it was watched, the more it is believed
-		rate = known*rate + (1-known)*a.Rate
+	remaining := f.startedAt + announcement.Duration - now
+	observedSeconds := min(float64(now-f.startedAt)/1000, arrivalWindow.Seconds())
+	rate := announcement.Rate
+	if observedSeconds >= 1 {
+		rate = min(max(f.recentArrivals()/observedSeconds, minRateFactor*announcement.Rate), maxRateFactor*announcement.Rate)
+		weight := observedSeconds / arrivalWindow.Seconds() // the longer it was watched, the more it is believed
+		rate = weight*rate + (1-weight)*announcement.Rate
 	}
-	if left <= 0 {
+	if remaining <= 0 {
 		return Forecast{}
 	}
-	return Forecast{rate, milliseconds(left)}
+	return Forecast{rate, milliseconds(remaining)}
 }
--- a/internal/peaks/ledger.go
+++ b/internal/peaks/ledger.go
@@ -21,8 +21,8 @@
 
 // others is what sessions outside any peak take: what the box says less what edges say of peaks. The two
 // words come at different moments, and must not count a session twice.
-func (s BoxCapacity) otherUsage(u Usage) (rate, streams float64) {
-	return max(s.Busy-u.Rate, 0), max(s.Playing-u.Streams, 0)
+func (s BoxCapacity) otherUsage(usage Usage) (rate, streams float64) {
+	return max(s.Busy-usage.Rate, 0), max(s.Playing-usage.Streams, 0)
 }
 
 // Account is where a box's room stands: Held + Used + Free = Size. Free is below 0 where more is used
@@ -50,7 +50,7 @@
 }
 
 // Resize tells the boxes that may get new work. What is held on others falls away.
-func (l *Ledger) SetCapacities(sizes map[string]BoxCapacity) { l.capacities = sizes }
+func (l *Ledger) SetCapacities(capacities map[string]BoxCapacity) { l.capacities = capacities }
 
 // SetPlan replaces the plan.
 func (l *Ledger) SetPlan(holds []Hold) {
@@ -63,18 +63,18 @@
 }
 
 // Coming bounds what is held by the sessions that are still expected: by peak and title.
-func (l *Ledger) SetExpectedSessions(most map[string]float64) { l.expectedSessions = most }
+func (l *Ledger) SetExpectedSessions(expected map[string]float64) { l.expectedSessions = expected }
 
 // PeakTitle is the key of Coming.
 func PeakTitleKey(peak, title string) string { return peak + "\x00" + title }
 
 // Report takes what an edge uses. One that is not newer than the last of that edge changes nothing.
-func (l *Ledger) RecordReport(edge string, seq uint64, now int64, uses []Usage) bool {
+func (l *Ledger) RecordReport(edge string, seq uint64, now int64, usage []Usage) bool {
 	if r := l.reports[edge]; r != nil && seq <= r.seq {
 		return false
 	}
-	r := &report{seq: seq, receivedAt: now, usage: make(map[Key]Usage, len(uses))}
-	for _, u := range uses {
+	r := &report{seq: seq, receivedAt: now, usage: make(map[Key]Usage, len(usage))}
+	for _, u := range usage {
 		if u.Rate >= 0 && u.Streams >= 0 {
 			r.usage[u.Key] = u
 		}
@@ -100,9 +100,9 @@
 	out := map[Key]Usage{}
 	for _, r := range l.reports {
 		for k, u := range r.usage {
-			s := out[k]
-			s.Rate, s.Streams = s.Rate+u.Rate, s.Streams+u.Streams
-			out[k] = s
+			sum := out[k]
+			sum.Rate, sum.Streams = sum.Rate+u.Rate, sum.Streams+u.Streams
+			out[k] = sum
 		}
 	}
 	return out
@@ -111,12 +111,12 @@
 // PeakUse is what sessions of peaks take on each box.
 func (l *Ledger) UsageByBox() map[string]Usage { return sumByBox(l.usageByKey()) }
 
-func sumByBox(used map[Key]Usage) map[string]Usage {
+func sumByBox(usage map[Key]Usage) map[string]Usage {
 	out := map[string]Usage{}
-	for k, u := range used {
-		s := out[k.Box]
-		s.Rate, s.Streams = s.Rate+u.Rate, s.Streams+u.Streams
-		out[k.Box] = s
+	for k, u := range usage {
+		sum := out[k.Box]
+		sum.Rate, sum.Streams = sum.Rate+u.Rate, sum.Streams+u.Streams
+		out[k.Box] = sum
 	}
 	return out
 }
@@ -140,48 +140,48 @@
 	}
 	for i := range out {
 		k := PeakTitleKey(out[i].Peak, out[i].Title)
-		if most, ok := l.expectedSessions[k]; ok && streams[k] > most {
-			out[i].scale(max(most, 0) / streams[k])
+		if expected, ok := l.expectedSessions[k]; ok && streams[k] > expected {
+			out[i].scale(max(expected, 0) / streams[k])
 		}
 	}
 	l.limitToCapacity(out, used)
 	return slices.DeleteFunc(out, func(h Hold) bool { return h.Streams < 1e-6 })
 }
 
-func (h *Hold) scale(by float64) { h.Rate, h.Streams = h.Rate*by, h.Streams*by }
+func (h *Hold) scale(factor float64) { h.Rate, h.Streams = h.Rate*factor, h.Streams*factor }
 
 // fit cuts holds down to what their boxes have left.
 func (l *Ledger) limitToCapacity(holds []Hold, used map[Key]Usage) {
-	rate, streams := map[string]float64{}, map[string]float64{}
-	use := sumByBox(used)
-	for b, s := range l.capacities {
-		kb, n := s.otherUsage(use[b])
-		rate[b], streams[b] = s.Rate-kb-use[b].Rate, s.Streams-n-use[b].Streams
+	freeRate, freeStreams := map[string]float64{}, map[string]float64{}
+	usageByBox := sumByBox(used)
+	for box, s := range l.capacities {
+		otherRate, otherStreams := s.otherUsage(usageByBox[box])
+		freeRate[box], freeStreams[box] = s.Rate-otherRate-usageByBox[box].Rate, s.Streams-otherStreams-usageByBox[box].Streams
 	}
-	held, heldStreams := map[string]float64{}, map[string]float64{}
+	heldRate, heldStreams := map[string]float64{}, map[string]float64{}
 	for _, h := range holds {
-		held[h.Box], heldStreams[h.Box] = held[h.Box]+h.Rate, heldStreams[h.Box]+h.Streams
+		heldRate[h.Box], heldStreams[h.Box] = heldRate[h.Box]+h.Rate, heldStreams[h.Box]+h.Streams
 	}
 	for i := range holds {
-		b := holds[i].Box
-		part := 1.0
-		if held[b] > 0 {
-			part = min(part, max(rate[b], 0)/held[b])
+		box := holds[i].Box
+		factor := 1.0
+		if heldRate[box] > 0 {
+			factor = min(factor, max(freeRate[box], 0)/heldRate[box])
 		}
-		if heldStreams[b] > 0 {
-			part = min(part, max(streams[b], 0)/heldStreams[b])
+		if heldStreams[box] > 0 {
+			factor = min(factor, max(freeStreams[box], 0)/heldStreams[box])
 		}
-		holds[i].scale(part)
+		holds[i].scale(factor)
 	}
 }
 
 // Accounts are all boxes' accounts, of their links.
 func (l *Ledger) Accounts() map[string]Account {
 	out := map[string]Account{}
-	use := l.UsageByBox()
+	usageByBox := l.UsageByBox()
 	for b, s := range l.capacities {
-		others, _ := s.otherUsage(use[b])
-		out[b] = Account{Size: s.Rate, Used: others + use[b].Rate}
+		others, _ := s.otherUsage(usageByBox[b])
+		out[b] = Account{Size: s.Rate, Used: others + usageByBox[b].Rate}
 	}
 	for _, h := range l.RemainingHolds() {
 		a := out[h.Box]
--- a/internal/peaks/lp.go
+++ b/internal/peaks/lp.go
@@ -37,8 +37,8 @@
 }
 
 // Plan is the best plan that the budget allows. The reason tells why it is the greedy one.
-func (s *Solver) Plan(f *Fleet, demands []Demand) (*Plan, error) {
-	greedy := SolveGreedy(f, demands)
+func (s *Solver) Plan(fleet *Fleet, demands []Demand) (*Plan, error) {
+	greedy := SolveGreedy(fleet, demands)
 	select {
 	case <-s.idle:
 	default:
@@ -48,94 +48,94 @@
 	failed := make(chan error, 1)
 	go func() {
 		defer func() { s.idle <- struct{}{} }()
-		begin := time.Now()
-		p, err := SolveLP(f, demands)
+		start := time.Now()
+		plan, err := SolveLP(fleet, demands)
 		if err != nil {
 			failed <- err
 			return
 		}
-		p.Took = time.Since(begin)
-		done <- p
+		plan.Took = time.Since(start)
+		done <- plan
 	}()
-	t := time.NewTimer(s.Budget)
-	defer t.Stop()
+	timer := time.NewTimer(s.Budget)
+	defer timer.Stop()
 	select {
-	case p := <-done:
-		return p, nil
+	case plan := <-done:
+		return plan, nil
 	case err := <-failed:
 		return greedy, err
-	case <-t.C:
+	case <-timer.C:
 		return greedy, fmt.Errorf("peaks: solver budget of %v spent", s.Budget)
 	}
 }
 
 // LP is the optimal plan.
-func SolveLP(f *Fleet, demands []Demand) (*Plan, error) {
-	var pieces []allocation
-	var buys []SelectedOffer
+func SolveLP(fleet *Fleet, demands []Demand) (*Plan, error) {
+	var allocations []allocation
+	var selected []SelectedOffer
 	net := 0.0
-	for _, part := range f.independentGroups(demands) {
-		got, n, err := f.solveGroup(demands, part)
+	for _, group := range fleet.independentGroups(demands) {
+		groupAllocations, groupNet, err := fleet.solveGroup(demands, group)
 		if err != nil {
 			return nil, err
 		}
-		net += n
-		for _, x := range got {
+		net += groupNet
+		for _, x := range groupAllocations {
 			if x.demand <= -2 {
 				if x.sessions > 1e-6 {
-					buys = append(buys, SelectedOffer{-2 - x.demand, x.box, x.sessions})
+					selected = append(selected, SelectedOffer{-2 - x.demand, x.box, x.sessions})
 				}
 				continue
 			}
-			pieces = append(pieces, x)
+			allocations = append(allocations, x)
 		}
 	}
-	p := f.buildPlan(demands, pieces, "lp")
-	p.Buys, p.Net = buys, net
-	return p, nil
+	plan := fleet.buildPlan(demands, allocations, "lp")
+	plan.Buys, plan.Net = selected, net
+	return plan, nil
 }
 
 // parts are the demands that share boxes, or racks whose uplink could bind.
 func (f *Fleet) independentGroups(demands []Demand) [][]int {
-	group := make([]int, len(f.Boxes)+len(f.Uplinks))
-	for i := range group {
-		group[i] = i
+	parent := make([]int, len(f.Boxes)+len(f.Uplinks))
+	for i := range parent {
+		parent[i] = i
 	}
 	root := func(i int) int {
-		for group[i] != i {
-			group[i] = group[group[i]]
-			i = group[i]
+		for parent[i] != i {
+			parent[i] = parent[parent[i]]
+			i = parent[i]
 		}
 		return i
 	}
 	for b := range f.Boxes {
 		if f.uplinkCanBind(f.Boxes[b].Rack) {
-			group[root(b)] = root(len(f.Boxes) + f.Boxes[b].Rack)
+			parent[root(b)] = root(len(f.Boxes) + f.Boxes[b].Rack)
 		}
 	}
-	first := make([]int, len(demands))
+	firstBox := make([]int, len(demands))
 	for d := range demands {
-		first[d] = -1
+		firstBox[d] = -1
 		for b := range f.Boxes {
 			if f.holdsTitle(&demands[d], &f.Boxes[b]) || f.offerIndex(&demands[d], &f.Boxes[b]) >= 0 {
-				if first[d] < 0 {
-					first[d] = b
+				if firstBox[d] < 0 {
+					firstBox[d] = b
 				}
-				group[root(b)] = root(first[d])
+				parent[root(b)] = root(firstBox[d])
 			}
 		}
 	}
-	at := map[int]int{}
+	groupOfRoot := map[int]int{}
 	var out [][]int
 	for d := range demands {
-		if first[d] < 0 || f.sessionsWithinSeats(&demands[d]) <= 0 {
+		if firstBox[d] < 0 || f.sessionsWithinSeats(&demands[d]) <= 0 {
 			continue
 		}
-		r := root(first[d])
-		i, ok := at[r]
+		r := root(firstBox[d])
+		i, ok := groupOfRoot[r]
 		if !ok {
 			i = len(out)
-			at[r], out = i, append(out, nil)
+			groupOfRoot[r], out = i, append(out, nil)
 		}
 		out[i] = append(out[i], d)
 	}
@@ -173,13 +173,13 @@
 	return len(p.costs) - 1
 }
 
-func (p *linearProgram) addConstraint(to float64) int {
-	p.constraints = append(p.constraints, constraint{bound: to})
+func (p *linearProgram) addConstraint(bound float64) int {
+	p.constraints = append(p.constraints, constraint{bound: bound})
 	return len(p.constraints) - 1
 }
 
-func (p *linearProgram) setCoefficient(r, col int, v float64) {
-	p.constraints[r].variables, p.constraints[r].coefficients = append(p.constraints[r].variables, col), append(p.constraints[r].coefficients, v)
+func (p *linearProgram) setCoefficient(row, variable int, value float64) {
+	p.constraints[row].variables, p.constraints[row].coefficients = append(p.constraints[row].variables, variable), append(p.constraints[row].coefficients, value)
 }
 
 // run solves it with a slack for each row, from the corner at which nothing is held. Rows are scaled to
@@ -189,86 +189,86 @@
 	a := mat.NewDense(m, n+m, nil)
 	b, c, basis := make([]float64, m), make([]float64, n+m), make([]int, m)
 	copy(c, p.costs)
-	for i, r := range p.constraints {
+	for i, row := range p.constraints {
 		scale := 0.0
-		for _, v := range r.coefficients {
+		for _, v := range row.coefficients {
 			scale = max(scale, math.Abs(v))
 		}
 		scale = max(scale, 1e-9)
-		for j, col := range r.variables {
-			a.Set(i, col, a.At(i, col)+r.coefficients[j]/scale)
+		for j, variable := range row.variables {
+			a.Set(i, variable, a.At(i, variable)+row.coefficients[j]/scale)
 		}
 		a.Set(i, n+i, 1)
 		// rows of no room at all are many, and equal corners lead the simplex into singular bases: each
 		// row gets a little more, no two the same
-		b[i], basis[i] = max(r.bound, 0)/scale+perturbation*(1+float64(i)/float64(m)), n+i
+		b[i], basis[i] = max(row.bound, 0)/scale+perturbation*(1+float64(i)/float64(m)), n+i
 	}
-	least, x, err := lp.Simplex(c, a, b, 1e-9, basis)
+	minimum, x, err := lp.Simplex(c, a, b, 1e-9, basis)
 	if err != nil {
 		return nil, 0, fmt.Errorf("peaks: simplex over %d rows and %d columns: %w", m, n+m, err)
 	}
-	return x[:n], -least, nil
+	return x[:n], -minimum, nil
 }
 
 const perturbation = 1e-6
 
 // solve sets up and solves the program of one part.
-func (f *Fleet) solveGroup(demands []Demand, part []int) ([]allocation, float64, error) {
-	p := &linearProgram{}
-	link, streams, rack := map[int]int{}, map[int]int{}, map[int]int{}
+func (f *Fleet) solveGroup(demands []Demand, group []int) ([]allocation, float64, error) {
+	program := &linearProgram{}
+	linkRows, streamRows, uplinkRows := map[int]int{}, map[int]int{}, map[int]int{}
 	price := f.stepDownPrice()
-	var vars []allocation
-	for _, d := range part {
-		dm := &demands[d]
-		want := p.addConstraint(f.sessionsWithinSeats(dm))
-		k := f.Classes[dm.Class]
+	var variables []allocation
+	for _, d := range group {
+		demand := &demands[d]
+		sessionsRow := program.addConstraint(f.sessionsWithinSeats(demand))
+		class := f.Classes[demand.Class]
 		for b := range f.Boxes {
-			x := &f.Boxes[b]
-			o := f.offerIndex(dm, x)
-			if o < 0 && !f.holdsTitle(dm, x) {
+			box := &f.Boxes[b]
+			offer := f.offerIndex(demand, box)
+			if offer < 0 && !f.holdsTitle(demand, box) {
 				continue
 			}
-			if _, ok := link[b]; !ok {
-				f.addBoxConstraints(p, b, price, link, streams, rack)
+			if _, ok := linkRows[b]; !ok {
+				f.addBoxConstraints(program, b, price, linkRows, streamRows, uplinkRows)
 			}
-			bought := -1
-			if o >= 0 { // sum of n(d,b,r) - most y <= 0, y <= 1
-				y := p.addVariable(dm.Offers[o].Cost)
-				for len(vars) < y {
-					vars = append(vars, allocation{demand: -1})
+			copyRow := -1
+			if offer >= 0 { // sum of n(d,b,r) - most y <= 0, y <= 1
+				copyVariable := program.addVariable(demand.Offers[offer].Cost)
+				for len(variables) < copyVariable {
+					variables = append(variables, allocation{demand: -1})
 				}
-				vars = append(vars, allocation{demand: -2 - d, box: o})
-				_, most := x.freeCapacity()
-				bought = p.addConstraint(0)
-				p.setCoefficient(bought, y, -max(min(most, f.sessionsWithinSeats(dm)), 1e-3))
-				p.setCoefficient(p.addConstraint(1), y, 1)
+				variables = append(variables, allocation{demand: -2 - d, box: offer})
+				_, freeStreams := box.freeCapacity()
+				copyRow = program.addConstraint(0)
+				program.setCoefficient(copyRow, copyVariable, -max(min(freeStreams, f.sessionsWithinSeats(demand)), 1e-3))
+				program.setCoefficient(program.addConstraint(1), copyVariable, 1)
 			}
-			for r := k.FloorRung; r <= k.TopRung; r++ {
-				col := p.addVariable(price*f.sessionRate(dm, r) - f.sessionWorth(dm, x)*f.RungWorths[r])
-				for len(vars) < col {
-					vars = append(vars, allocation{demand: -1}) // columns of z
+			for r := class.FloorRung; r <= class.TopRung; r++ {
+				variable := program.addVariable(price*f.sessionRate(demand, r) - f.sessionWorth(demand, box)*f.RungWorths[r])
+				for len(variables) < variable {
+					variables = append(variables, allocation{demand: -1}) // columns of z
 				}
-				vars = append(vars, allocation{d, b, r, 0})
-				p.setCoefficient(want, col, 1)
-				p.setCoefficient(link[b], col, f.sessionRate(dm, r))
-				p.setCoefficient(streams[b], col, 1)
-				if bought >= 0 {
-					p.setCoefficient(bought, col, 1)
+				variables = append(variables, allocation{d, b, r, 0})
+				program.setCoefficient(sessionsRow, variable, 1)
+				program.setCoefficient(linkRows[b], variable, f.sessionRate(demand, r))
+				program.setCoefficient(streamRows[b], variable, 1)
+				if copyRow >= 0 {
+					program.setCoefficient(copyRow, variable, 1)
 				}
-				if i, ok := rack[x.Rack]; ok {
-					p.setCoefficient(i, col, f.sessionRate(dm, r))
+				if i, ok := uplinkRows[box.Rack]; ok {
+					program.setCoefficient(i, variable, f.sessionRate(demand, r))
 				}
 			}
 		}
 	}
-	sol, net, err := p.solve()
+	solution, net, err := program.solve()
 	if err != nil {
 		return nil, 0, err
 	}
-	out := vars[:0]
-	for i, v := range vars {
+	out := variables[:0]
+	for i, v := range variables {
 		if v.demand != -1 { // not a column of z
-			v.sessions = sol[i]
+			v.sessions = solution[i]
 			out = append(out, v)
 		}
 	}
@@ -276,28 +276,28 @@
 }
 
 // addBox adds a box's rows, and what those playing there could give up.
-func (f *Fleet) addBoxConstraints(p *linearProgram, b int, price float64, link, streams, rack map[int]int) {
-	x := &f.Boxes[b]
-	kb, n := x.freeCapacity()
-	link[b], streams[b] = p.addConstraint(kb), p.addConstraint(n)
-	if f.uplinkCanBind(x.Rack) {
-		if _, ok := rack[x.Rack]; !ok {
-			room := MaxUtilization * f.Uplinks[x.Rack]
+func (f *Fleet) addBoxConstraints(program *linearProgram, b int, price float64, linkRows, streamRows, uplinkRows map[int]int) {
+	box := &f.Boxes[b]
+	freeLink, freeStreams := box.freeCapacity()
+	linkRows[b], streamRows[b] = program.addConstraint(freeLink), program.addConstraint(freeStreams)
+	if f.uplinkCanBind(box.Rack) {
+		if _, ok := uplinkRows[box.Rack]; !ok {
+			freeUplink := MaxUtilization * f.Uplinks[box.Rack]
 			for i := range f.Boxes {
-				if f.Boxes[i].Rack == x.Rack {
-					room -= f.Boxes[i].LinkLoad
+				if f.Boxes[i].Rack == box.Rack {
+					freeUplink -= f.Boxes[i].LinkLoad
 				}
 			}
-			rack[x.Rack] = p.addConstraint(max(room, 0))
+			uplinkRows[box.Rack] = program.addConstraint(max(freeUplink, 0))
 		}
 	}
-	if x.LinkLoad <= 0 {
+	if box.LinkLoad <= 0 {
 		return
 	}
-	z := p.addVariable(price)
-	p.setCoefficient(p.addConstraint(maxStepDownShare*x.LinkLoad), z, 1)
-	p.setCoefficient(link[b], z, -1)
-	if i, ok := rack[x.Rack]; ok {
-		p.setCoefficient(i, z, -1)
+	stepDownVariable := program.addVariable(price)
+	program.setCoefficient(program.addConstraint(maxStepDownShare*box.LinkLoad), stepDownVariable, 1)
+	program.setCoefficient(linkRows[b], stepDownVariable, -1)
+	if i, ok := uplinkRows[box.Rack]; ok {
+		program.setCoefficient(i, stepDownVariable, -1)
 	}
 }
--- a/internal/peaks/pays.go
+++ b/internal/peaks/pays.go
@@ -5,27 +5,27 @@
 // do come. Room on a link can: the module steps others down as newcomers arrive, in the same instant.
 // Streams cannot: a session ends when it ends. So streams are held, no rate, and only where the hour is thought to
 // need all that a box has left, for sessions that earn more than those they keep out.
-func KeepProfitableHolds(f *Fleet, demands []Demand, p *Plan) *Plan {
+func KeepProfitableHolds(fleet *Fleet, demands []Demand, plan *Plan) *Plan {
 	worth := map[string]float64{}
 	for _, d := range demands {
 		worth[PeakTitleKey(d.Peak, d.Title)] = d.Worth
 	}
-	usual := 0.0
-	for _, c := range f.Classes {
-		usual += c.Worth / float64(len(f.Classes))
+	meanWorth := 0.0
+	for _, c := range fleet.Classes {
+		meanWorth += c.Worth / float64(len(fleet.Classes))
 	}
-	left, held := map[string]float64{}, map[string]float64{}
-	for i := range f.Boxes {
-		_, left[f.Boxes[i].ID] = f.Boxes[i].freeCapacity()
+	freeStreams, heldStreams := map[string]float64{}, map[string]float64{}
+	for i := range fleet.Boxes {
+		_, freeStreams[fleet.Boxes[i].ID] = fleet.Boxes[i].freeCapacity()
 	}
-	for _, h := range p.Holds {
-		held[h.Box] += h.Streams
+	for _, h := range plan.Holds {
+		heldStreams[h.Box] += h.Streams
 	}
-	out := *p
+	out := *plan
 	out.Holds = nil
-	for _, h := range p.Holds {
-		scarce := held[h.Box] >= scarceStreamsShare*left[h.Box]
-		if scarce && worth[PeakTitleKey(h.Peak, h.Title)] > usual {
+	for _, h := range plan.Holds {
+		scarce := heldStreams[h.Box] >= scarceStreamsShare*freeStreams[h.Box]
+		if scarce && worth[PeakTitleKey(h.Peak, h.Title)] > meanWorth {
 			h.Rate = 0
 			out.Holds = append(out.Holds, h)
 		}
--- a/internal/peaks/pays_test.go
+++ b/internal/peaks/pays_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func spare(boxes int) *Fleet {
+func newSmallFleet(boxes int) *Fleet {
 	f := &Fleet{Uplinks: make([]float64, 1), Cells: boxes, Edges: 3, Ladder: []float64{260, 810, 2540}, RungWorths: []float64{0.2, 0.6, 1},
 		Classes: []Class{{RateFactor: 1, TopRung: 2, Worth: 2}, {RateFactor: 1, TopRung: 2, Worth: 1}}}
 	for i := range boxes {
@@ -17,12 +17,12 @@
 
 // Room on links is never held, as it can be had at once; streams are, where the hour needs all that are left
 // and earns more than those it keeps out.
-func TestPaying(t *testing.T) {
+func TestKeepProfitableHolds(t *testing.T) {
 	for name, c := range map[string]struct {
 		count, worth float64
 		holds        bool
 	}{"streams run out": {100, 2, true}, "streams enough": {10, 2, false}, "others earn more": {100, 1, false}} {
-		f := spare(4)
+		f := newSmallFleet(4)
 		d := []Demand{{Peak: "p", Title: "t", CellSpan: 4, Sessions: c.count, Worth: c.worth}}
 		p, err := SolveLP(f, d)
 		if err != nil {
@@ -36,8 +36,8 @@
 }
 
 // An hour of one zone is planned at that zone's boxes as far as they go, by either way.
-func TestZonesOfAPlan(t *testing.T) {
-	f := spare(4)
+func TestPlansPreferViewerZone(t *testing.T) {
+	f := newSmallFleet(4)
 	f.CrossZoneCost = 0.1
 	for _, count := range []float64{3, 60} {
 		d := []Demand{{Peak: "p", Title: "t", CellSpan: 4, Sessions: count, Worth: 2, HasZone: true, Zone: 1}}
@@ -62,8 +62,8 @@
 }
 
 // A copy that is offered is taken where it pays and left where it costs too much.
-func TestOffers(t *testing.T) {
-	f := spare(4)
+func TestCopyOffers(t *testing.T) {
+	f := newSmallFleet(4)
 	for cost, want := range map[float64]bool{0.01: true, 1000: false} {
 		d := []Demand{{Peak: "p", Title: "t", Sessions: 40, Worth: 2, Holders: []string{"b0"}, Offers: []CopyOffer{{"b1", cost}, {"b2", cost}}}}
 		p, err := SolveLP(f, d)
--- a/internal/peaks/peaks_test.go
+++ b/internal/peaks/peaks_test.go
@@ -13,13 +13,13 @@
 
 const now = int64(1_800_000_000_000)
 
-var known = KnownNames{Classes: []string{"play"}, Zones: []string{"z"}, Titles: map[string]bool{"a": true, "b": true}}
+var knownNames = KnownNames{Classes: []string{"play"}, Zones: []string{"z"}, Titles: map[string]bool{"a": true, "b": true}}
 
-func peak() Announcement {
+func testAnnouncement() Announcement {
 	return Announcement{ID: "p", Version: 1, Titles: []string{"a"}, Class: "play", Start: now + 60_000, Uncertainty: 5000, Rate: 10, Duration: 30_000}
 }
 
-func TestBook(t *testing.T) {
+func TestAnnouncementStore(t *testing.T) {
 	for _, c := range []struct {
 		field  string
 		change func(*Announcement)
@@ -33,18 +33,18 @@
 		{"worth", func(a *Announcement) { a.Worth = math.NaN() }}, {"start_ms", func(a *Announcement) { a.Start = 5 }},
 		{"start_ms", func(a *Announcement) { a.Start = math.MaxInt64 }}, {"start_ms", func(a *Announcement) { a.Start = now - 40_000 }},
 	} {
-		b, a := NewAnnouncementStore(), peak()
+		b, a := NewAnnouncementStore(), testAnnouncement()
 		c.change(&a)
-		if _, err := b.Announce(a, known, now); err == nil || !strings.Contains(err.Error(), "peak: "+c.field+":") || len(b.List()) != 0 {
+		if _, err := b.Announce(a, knownNames, now); err == nil || !strings.Contains(err.Error(), "peak: "+c.field+":") || len(b.List()) != 0 {
 			t.Errorf("%s: %v, %v", c.field, err, b.List())
 		}
 	}
 	b := NewAnnouncementStore()
 	say := func(want bool, wrong string, change func(*Announcement)) {
 		t.Helper()
-		a := peak()
+		a := testAnnouncement()
 		change(&a)
-		changed, err := b.Announce(a, known, now)
+		changed, err := b.Announce(a, knownNames, now)
 		if changed != want || (err != nil) != (wrong != "") {
 			t.Errorf("%+v: %v %v", a, changed, err)
 		}
@@ -76,7 +76,7 @@
 		{"larger", 0, 30, 10_000, 19, 20, 20}, {"smaller", 0, 3, 12_000, 2.5, 4, 18}, {"over", 0, 10, 31_000, 0, 0, 0},
 		{"not yet", 99_000, 10, 20_000, 10, 10, 30}, {"hardly any more", 99_000, 10, 45_000, 1, 6, 30}, {"never", 999_000, 10, 80_000, 0, 0, 0},
 	} {
-		a := peak()
+		a := testAnnouncement()
 		f := &Follower{}
 		for ms := int64(-60_000); ms <= c.at; ms += 1000 {
 			n := 0.2 // its titles are wanted at other times too
@@ -93,7 +93,7 @@
 			t.Errorf("%s: %.1f a second for %v, want %v to %v for %v s", c.name, e.Rate, e.Remaining, c.lo, c.hi, c.seconds)
 		}
 	}
-	a := peak()
+	a := testAnnouncement()
 	a.Cancelled = true
 	if e := (&Follower{}).Forecast(a.Start, &a, time.Minute); e.Rate != 0 {
 		t.Error("a cancelled peak is expected")
@@ -101,7 +101,7 @@
 }
 
 // fleet of n boxes in racks of four, each holding what its cell says.
-func fleet(n int) *Fleet {
+func newTestFleet(n int) *Fleet {
 	f := &Fleet{Cells: n, Edges: 3, Ladder: []float64{260, 460, 810, 1440, 2540}, RungWorths: []float64{0.17, 0.41, 0.61, 0.81, 1},
 		Classes: []Class{{RateFactor: 1, TopRung: 4, Worth: 1}, {RateFactor: 1.2, TopRung: 4, Worth: 2, Seats: 10}, {RateFactor: 1, FloorRung: 1, TopRung: 3, Worth: 2}}}
 	for i := range n {
@@ -115,7 +115,7 @@
 }
 
 // check finds what a plan breaks.
-func check(f *Fleet, demands []Demand, p *Plan, mayTake bool) error {
+func checkLimits(f *Fleet, demands []Demand, p *Plan, mayTake bool) error {
 	link, streams, rack, count := map[string]float64{}, map[string]float64{}, map[int]float64{}, map[string]float64{}
 	box := map[string]*Box{}
 	for i := range f.Boxes {
@@ -158,7 +158,7 @@
 	return nil
 }
 
-func demands(f *Fleet, n int, draw func(int) int) (out []Demand) {
+func randomDemands(f *Fleet, n int, draw func(int) int) (out []Demand) {
 	for i := range n {
 		c := draw(3)
 		out = append(out, Demand{Peak: fmt.Sprint("p", i), Title: "t", Class: c, HomeCell: draw(f.Cells), CellSpan: 3 + draw(3), Sessions: float64(5 + draw(60)),
@@ -168,7 +168,7 @@
 }
 
 // net is a plan's worth less the price of the room it holds.
-func net(f *Fleet, p *Plan) float64 {
+func netValue(f *Fleet, p *Plan) float64 {
 	v := p.Value
 	for _, h := range p.Holds {
 		v -= f.stepDownPrice() * h.Rate
@@ -186,7 +186,7 @@
 	}()
 	rapid.Check(t, func(rt *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "n") }
-		f := fleet(8 + draw(8))
+		f := newTestFleet(8 + draw(8))
 		for i := range f.Boxes {
 			switch draw(6) {
 			case 0:
@@ -197,9 +197,9 @@
 				f.Boxes[i].ActiveSessions = 30
 			}
 		}
-		d := demands(f, 1+draw(5), draw)
+		d := randomDemands(f, 1+draw(5), draw)
 		g := SolveGreedy(f, d)
-		if err := check(f, d, g, false); err != nil {
+		if err := checkLimits(f, d, g, false); err != nil {
 			rt.Fatalf("greedy: %v", err)
 		}
 		p, err := SolveLP(f, d)
@@ -208,10 +208,10 @@
 			return
 		}
 		solved++
-		if err := check(f, d, p, true); err != nil {
+		if err := checkLimits(f, d, p, true); err != nil {
 			rt.Fatalf("lp: %v", err)
 		}
-		if x, y := net(f, p), net(f, g); x < y-1e-3 {
+		if x, y := netValue(f, p), netValue(f, g); x < y-1e-3 {
 			rt.Fatalf("lp %v, greedy %v after the price of what they hold", x, y)
 		}
 	})
@@ -219,9 +219,9 @@
 
 // More seats are held than a clip has: no more than its seats at all edges.
 func TestSeatsBoundHolds(t *testing.T) {
-	f := fleet(8)
+	f := newTestFleet(8)
 	d := []Demand{{Peak: "p", Title: "t", Class: 1, CellSpan: 8, Sessions: 500, Worth: 2}}
-	for _, p := range []*Plan{SolveGreedy(f, d), must(SolveLP(f, d))} {
+	for _, p := range []*Plan{SolveGreedy(f, d), mustPlan(SolveLP(f, d))} {
 		sum := 0.0
 		for _, h := range p.Holds {
 			sum += h.Streams
@@ -232,7 +232,7 @@
 	}
 }
 
-func must(p *Plan, err error) *Plan {
+func mustPlan(p *Plan, err error) *Plan {
 	if err != nil {
 		panic(err)
 	}
@@ -241,15 +241,15 @@
 
 // Two peaks want the same holders and do not both fit: the dearer one is served first, by both plans, and
 // cold or dead holders leave it to the others.
-func TestTwoPeaksOneRoom(t *testing.T) {
-	f := fleet(8)
+func TestTwoPeaksShareHolders(t *testing.T) {
+	f := newTestFleet(8)
 	for i := range f.Boxes {
 		f.Boxes[i].LinkLoad, f.Boxes[i].ActiveSessions = 0, 0
 	}
 	d := []Demand{{Peak: "cheap", Title: "t", HomeCell: 0, CellSpan: 4, Sessions: 200, Worth: 1}, {Peak: "dear", Title: "u", HomeCell: 0, CellSpan: 4, Sessions: 60, Worth: 3}}
 	f.Boxes[0].RampShare = 0.25
 	f.Boxes = slices.Delete(f.Boxes, 1, 2) // gone
-	for _, p := range []*Plan{SolveGreedy(f, d), must(SolveLP(f, d))} {
+	for _, p := range []*Plan{SolveGreedy(f, d), mustPlan(SolveLP(f, d))} {
 		n, cold := map[string]float64{}, 0.0
 		for _, h := range p.Holds {
 			n[h.Peak] += h.Streams
@@ -268,9 +268,9 @@
 
 // A solver whose budget is spent gives the greedy plan, and the next plan is solved again.
 func TestSolverBudget(t *testing.T) {
-	f := fleet(40)
+	f := newTestFleet(40)
 	i := 0
-	d := demands(f, 12, func(n int) int { i = i*1103515245 + 12345; return int(uint32(i)>>8) % n })
+	d := randomDemands(f, 12, func(n int) int { i = i*1103515245 + 12345; return int(uint32(i)>>8) % n })
 	s := NewSolver(time.Nanosecond)
 	if p, err := s.Plan(f, d); err == nil || p.By != "greedy" {
 		t.Errorf("%s %v", p.By, err)
@@ -293,7 +293,7 @@
 
 // Whatever comes in whatever order, held + used + free = size, nothing held is below 0 or beyond the plan,
 // and telling a release twice gives nothing back twice.
-func TestLedgerProperty(t *testing.T) {
+func TestLedgerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger()
 		boxes, titles := []string{"a", "b", "c"}, []string{"t", "u"}
@@ -368,10 +368,10 @@
 
 // At 280 boxes, 300 edges and 20 peaks.
 func BenchmarkPlan(b *testing.B) {
-	f := fleet(280)
+	f := newTestFleet(280)
 	f.Edges = 300
 	i := 7
-	d := demands(f, 20, func(n int) int { i = i*1103515245 + 12345; return int(uint32(i)>>8) % n })
+	d := randomDemands(f, 20, func(n int) int { i = i*1103515245 + 12345; return int(uint32(i)>>8) % n })
 	for j := range d {
 		d[j].Sessions *= 3
 	}
@@ -385,7 +385,7 @@
 	b.Run("lp", func(b *testing.B) {
 		var p *Plan
 		for b.Loop() {
-			p = must(SolveLP(f, d))
+			p = mustPlan(SolveLP(f, d))
 		}
 		b.ReportMetric(p.Value, "worth/s")
 	})
--- a/internal/peaks/plan.go
+++ b/internal/peaks/plan.go
@@ -117,20 +117,20 @@
 )
 
 // room is what a plan may use of a box's link without anyone stepping down, and of its streams.
-func (b *Box) freeCapacity() (kb, streams float64) {
+func (b *Box) freeCapacity() (link, streams float64) {
 	return max(MaxUtilization*b.LinkCapacity*b.RampShare-b.LinkLoad, 0), max(b.MaxStreams*b.RampShare-b.ActiveSessions, 0)
 }
 
 // holds tells whether a box has a title.
-func (b *Box) holdsCells(home, span, cells int) bool {
-	return cells <= 0 || ((b.Cell-home)%cells+cells)%cells < span
+func (b *Box) holdsCells(homeCell, cellSpan, cells int) bool {
+	return cells <= 0 || ((b.Cell-homeCell)%cells+cells)%cells < cellSpan
 }
 
 // count is the demand within its seats.
 func (f *Fleet) sessionsWithinSeats(d *Demand) float64 {
 	n := max(d.Sessions, 0)
-	if s := f.Classes[d.Class].Seats; s > 0 {
-		n = min(n, float64(s*max(f.Edges, 1)))
+	if seats := f.Classes[d.Class].Seats; seats > 0 {
+		n = min(n, float64(seats*max(f.Edges, 1)))
 	}
 	return n
 }
@@ -144,13 +144,13 @@
 	if f.NoCompetingLoad {
 		return 0
 	}
-	least := math.Inf(1)
-	for _, c := range f.Classes {
-		for r := c.FloorRung + 1; r <= c.TopRung; r++ {
-			least = min(least, c.Worth*(f.RungWorths[r]-f.RungWorths[r-1])/((f.Ladder[r]-f.Ladder[r-1])*c.RateFactor))
+	lowest := math.Inf(1)
+	for _, class := range f.Classes {
+		for r := class.FloorRung + 1; r <= class.TopRung; r++ {
+			lowest = min(lowest, class.Worth*(f.RungWorths[r]-f.RungWorths[r-1])/((f.Ladder[r]-f.Ladder[r-1])*class.RateFactor))
 		}
 	}
-	return stepDownPriceFactor * least
+	return stepDownPriceFactor * lowest
 }
 
 // Wanted is a demand's count within its seats.
@@ -159,22 +159,22 @@
 // CopyPrice is the worth of a kB that copying takes from viewers. Copies are lower effort and get what viewers
 // leave, on two links; what they still cost is taken as a part that grows with how full links are.
 func (f *Fleet) CopyPricePerKB() float64 {
-	busy, links := 0.0, 0.0
+	totalLoad, totalLink := 0.0, 0.0
 	for _, b := range f.Boxes {
-		busy, links = busy+b.LinkLoad, links+MaxUtilization*b.LinkCapacity
+		totalLoad, totalLink = totalLoad+b.LinkLoad, totalLink+MaxUtilization*b.LinkCapacity
 	}
-	return 2 * copyImpactShare * f.stepDownPrice() * min(busy/max(links, 1e-9), 1)
+	return 2 * copyImpactShare * f.stepDownPrice() * min(totalLoad/max(totalLink, 1e-9), 1)
 }
 
 // EvenRung is the rung that an hour's sessions would have if they and all that plays shared all links evenly.
 func (f *Fleet) EvenShareRung(d *Demand) int {
-	links, playing := 0.0, d.Sessions
+	totalLink, sessions := 0.0, d.Sessions
 	for _, b := range f.Boxes {
-		links, playing = links+MaxUtilization*b.LinkCapacity, playing+b.ActiveSessions
+		totalLink, sessions = totalLink+MaxUtilization*b.LinkCapacity, sessions+b.ActiveSessions
 	}
-	k := f.Classes[d.Class]
-	rung := k.FloorRung
-	for rung < k.TopRung && f.sessionRate(d, rung+1) <= links/max(playing, 1) {
+	class := f.Classes[d.Class]
+	rung := class.FloorRung
+	for rung < class.TopRung && f.sessionRate(d, rung+1) <= totalLink/max(sessions, 1) {
 		rung++
 	}
 	return rung
@@ -187,30 +187,30 @@
 }
 
 // collect makes a plan of pieces.
-func (f *Fleet) buildPlan(demands []Demand, pieces []allocation, by string) *Plan {
+func (f *Fleet) buildPlan(demands []Demand, allocations []allocation, method string) *Plan {
 	type key struct{ demand, box int }
-	sums := map[key]*Hold{}
-	p := &Plan{By: by}
-	for _, x := range pieces {
+	holds := map[key]*Hold{}
+	plan := &Plan{By: method}
+	for _, x := range allocations {
 		if x.sessions < 1e-6 {
 			continue
 		}
 		d := &demands[x.demand]
 		k := key{x.demand, x.box}
-		if sums[k] == nil {
-			sums[k] = &Hold{Peak: d.Peak, Title: d.Title, Box: f.Boxes[x.box].ID, Class: d.Class}
+		if holds[k] == nil {
+			holds[k] = &Hold{Peak: d.Peak, Title: d.Title, Box: f.Boxes[x.box].ID, Class: d.Class}
 		}
-		sums[k].Rate += x.sessions * f.sessionRate(d, x.rung)
-		sums[k].Streams += x.sessions
-		p.Value += x.sessions * f.sessionWorth(d, &f.Boxes[x.box]) * f.RungWorths[x.rung]
+		holds[k].Rate += x.sessions * f.sessionRate(d, x.rung)
+		holds[k].Streams += x.sessions
+		plan.Value += x.sessions * f.sessionWorth(d, &f.Boxes[x.box]) * f.RungWorths[x.rung]
 	}
-	for _, h := range sums {
-		p.Holds = append(p.Holds, *h)
+	for _, h := range holds {
+		plan.Holds = append(plan.Holds, *h)
 	}
-	slices.SortFunc(p.Holds, func(a, b Hold) int {
+	slices.SortFunc(plan.Holds, func(a, b Hold) int {
 		return cmp.Or(strings.Compare(a.Peak, b.Peak), strings.Compare(a.Title, b.Title), strings.Compare(a.Box, b.Box))
 	})
-	return p
+	return plan
 }
 
 // left is what a greedy plan has still to give.
@@ -220,81 +220,81 @@
 
 // Greedy is the plan to beat: demands by their worth, each shared out over its holders, those with most
 // room first, all at their lowest rung, and then raised rung by rung while room is left. Nobody steps down.
-func SolveGreedy(f *Fleet, demands []Demand) *Plan {
-	l := remainingCapacity{racks: make([]float64, len(f.Uplinks))}
-	for r, u := range f.Uplinks {
-		if l.racks[r] = MaxUtilization * u; u <= 0 {
-			l.racks[r] = math.Inf(1)
+func SolveGreedy(fleet *Fleet, demands []Demand) *Plan {
+	remaining := remainingCapacity{racks: make([]float64, len(fleet.Uplinks))}
+	for r, u := range fleet.Uplinks {
+		if remaining.racks[r] = MaxUtilization * u; u <= 0 {
+			remaining.racks[r] = math.Inf(1)
 		}
 	}
-	for i := range f.Boxes {
-		kb, n := f.Boxes[i].freeCapacity()
-		l.links, l.streams = append(l.links, kb), append(l.streams, n)
-		l.racks[f.Boxes[i].Rack] -= f.Boxes[i].LinkLoad
+	for i := range fleet.Boxes {
+		freeLink, freeStreams := fleet.Boxes[i].freeCapacity()
+		remaining.links, remaining.streams = append(remaining.links, freeLink), append(remaining.streams, freeStreams)
+		remaining.racks[fleet.Boxes[i].Rack] -= fleet.Boxes[i].LinkLoad
 	}
 	order := make([]int, len(demands))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(demands[b].Worth, demands[a].Worth) })
-	var pieces []allocation
+	var allocations []allocation
 	for _, d := range order {
-		pieces = append(pieces, f.placeAtFloor(&demands[d], d, &l)...)
+		allocations = append(allocations, fleet.placeAtFloor(&demands[d], d, &remaining)...)
 	}
 	for _, d := range order {
-		f.raiseRungs(&demands[d], d, pieces, &l)
+		fleet.raiseRungs(&demands[d], d, allocations, &remaining)
 	}
-	return f.buildPlan(demands, pieces, "greedy")
+	return fleet.buildPlan(demands, allocations, "greedy")
 }
 
 // lowest places one session after the other at the holder with most room.
-func (f *Fleet) placeAtFloor(dm *Demand, d int, l *remainingCapacity) (out []allocation) {
-	at := map[int]int{}
-	low := f.Classes[dm.Class].FloorRung
-	kb := f.sessionRate(dm, low)
-	for n := f.sessionsWithinSeats(dm); n > 0; n-- {
-		one, best := min(n, 1), -1
+func (f *Fleet) placeAtFloor(demand *Demand, index int, remaining *remainingCapacity) (out []allocation) {
+	allocationOfBox := map[int]int{}
+	floor := f.Classes[demand.Class].FloorRung
+	sessionRate := f.sessionRate(demand, floor)
+	for unplaced := f.sessionsWithinSeats(demand); unplaced > 0; unplaced-- {
+		amount, best := min(unplaced, 1), -1
 		for b := range f.Boxes {
-			x := &f.Boxes[b]
-			if f.holdsTitle(dm, x) && l.links[b] >= one*kb && l.streams[b] >= one && l.racks[x.Rack] >= one*kb &&
-				(best < 0 || f.prefersBox(dm, x, &f.Boxes[best], l.links[b] > l.links[best])) {
+			box := &f.Boxes[b]
+			if f.holdsTitle(demand, box) && remaining.links[b] >= amount*sessionRate && remaining.streams[b] >= amount && remaining.racks[box.Rack] >= amount*sessionRate &&
+				(best < 0 || f.prefersBox(demand, box, &f.Boxes[best], remaining.links[b] > remaining.links[best])) {
 				best = b
 			}
 		}
 		if best < 0 {
 			break
 		}
-		l.links[best], l.streams[best], l.racks[f.Boxes[best].Rack] = l.links[best]-one*kb, l.streams[best]-one, l.racks[f.Boxes[best].Rack]-one*kb
-		i, ok := at[best]
+		remaining.links[best], remaining.streams[best], remaining.racks[f.Boxes[best].Rack] = remaining.links[best]-amount*sessionRate, remaining.streams[best]-amount, remaining.racks[f.Boxes[best].Rack]-amount*sessionRate
+		i, ok := allocationOfBox[best]
 		if !ok {
 			i = len(out)
-			at[best], out = i, append(out, allocation{d, best, low, 0})
+			allocationOfBox[best], out = i, append(out, allocation{index, best, floor, 0})
 		}
-		out[i].sessions += one
+		out[i].sessions += amount
 	}
 	return out
 }
 
 // nearer tells whether box a is before b for a demand: those of its zone first, then by what else tells them apart.
-func (f *Fleet) prefersBox(d *Demand, a, b *Box, other bool) bool {
-	if in, was := a.Zone == d.Zone, b.Zone == d.Zone; d.HasZone && f.CrossZoneCost > 0 && in != was {
-		return in
+func (f *Fleet) prefersBox(d *Demand, a, b *Box, otherwise bool) bool {
+	if aInZone, bInZone := a.Zone == d.Zone, b.Zone == d.Zone; d.HasZone && f.CrossZoneCost > 0 && aInZone != bInZone {
+		return aInZone
 	}
-	return other
+	return otherwise
 }
 
 // raise moves all of a demand's sessions at a box up while there is room for all of them.
-func (f *Fleet) raiseRungs(dm *Demand, d int, pieces []allocation, l *remainingCapacity) {
-	for i := range pieces {
-		p := &pieces[i]
-		for p.demand == d && p.rung < f.Classes[dm.Class].TopRung {
-			need := p.sessions * (f.sessionRate(dm, p.rung+1) - f.sessionRate(dm, p.rung))
-			if r := f.Boxes[p.box].Rack; need > l.links[p.box] || need > l.racks[r] {
+func (f *Fleet) raiseRungs(demand *Demand, index int, allocations []allocation, remaining *remainingCapacity) {
+	for i := range allocations {
+		placed := &allocations[i]
+		for placed.demand == index && placed.rung < f.Classes[demand.Class].TopRung {
+			extraRate := placed.sessions * (f.sessionRate(demand, placed.rung+1) - f.sessionRate(demand, placed.rung))
+			if rack := f.Boxes[placed.box].Rack; extraRate > remaining.links[placed.box] || extraRate > remaining.racks[rack] {
 				break
 			} else {
-				l.links[p.box], l.racks[r] = l.links[p.box]-need, l.racks[r]-need
+				remaining.links[placed.box], remaining.racks[rack] = remaining.links[placed.box]-extraRate, remaining.racks[rack]-extraRate
 			}
-			p.rung++
+			placed.rung++
 		}
 	}
 }
