--- a/cmd/rainpulley/main.go
+++ b/cmd/rainpulley/main.go
@@ -84,7 +84,7 @@
 		return err
 	}
 	if len(v.Breaches) > 0 {
-		return fmt.Errorf("rules broken: %v", v.Broken())
+		return fmt.Errorf("rules broken: %v", v.BrokenRules())
 	}
 	return nil
 }
@@ -193,7 +193,7 @@
 	if err != nil {
 		return err
 	}
-	ports := &standin.Ports{}
+	ports := &standin.PortAllocator{}
 	runs := plays(s, c.Baseline && !serve, serve)
 	if len(c.Ways) > 0 {
 		runs = slices.DeleteFunc(runs, func(k kind) bool { return !slices.Contains(c.Ways, k.name) })
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -12,38 +12,38 @@
 
 // Breach is one breaking of a rule.
 type Breach struct {
-	Rule    string `json:"rule"`
-	T       int64  `json:"t"`
-	Box     string `json:"box,omitempty"`
-	Session string `json:"session,omitempty"`
-	Why     string `json:"why"`
+	Rule       string `json:"rule"`
+	TimeMicros int64  `json:"t"`
+	Box        string `json:"box,omitempty"`
+	Session    string `json:"session,omitempty"`
+	Reason     string `json:"why"`
 }
 
 // Verdict is what became of each rule.
 type Verdict struct {
-	Checks   map[string]int `json:"checks"` // how often each rule was checked
-	Breaches []Breach       `json:"breaches"`
-	Overlaps int            `json:"overlapping_attempts"`
-	Doubles  int            `json:"double_outcomes"`
+	Checks              map[string]int `json:"checks"` // how often each rule was checked
+	Breaches            []Breach       `json:"breaches"`
+	OverlappingAttempts int            `json:"overlapping_attempts"`
+	DuplicateOutcomes   int            `json:"double_outcomes"`
 }
 
 // Names of the rules.
 const (
-	NoSessionLost = "no session lost"
-	NoSetupTwice  = "no set-up twice"
-	DrainsKept    = "drains kept"
-	ColdKept      = "no cold box pushed over"
-	TermsKept     = "terms kept"
-	BudgetKept    = "attempt budget kept"
+	NoSessionLost          = "no session lost"
+	NoDuplicateSetUp       = "no set-up twice"
+	DrainsRespected        = "drains kept"
+	ColdBoxesProtected     = "no cold box pushed over"
+	ClassTermsRespected    = "terms kept"
+	AttemptBudgetRespected = "attempt budget kept"
 )
 
 // Rules are all of them, in their order.
 func Rules() []string {
-	return []string{NoSessionLost, NoSetupTwice, DrainsKept, ColdKept, TermsKept, BudgetKept}
+	return []string{NoSessionLost, NoDuplicateSetUp, DrainsRespected, ColdBoxesProtected, ClassTermsRespected, AttemptBudgetRespected}
 }
 
 // Broken are the rules that were broken.
-func (v *Verdict) Broken() []string {
+func (v *Verdict) BrokenRules() []string {
 	out := []string{}
 	for _, r := range Rules() {
 		if slices.ContainsFunc(v.Breaches, func(b Breach) bool { return b.Rule == r }) {
@@ -56,98 +56,98 @@
 // Tolerances: logs are written by several goroutines on both sides of a socket, so two entries of one
 // moment may stand in either order. All in microseconds.
 const (
-	orderSlack  = 30_000  // between a close at one end and its notice at the other
-	answerSlack = 150_000 // beside the site's own: scheduling of a busy machine
-	budgetSlack = 150_000 // an edge takes a request so long after its viewer sent it, a box logs an attempt so long after it went
-	tellSlack   = 100_000 // from the relay's write to the edge's read
+	orderSlack   = 30_000  // between a close at one end and its notice at the other
+	answerSlack  = 150_000 // beside the site's own: scheduling of a busy machine
+	budgetSlack  = 150_000 // an edge takes a request so long after its viewer sent it, a box logs an attempt so long after it went
+	publishSlack = 100_000 // from the relay's write to the edge's read
 )
 
 // checker goes through a run.
 type checker struct {
-	site *config.Site
-	v    *Verdict
+	site    *config.Site
+	verdict *Verdict
 }
 
-func (c *checker) breach(rule string, e Entry, format string, a ...any) {
-	box := e.Who
-	if e.Side != "box" && e.Side != "relay" {
+func (c *checker) addBreach(rule string, e Entry, format string, a ...any) {
+	box := e.Subject
+	if e.Observer != "box" && e.Observer != "relay" {
 		box = ""
 	}
 	id := e.Session
 	if id == "" {
 		id = e.Viewer
 	}
-	c.v.Breaches = append(c.v.Breaches, Breach{rule, e.T, box, id, fmt.Sprintf(format, a...)})
+	c.verdict.Breaches = append(c.verdict.Breaches, Breach{rule, e.TimeMicros, box, id, fmt.Sprintf(format, a...)})
 }
 
-func (c *checker) check(rule string) { c.v.Checks[rule]++ }
+func (c *checker) countCheck(rule string) { c.verdict.Checks[rule]++ }
 
 // Judge goes through a run's entries.
 func Judge(site *config.Site, entries []Entry) *Verdict {
 	c := &checker{site, &Verdict{Checks: map[string]int{}, Breaches: []Breach{}}}
 	es := slices.Clone(entries)
-	sort.SliceStable(es, func(i, j int) bool { return es[i].T < es[j].T })
-	c.answers(es)
-	c.setups(es)
-	c.drains(es)
-	c.cold(es)
-	c.terms(es)
-	c.budget(es)
-	return c.v
+	sort.SliceStable(es, func(i, j int) bool { return es[i].TimeMicros < es[j].TimeMicros })
+	c.checkAnswers(es)
+	c.checkSetUps(es)
+	c.checkDrains(es)
+	c.checkColdBoxes(es)
+	c.checkClassTerms(es)
+	c.checkAttemptBudget(es)
+	return c.verdict
 }
 
-func position(edge string) string {
+func edgePosition(edge string) string {
 	p, _, _ := strings.Cut(edge, ".")
 	return p
 }
 
 // answers: every request that a running edge took has one answer, in time. None is owed where the viewer
 // hung up before its time was over, or the edge was killed.
-func (c *checker) answers(es []Entry) {
+func (c *checker) checkAnswers(es []Entry) {
 	open := map[string]Entry{}
 	kills := map[string][]int64{}
 	for _, e := range es {
 		switch {
-		case e.What == EdgeKilled:
-			kills[e.Who] = append(kills[e.Who], e.T)
-		case e.Side != "viewer":
-		case e.What == Asked:
+		case e.Event == EdgeKilled:
+			kills[e.Subject] = append(kills[e.Subject], e.TimeMicros)
+		case e.Observer != "viewer":
+		case e.Event == RequestSent:
 			open[e.Session] = e
-		case e.What == Extra:
-			c.v.Doubles++
-			c.breach(NoSessionLost, e, "bytes after the one answer")
-		case e.What == Answered || e.What == GaveUp || e.What == Unanswered:
+		case e.Event == ExtraBytes:
+			c.verdict.DuplicateOutcomes++
+			c.addBreach(NoSessionLost, e, "bytes after the one answer")
+		case e.Event == AnswerReceived || e.Event == ViewerGaveUp || e.Event == Unanswered:
 			q, ok := open[e.Session]
 			if !ok {
-				c.v.Doubles++
-				c.breach(NoSessionLost, e, "a second end of one request")
+				c.verdict.DuplicateOutcomes++
+				c.addBreach(NoSessionLost, e, "a second end of one request")
 				continue
 			}
 			delete(open, e.Session)
-			c.check(NoSessionLost)
-			late := e.T - q.T - int64(q.Value*1e6) - c.site.Rules.AnswerSlack.D().Microseconds() - answerSlack
-			killed := slices.ContainsFunc(kills[position(q.Edge)], func(t int64) bool { return t >= q.T-orderSlack && t <= e.T+orderSlack })
+			c.countCheck(NoSessionLost)
+			late := e.TimeMicros - q.TimeMicros - int64(q.Value*1e6) - c.site.Rules.AnswerSlack.D().Microseconds() - answerSlack
+			killed := slices.ContainsFunc(kills[edgePosition(q.Edge)], func(t int64) bool { return t >= q.TimeMicros-orderSlack && t <= e.TimeMicros+orderSlack })
 			switch {
-			case e.What == Unanswered && !killed:
-				c.breach(NoSessionLost, e, "the connection ended without an answer")
-			case e.What == Answered && late > 0:
-				c.breach(NoSessionLost, e, "answered %d ms too late", late/1000)
-			case e.What == GaveUp && late > 0 && !killed: // it hung up because nothing had come in time
-				c.breach(NoSessionLost, e, "no answer when the viewer gave up, %d ms past its time", late/1000)
+			case e.Event == Unanswered && !killed:
+				c.addBreach(NoSessionLost, e, "the connection ended without an answer")
+			case e.Event == AnswerReceived && late > 0:
+				c.addBreach(NoSessionLost, e, "answered %d ms too late", late/1000)
+			case e.Event == ViewerGaveUp && late > 0 && !killed: // it hung up because nothing had come in time
+				c.addBreach(NoSessionLost, e, "no answer when the viewer gave up, %d ms past its time", late/1000)
 			}
 		}
 	}
 	for _, k := range slices.Sorted(maps.Keys(open)) {
 		q := open[k]
-		killed := slices.ContainsFunc(kills[position(q.Edge)], func(t int64) bool { return t >= q.T-orderSlack })
-		if c.check(NoSessionLost); !killed {
-			c.breach(NoSessionLost, q, "no answer by the end of the run")
+		killed := slices.ContainsFunc(kills[edgePosition(q.Edge)], func(t int64) bool { return t >= q.TimeMicros-orderSlack })
+		if c.countCheck(NoSessionLost); !killed {
+			c.addBreach(NoSessionLost, q, "no answer by the end of the run")
 		}
 	}
 }
 
 // setups: attempts of one session never overlap, and a paid one goes out again only if no earlier one ran.
-func (c *checker) setups(es []Entry) {
+func (c *checker) checkSetUps(es []Entry) {
 	type out struct {
 		Entry
 		over  int64
@@ -156,24 +156,24 @@
 	by := map[string][]*out{}
 	find := func(e Entry) *out {
 		for _, o := range by[e.Session] {
-			if o.Who == e.Who && o.Attempt == e.Attempt {
+			if o.Subject == e.Subject && o.Attempt == e.Attempt {
 				return o
 			}
 		}
 		return nil
 	}
 	for _, e := range es {
-		if e.Side != "box" {
+		if e.Observer != "box" {
 			continue
 		}
-		switch e.What {
-		case SetupArrived:
+		switch e.Event {
+		case SetUpReceived:
 			by[e.Session] = append(by[e.Session], &out{Entry: e})
-		case SetupOver:
+		case SetUpEnded:
 			if o := find(e); o != nil {
-				o.over = e.T
+				o.over = e.TimeMicros
 			}
-		case SetupNever:
+		case SetUpNotRun:
 			if o := find(e); o != nil {
 				o.never = true
 			}
@@ -182,21 +182,21 @@
 	for _, id := range slices.Sorted(maps.Keys(by)) {
 		list := by[id]
 		for i, o := range list {
-			c.check(NoSetupTwice)
+			c.countCheck(NoDuplicateSetUp)
 			for _, p := range list[:i] {
-				if p.over == 0 || p.over > o.T+orderSlack {
-					c.v.Overlaps++
-					c.breach(NoSetupTwice, o.Entry, "attempt %d goes out while attempt %d is out at %s", o.Attempt, p.Attempt, p.Who)
+				if p.over == 0 || p.over > o.TimeMicros+orderSlack {
+					c.verdict.OverlappingAttempts++
+					c.addBreach(NoDuplicateSetUp, o.Entry, "attempt %d goes out while attempt %d is out at %s", o.Attempt, p.Attempt, p.Subject)
 				}
-				if c.effect(o.Class) == "paid" && !p.never {
-					c.breach(NoSetupTwice, o.Entry, "paid set-up sent again: attempt %d at %s may have run", p.Attempt, p.Who)
+				if c.classEffect(o.Class) == "paid" && !p.never {
+					c.addBreach(NoDuplicateSetUp, o.Entry, "paid set-up sent again: attempt %d at %s may have run", p.Attempt, p.Subject)
 				}
 			}
 		}
 	}
 }
 
-func (c *checker) effect(class string) string {
+func (c *checker) classEffect(class string) string {
 	if k := c.site.Class(class); k >= 0 {
 		return c.site.Classes[k].Effect
 	}
@@ -204,39 +204,39 @@
 }
 
 // drains: nothing new to a box later than the grace after the edge was told that it drains or is gone.
-func (c *checker) drains(es []Entry) {
-	grace := c.site.Rules.DrainGrace.D().Microseconds() + tellSlack
+func (c *checker) checkDrains(es []Entry) {
+	grace := c.site.Rules.DrainGrace.D().Microseconds() + publishSlack
 	type key struct{ edge, box string }
 	since := map[key]int64{}
 	for _, e := range es {
 		switch {
-		case e.Side == "relay" && e.What == Told:
-			k := key{position(e.Edge), e.Who}
+		case e.Observer == "relay" && e.Event == StatePublished:
+			k := key{edgePosition(e.Edge), e.Subject}
 			if _, was := since[k]; e.Text == "ready" {
 				delete(since, k)
 			} else if !was {
-				since[k] = e.T
+				since[k] = e.TimeMicros
 			}
-		case e.What == EdgeKilled: // what it was told is lost with it; it is told anew
+		case e.Event == EdgeKilled: // what it was told is lost with it; it is told anew
 			for k := range since {
-				if k.edge == e.Who {
+				if k.edge == e.Subject {
 					delete(since, k)
 				}
 			}
-		case e.Side == "box" && e.What == SetupArrived:
-			c.check(DrainsKept)
-			if at, ok := since[key{position(e.Edge), e.Who}]; ok && e.T > at+grace {
-				c.breach(DrainsKept, e, "set-up %d ms after edge %s was told", (e.T-at)/1000, position(e.Edge))
+		case e.Observer == "box" && e.Event == SetUpReceived:
+			c.countCheck(DrainsRespected)
+			if at, ok := since[key{edgePosition(e.Edge), e.Subject}]; ok && e.TimeMicros > at+grace {
+				c.addBreach(DrainsRespected, e, "set-up %d ms after edge %s was told", (e.TimeMicros-at)/1000, edgePosition(e.Edge))
 			}
 		}
 	}
 }
 
 // coldSlack is allowed over the count in any window, for chance.
-const coldSlack = 3
+const coldSetUpSlack = 3
 
 // cold: a started box gets set-ups no faster than the stated multiple of its pace, over any window.
-func (c *checker) cold(es []Entry) {
+func (c *checker) checkColdBoxes(es []Entry) {
 	r := c.site.Rules
 	if r.Ramp <= 0 || r.FallSpan <= 0 {
 		return
@@ -248,41 +248,41 @@
 	}
 	boxes := map[string]*box{}
 	for _, e := range es {
-		if e.Side != "box" {
+		if e.Observer != "box" {
 			continue
 		}
-		switch e.What {
-		case BoxFell:
-			c.breach(ColdKept, e, "the box fell over")
+		switch e.Event {
+		case BoxOverloaded:
+			c.addBreach(ColdBoxesProtected, e, "the box fell over")
 		case BoxStarted:
 			if e.Text != "warm" {
-				boxes[e.Who] = &box{started: e.T, streams: e.Value}
+				boxes[e.Subject] = &box{started: e.TimeMicros, streams: e.Value}
 			}
-		case SetupArrived:
-			b := boxes[e.Who]
-			if b == nil || e.T-b.started > r.Ramp.D().Microseconds() {
+		case SetUpReceived:
+			b := boxes[e.Subject]
+			if b == nil || e.TimeMicros-b.started > r.Ramp.D().Microseconds() {
 				continue
 			}
-			c.check(ColdKept)
-			b.window = append(b.window, e.T)
-			for b.window[0] <= e.T-r.FallSpan.D().Microseconds() {
+			c.countCheck(ColdBoxesProtected)
+			b.window = append(b.window, e.TimeMicros)
+			for b.window[0] <= e.TimeMicros-r.FallSpan.D().Microseconds() {
 				b.window = b.window[1:]
 			}
-			warm := float64(e.T-b.started) / float64(r.Ramp.D().Microseconds())
+			warm := float64(e.TimeMicros-b.started) / float64(r.Ramp.D().Microseconds())
 			pace := b.streams / r.Ramp.D().Seconds() * (r.StartShare + (1-r.StartShare)*warm)
-			if most := r.FallFactor*pace*r.FallSpan.D().Seconds() + coldSlack; float64(len(b.window)) > most {
-				c.breach(ColdKept, e, "%d set-ups in %v, %.1f allowed", len(b.window), r.FallSpan.D(), most)
+			if most := r.FallFactor*pace*r.FallSpan.D().Seconds() + coldSetUpSlack; float64(len(b.window)) > most {
+				c.addBreach(ColdBoxesProtected, e, "%d set-ups in %v, %.1f allowed", len(b.window), r.FallSpan.D(), most)
 			}
 		}
 	}
 }
 
 // terms: no rung under a class's floor, and no more sessions of a title and class at one edge than seats.
-func (c *checker) terms(es []Entry) {
+func (c *checker) checkClassTerms(es []Entry) {
 	type seat struct{ edge, title, class string }
 	held := map[seat]map[string]int64{} // session to the time from which it may be let go
 	for _, e := range es {
-		if e.Side != "box" {
+		if e.Observer != "box" {
 			continue
 		}
 		k := seat{e.Edge, e.Title, e.Class}
@@ -291,30 +291,30 @@
 			continue
 		}
 		class := c.site.Classes[n]
-		switch e.What {
-		case SetupArrived, RungSet:
-			c.check(TermsKept)
+		switch e.Event {
+		case SetUpReceived, RungSet:
+			c.countCheck(ClassTermsRespected)
 			if e.Rung < class.Floor {
-				c.breach(TermsKept, e, "rung %d under the floor %d of %s", e.Rung, class.Floor, e.Class)
+				c.addBreach(ClassTermsRespected, e, "rung %d under the floor %d of %s", e.Rung, class.Floor, e.Class)
 			}
 		}
 		switch {
-		case e.What == SetupArrived && class.Seats > 0:
+		case e.Event == SetUpReceived && class.Seats > 0:
 			if held[k] == nil {
 				held[k] = map[string]int64{}
 			}
 			for s, at := range held[k] {
-				if at > 0 && at <= e.T {
+				if at > 0 && at <= e.TimeMicros {
 					delete(held[k], s)
 				}
 			}
 			held[k][e.Session] = 0
 			if len(held[k]) > class.Seats {
-				c.breach(TermsKept, e, "%d sessions of %s in %s at edge %s, seats %d", len(held[k]), e.Title, e.Class, e.Edge, class.Seats)
+				c.addBreach(ClassTermsRespected, e, "%d sessions of %s in %s at edge %s, seats %d", len(held[k]), e.Title, e.Class, e.Edge, class.Seats)
 			}
-		case e.What == SessionEnd, e.What == SetupOver && e.Text != "playing":
+		case e.Event == SessionEnd, e.Event == SetUpEnded && e.Text != "playing":
 			if _, ok := held[k][e.Session]; ok {
-				held[k][e.Session] = e.T
+				held[k][e.Session] = e.TimeMicros
 			}
 		}
 	}
@@ -322,7 +322,7 @@
 
 // budget: attempts beyond a session's first, over any window, against requests that the edge took. A
 // request counts for the whole window before and after its answer's travel.
-func (c *checker) budget(es []Entry) {
+func (c *checker) checkAttemptBudget(es []Entry) {
 	r := c.site.Rules
 	if r.BudgetSpan <= 0 {
 		return
@@ -330,22 +330,22 @@
 	span := r.BudgetSpan.D().Microseconds()
 	taken, further := map[string][]int64{}, map[string][]int64{}
 	for _, e := range es {
-		p := position(e.Edge)
+		p := edgePosition(e.Edge)
 		switch {
-		case e.Side == "viewer" && e.What == Asked && e.Text != Reload: // most reloads are no request to the module
-			taken[p] = append(within(taken[p], e.T-span-budgetSlack), e.T)
-		case e.Side == "box" && e.What == SetupArrived && e.Attempt > 0:
-			c.check(BudgetKept)
-			further[p] = append(within(further[p], e.T-span+budgetSlack), e.T)
-			most := r.BudgetFree + r.BudgetShare*float64(len(within(taken[p], e.T-span-budgetSlack)))
+		case e.Observer == "viewer" && e.Event == RequestSent && e.Text != PlaylistReload: // most reloads are no request to the module
+			taken[p] = append(dropBefore(taken[p], e.TimeMicros-span-budgetSlack), e.TimeMicros)
+		case e.Observer == "box" && e.Event == SetUpReceived && e.Attempt > 0:
+			c.countCheck(AttemptBudgetRespected)
+			further[p] = append(dropBefore(further[p], e.TimeMicros-span+budgetSlack), e.TimeMicros)
+			most := r.BudgetFree + r.BudgetShare*float64(len(dropBefore(taken[p], e.TimeMicros-span-budgetSlack)))
 			if float64(len(further[p])) > most {
-				c.breach(BudgetKept, e, "%d further attempts of edge %s in %v, %.1f allowed", len(further[p]), p, r.BudgetSpan.D(), most)
+				c.addBreach(AttemptBudgetRespected, e, "%d further attempts of edge %s in %v, %.1f allowed", len(further[p]), p, r.BudgetSpan.D(), most)
 			}
 		}
 	}
 }
 
-func within(list []int64, from int64) []int64 {
+func dropBefore(list []int64, from int64) []int64 {
 	i := 0
 	for i < len(list) && list[i] < from {
 		i++
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -13,23 +13,23 @@
 
 // Random sends each request to a random ready holder of its title, once more for those that never ran.
 type Random struct {
-	set     control.Settings
-	rnd     *rand.Rand
-	servers map[string]control.Server
-	open    map[string]*asked
-	taken   int
-	further int
+	settings     control.Settings
+	rng          *rand.Rand
+	servers      map[string]control.Server
+	openRequests map[string]*openRequest
+	requests     int
+	retries      int
 }
 
-type asked struct {
+type openRequest struct {
 	control.Request
-	attempts int
-	ran      bool
+	attempts   int
+	mayHaveRun bool
 }
 
 // New makes the policy of one front.
 func New(set control.Settings, seed uint64) *Random {
-	return &Random{set: set, rnd: rand.New(rand.NewPCG(seed, 2)), servers: map[string]control.Server{}, open: map[string]*asked{}}
+	return &Random{settings: set, rng: rand.New(rand.NewPCG(seed, 2)), servers: map[string]control.Server{}, openRequests: map[string]*openRequest{}}
 }
 
 // Step takes events and answers with actions, as the module does.
@@ -44,30 +44,30 @@
 				p.servers[s.ID] = s
 			}
 		case control.Request:
-			p.open[e.ID] = &asked{Request: e}
-			p.taken++
-			out = append(out, p.send(p.open[e.ID])...)
+			p.openRequests[e.ID] = &openRequest{Request: e}
+			p.requests++
+			out = append(out, p.trySend(p.openRequests[e.ID])...)
 		case control.SessionStarted, control.Note:
 		case control.ViewerLeft:
-			delete(p.open, e.ID)
+			delete(p.openRequests, e.ID)
 		case control.AttemptEnded:
-			q := p.open[e.ID]
+			q := p.openRequests[e.ID]
 			if q == nil || e.Final {
-				delete(p.open, e.ID)
+				delete(p.openRequests, e.ID)
 				continue
 			}
-			q.ran = q.ran || e.Outcome != control.Full && e.Outcome != control.ConnectFailed && e.Outcome != control.NotSent
-			out = append(out, p.send(q)...)
+			q.mayHaveRun = q.mayHaveRun || e.Outcome != control.Full && e.Outcome != control.ConnectFailed && e.Outcome != control.NotSent
+			out = append(out, p.trySend(q)...)
 		}
 	}
 	return out
 }
 
-func (p *Random) send(q *asked) []control.Action {
-	class := p.set.Classes[q.Class]
+func (p *Random) trySend(q *openRequest) []control.Action {
+	class := p.settings.Classes[q.Class]
 	var holders []string
 	for id, s := range p.servers {
-		n := p.set.Cells
+		n := p.settings.Cells
 		has := ((s.Cell-q.HomeCell)%n+n)%n < q.CellSpan
 		if q.Holders != nil {
 			has = slices.Contains(q.Holders, id)
@@ -78,17 +78,17 @@
 	}
 	slices.SortFunc(holders, strings.Compare)
 	again := q.attempts > 0
-	if q.ran && class.Effect != control.Idempotent {
+	if q.mayHaveRun && class.Effect != control.Idempotent {
 		return []control.Action{control.Fail{ID: q.ID}}
 	}
-	spent := again && p.set.BudgetSpan > 0 && float64(p.further+1) > p.set.BudgetShare*float64(p.taken)
+	spent := again && p.settings.BudgetSpan > 0 && float64(p.retries+1) > p.settings.BudgetShare*float64(p.requests)
 	if len(holders) == 0 || q.attempts >= 2 || spent {
 		return []control.Action{control.Refuse{ID: q.ID}}
 	}
 	if again {
-		p.further++
+		p.retries++
 	}
 	q.attempts++
 	return []control.Action{control.SetRung{ID: q.ID, Rung: class.MinRung},
-		control.Send{ID: q.ID, Server: holders[p.rnd.IntN(len(holders))], Timeout: class.Aim}}
+		control.Send{ID: q.ID, Server: holders[p.rng.IntN(len(holders))], Timeout: class.Aim}}
 }
--- a/internal/edge/consul_test.go
+++ b/internal/edge/consul_test.go
@@ -34,7 +34,7 @@
 	for _, b := range env.site.Boxes {
 		host, text, _ := net.SplitHostPort(b.Addr)
 		port, _ := strconv.Atoi(text)
-		env.catalogue.Change(func(s map[string]*standin.Service, _ map[string]string) {
+		env.catalogue.Update(func(s map[string]*standin.Service, _ map[string]string) {
 			s[b.Addr] = &standin.Service{ID: b.Addr, Name: "clip-box", Address: host, Port: port, Checks: map[string]string{"alive": "passing"},
 				Meta: map[string]string{registry.MetaZone: b.Zone, registry.MetaKind: b.Kind, registry.MetaCell: fmt.Sprint(b.Cell)}}
 		})
@@ -48,7 +48,7 @@
 
 // changeService changes the catalogue entry of box i.
 func (env *testEnv) changeService(i int, do func(s *standin.Service)) {
-	env.catalogue.Change(func(s map[string]*standin.Service, _ map[string]string) { do(s[env.site.Boxes[i].Addr]) })
+	env.catalogue.Update(func(s map[string]*standin.Service, _ map[string]string) { do(s[env.site.Boxes[i].Addr]) })
 }
 
 // plannerBox returns what the planner reports about box i, or the zero value if it does not list the box.
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	env.waitForBoxState(0, "draining", "drain told by consul")
-	env.catalogue.Set(standin.CatalogueFault{Empty: true})
+	env.catalogue.SetFault(standin.CatalogueFault{EmptyList: true})
 	time.Sleep(6 * time.Second) // longer than a missing entry stays valid
 	env.waitForBoxState(1, "ready", "kept: checks took away")
 	env.waitForBoxState(0, "draining", "drain told by consul")
@@ -138,7 +138,7 @@
 // reason.
 func TestPassingCheckFailingSessions(t *testing.T) {
 	env := newConsulEnv(t, 3, 2)
-	env.fleet.Boxes[1].Set(func(f *standin.Faults) { f.Hang, f.Lies = true, true })
+	env.fleet.Boxes[1].SetFaults(func(f *standin.Faults) { f.Hang, f.FalseHealth = true, true })
 	stop := make(chan struct{})
 	over := make(chan struct{})
 	go func() {
@@ -158,8 +158,8 @@
 	close(stop)
 	<-over
 	time.Sleep(2500 * time.Millisecond) // wait for the last requests to end
-	env.fleet.Boxes[1].Set(func(f *standin.Faults) { f.Hang, f.Lies = false, false })
-	if n := env.countEntries(audit.SetupArrived, ""); n == 0 {
+	env.fleet.Boxes[1].SetFaults(func(f *standin.Faults) { f.Hang, f.FalseHealth = false, false })
+	if n := env.countEntries(audit.SetUpReceived, ""); n == 0 {
 		t.Error("no set-up reached a box")
 	}
 	env.checkAudit()
--- a/internal/edge/copies_test.go
+++ b/internal/edge/copies_test.go
@@ -43,7 +43,7 @@
 // boxesWithTitle returns the indices of the boxes that have a complete copy of a title.
 func (env *testEnv) boxesWithTitle(title string) (indices []int) {
 	for i, b := range env.fleet.Boxes {
-		if b.Holds(title) {
+		if b.HasTitle(title) {
 			indices = append(indices, i)
 		}
 	}
@@ -83,7 +83,7 @@
 		n := 0
 		for i, b := range env.fleet.Boxes {
 			if i >= 2 {
-				n += b.Sessions()
+				n += b.SessionCount()
 			}
 		}
 		return n > 0
@@ -95,7 +95,7 @@
 		return slices.Equal(env.boxesWithTitle("clip"), []int{0, 1}) && env.publishedHolders("clip") == 2
 	})
 	for _, e := range env.log.Entries() {
-		if e.What == audit.TitleDropped && (e.Who == env.fleet.Boxes[0].Addr || e.Who == env.fleet.Boxes[1].Addr) {
+		if e.Event == audit.TitleDropped && (e.Subject == env.fleet.Boxes[0].Addr || e.Subject == env.fleet.Boxes[1].Addr) {
 			t.Errorf("an initial holder dropped the title: %+v", e)
 		}
 	}
@@ -110,16 +110,16 @@
 		"the source": func(env *testEnv) { env.fleet.Boxes[0].Crash() },
 		"the target": func(env *testEnv) {
 			for i, b := range env.fleet.Boxes[2:] {
-				if !b.Holds("clip") {
+				if !b.HasTitle("clip") {
 					b.Crash()
-					time.AfterFunc(500*time.Millisecond, func() { _ = env.fleet.Boxes[2+i].Return() })
+					time.AfterFunc(500*time.Millisecond, func() { _ = env.fleet.Boxes[2+i].Restart() })
 				}
 			}
 		},
 		"the planner":           func(env *testEnv) { env.plannerTask.stopAndWait(); env.startPlanner() },
 		"a drain of the source": func(env *testEnv) { env.fleet.Boxes[0].Drain(true) },
-		"a full disk":           func(env *testEnv) { env.fleet.Boxes[3].Set(func(f *standin.Faults) { f.FullDisk = true }) },
-		"a hang of the source":  func(env *testEnv) { env.fleet.Boxes[1].Set(func(f *standin.Faults) { f.Hang = true }) },
+		"a full disk":           func(env *testEnv) { env.fleet.Boxes[3].SetFaults(func(f *standin.Faults) { f.FullDisk = true }) },
+		"a hang of the source":  func(env *testEnv) { env.fleet.Boxes[1].SetFaults(func(f *standin.Faults) { f.Hang = true }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -127,7 +127,7 @@
 			env.waitFor("holders to be published", func() bool { return env.publishedHolders("clip") == 2 })
 			env.announceOverload(1, 10*time.Second)
 			env.waitFor("a copy in progress", func() bool {
-				return slices.ContainsFunc(env.fleet.Boxes[2:], (*standin.Box).Copying)
+				return slices.ContainsFunc(env.fleet.Boxes[2:], (*standin.Box).IsCopying)
 			})
 			fail(env)
 			var work sync.WaitGroup
@@ -144,7 +144,7 @@
 			env.waitFor("another complete holder, published", func() bool {
 				n := 0
 				for i, b := range env.fleet.Boxes {
-					if i >= 2 && b.Holds("clip") {
+					if i >= 2 && b.HasTitle("clip") {
 						n++
 					}
 				}
@@ -162,15 +162,15 @@
 	env := newCopiesEnv(t, 1, nil)
 	env.waitFor("holders to be published", func() bool { return env.publishedHolders("clip") == 2 })
 	for _, b := range env.fleet.Boxes[:2] {
-		b.Set(func(f *standin.Faults) { f.SetUp = 300 * time.Millisecond })
+		b.SetFaults(func(f *standin.Faults) { f.ExtraSetUpTime = 300 * time.Millisecond })
 	}
 	answers := make(chan int, 1)
 	go func() { code, _ := env.play(0, "key=x&class=paid"); answers <- code }()
 	var target *standin.Box
 	env.waitFor("a set-up in progress", func() bool {
 		for _, e := range env.log.Entries() {
-			if e.What == audit.SetupArrived {
-				target = env.fleet.Boxes[slices.IndexFunc(env.fleet.Boxes, func(b *standin.Box) bool { return b.Addr == e.Who })]
+			if e.Event == audit.SetUpReceived {
+				target = env.fleet.Boxes[slices.IndexFunc(env.fleet.Boxes, func(b *standin.Box) bool { return b.Addr == e.Subject })]
 			}
 		}
 		return target != nil
@@ -185,8 +185,8 @@
 	if code := <-answers; code != 200 {
 		t.Errorf("answered %d, want 200", code)
 	}
-	if n := env.countEntries(audit.SetupRan, "paid"); n != 1 || target.Sessions() != 0 {
-		t.Errorf("%d set-ups ran, want 1; the box without the title has %d sessions, want 0", n, target.Sessions())
+	if n := env.countEntries(audit.SetUpRan, "paid"); n != 1 || target.SessionCount() != 0 {
+		t.Errorf("%d set-ups ran, want 1; the box without the title has %d sessions, want 0", n, target.SessionCount())
 	}
 	env.checkAudit()
 }
@@ -303,7 +303,7 @@
 	env := newTestEnv(t, 3, 1, nil)
 	env.startEdge(0, 3)
 	for _, b := range env.fleet.Boxes {
-		b.Set(func(f *standin.Faults) { f.SetUp = 150 * time.Millisecond })
+		b.SetFaults(func(f *standin.Faults) { f.ExtraSetUpTime = 150 * time.Millisecond })
 	}
 	_, manifest := env.play(0, "key=before")
 	codes := make(chan int, 24)
@@ -313,10 +313,10 @@
 			codes <- code
 		}()
 	}
-	env.waitFor("set-ups in progress", func() bool { return env.countEntries(audit.SetupArrived, "") > 6 })
+	env.waitFor("set-ups in progress", func() bool { return env.countEntries(audit.SetUpReceived, "") > 6 })
 	shortened := "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=2400000\nr0/media.m3u8\n#EXT-X-STREAM-INF:BANDWIDTH=6400000\nr1/media.m3u8\n"
 	for _, b := range env.fleet.Boxes {
-		b.Set(func(f *standin.Faults) { f.Manifest = shortened })
+		b.SetFaults(func(f *standin.Faults) { f.Manifest = shortened })
 	}
 	got := map[int]int{}
 	for range cap(codes) {
--- a/internal/edge/env_test.go
+++ b/internal/edge/env_test.go
@@ -49,7 +49,7 @@
 
 func (r *task) stopAndWait() { r.cancel(); <-r.done }
 
-var testPorts = sync.OnceValue(func() *standin.Ports { return &standin.Ports{} })
+var testPorts = sync.OnceValue(func() *standin.PortAllocator { return &standin.PortAllocator{} })
 
 // newTestEnv creates a site whose boxes all hold title "clip", and starts the boxes and the planner.
 func newTestEnv(t *testing.T, boxes, edges int, change func(*config.Site)) *testEnv {
@@ -68,7 +68,7 @@
 	}
 	ports := testPorts() // shared: tests run in parallel in one process
 	port := func() string {
-		addr, err := ports.Take()
+		addr, err := ports.Allocate()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +86,7 @@
 	}
 	env := &testEnv{t: t, site: site, log: audit.NewLog(), stateDir: t.TempDir()}
 	env.fleet = standin.NewFleet(site, env.log, 1)
-	env.fleet.Setup = 5 * time.Millisecond
+	env.fleet.SetUpTime = 5 * time.Millisecond
 	ctx, stop := context.WithCancel(context.Background())
 	if err := env.fleet.Start(ctx); err != nil {
 		t.Fatal(err)
@@ -220,7 +220,7 @@
 // countEntries returns the number of audit entries with an event, for one class or, if class is "", for all.
 func (env *testEnv) countEntries(event, class string) (n int) {
 	for _, e := range env.log.Entries() {
-		if e.What == event && (class == "" || e.Class == class) {
+		if e.Event == event && (class == "" || e.Class == class) {
 			n++
 		}
 	}
@@ -240,16 +240,16 @@
 	env.t.Helper()
 	entries := env.log.Entries()
 	for i := range requests {
-		entry := audit.Entry{Side: "viewer", What: audit.Asked, Session: fmt.Sprint("q", i), Edge: "0", Value: 4}
+		entry := audit.Entry{Observer: "viewer", Event: audit.RequestSent, Session: fmt.Sprint("q", i), Edge: "0", Value: 4}
 		entries = append(entries, entry)
-		entry.What = audit.Answered
+		entry.Event = audit.AnswerReceived
 		entries = append(entries, entry)
 	}
 	verdict := audit.Judge(env.site, entries)
 	for _, b := range verdict.Breaches {
 		env.t.Errorf("%+v", b)
 	}
-	if env.site.Rules.BudgetSpan > 0 && verdict.Checks[audit.BudgetKept] == 0 {
+	if env.site.Rules.BudgetSpan > 0 && verdict.Checks[audit.AttemptBudgetRespected] == 0 {
 		env.t.Error("the audit checked no further attempt")
 	}
 }
--- a/internal/edge/holds_test.go
+++ b/internal/edge/holds_test.go
@@ -116,7 +116,7 @@
 		}
 		real := 0
 		for _, listed := range env.fleet.Boxes {
-			real += listed.Sessions()
+			real += listed.SessionCount()
 		}
 		if used > 1.2*4*2000 { // the capacity of a link differs from the configured one by up to 15%
 			t.Errorf("%.0f kB/s counted for %d sessions of 2,000 kB/s", used, real)
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -114,14 +114,14 @@
 	env.startEdge(0, 3)
 	time.Sleep(env.site.Rules.BudgetSpan.D() + 100*time.Millisecond) // an edge that has just started has no free attempts
 	for _, b := range env.fleet.Boxes {
-		b.Set(func(f *standin.Faults) { f.Reset = 2 })
+		b.SetFaults(func(f *standin.Faults) { f.ResetShare = 2 })
 	}
 	for i := range 20 {
 		if code, _ := env.play(0, fmt.Sprint("key=k", i)); code != 503 {
 			t.Errorf("%d", code)
 		}
 	}
-	if further := env.countEntries(audit.SetupArrived, "") - 20; further > 5 {
+	if further := env.countEntries(audit.SetUpReceived, "") - 20; further > 5 {
 		t.Errorf("%d further attempts, want at most 5", further)
 	}
 	env.checkAuditWithRequests(20)
@@ -146,7 +146,7 @@
 	env.waitFor("an edge to know that the box is gone", func() bool {
 		return strings.Contains(env.status(0)+env.status(1)+env.status(2), `"boxes":1,`)
 	})
-	if err := env.fleet.Boxes[0].Return(); err != nil {
+	if err := env.fleet.Boxes[0].Restart(); err != nil {
 		t.Fatal(err)
 	}
 	var work sync.WaitGroup
@@ -161,7 +161,7 @@
 	work.Wait()
 	cold := 0
 	for _, e := range env.log.Entries() {
-		if e.What == audit.SetupArrived && e.Who == env.fleet.Boxes[0].Addr {
+		if e.Event == audit.SetUpReceived && e.Subject == env.fleet.Boxes[0].Addr {
 			cold++
 		}
 	}
--- a/internal/edge/restart_test.go
+++ b/internal/edge/restart_test.go
@@ -97,13 +97,13 @@
 // An edge that stops answers the requests that it accepted. Boxes then end its sessions.
 func TestDrainOnStop(t *testing.T) {
 	env := newTestEnv(t, 2, 1, nil)
-	env.fleet.Setup = 300 * time.Millisecond
+	env.fleet.SetUpTime = 300 * time.Millisecond
 	env.startEdge(0, 2)
 	codes := make(chan int, 8)
 	for i := range cap(codes) {
 		go func() { code, _ := env.play(0, fmt.Sprint("class=paid&key=s", i)); codes <- code }()
 	}
-	env.waitFor("set-ups in progress", func() bool { return env.countEntries(audit.SetupArrived, "paid") == cap(codes) })
+	env.waitFor("set-ups in progress", func() bool { return env.countEntries(audit.SetUpReceived, "paid") == cap(codes) })
 	env.edgeTasks[0].stopAndWait()
 	env.edgeTasks[0] = nil
 	for range cap(codes) {
@@ -112,7 +112,7 @@
 		}
 	}
 	env.waitFor("boxes to end the sessions of the stopped edge", func() bool {
-		return env.fleet.Boxes[0].Sessions()+env.fleet.Boxes[1].Sessions() == 0
+		return env.fleet.Boxes[0].SessionCount()+env.fleet.Boxes[1].SessionCount() == 0
 	})
 }
 
@@ -145,7 +145,7 @@
 	time.Sleep(1500 * time.Millisecond)
 	before := 0
 	for _, e := range env.log.Entries() {
-		if e.What == audit.SetupRan && e.Who == env.fleet.Boxes[0].Addr {
+		if e.Event == audit.SetUpRan && e.Subject == env.fleet.Boxes[0].Addr {
 			before++
 		}
 	}
@@ -154,7 +154,7 @@
 	work.Wait()
 	after := 0
 	for _, e := range env.log.Entries() {
-		if e.What == audit.SetupArrived && e.Who == env.fleet.Boxes[0].Addr && e.T > env.log.Entries()[len(env.log.Entries())-1].T-200000 {
+		if e.Event == audit.SetUpReceived && e.Subject == env.fleet.Boxes[0].Addr && e.TimeMicros > env.log.Entries()[len(env.log.Entries())-1].TimeMicros-200000 {
 			after++
 		}
 	}
@@ -199,7 +199,7 @@
 			t.Errorf("segment %s was %s and is %s after the restart", n, segmentsBefore[n], uri)
 		}
 	}
-	if n := env.countEntries(audit.SetupArrived, "paid"); n != 1 || same == 0 {
+	if n := env.countEntries(audit.SetUpReceived, "paid"); n != 1 || same == 0 {
 		t.Errorf("%d set-ups, want 1; %d segments in common, want some", n, same)
 	}
 	env.checkAudit()
--- a/internal/edge/session_test.go
+++ b/internal/edge/session_test.go
@@ -49,7 +49,7 @@
 // Concurrent requests of one viewer on several connections join one session, which is set up once.
 func TestRetriesJoinSession(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
-	env.fleet.Setup = 100 * time.Millisecond
+	env.fleet.SetUpTime = 100 * time.Millisecond
 	env.startEdge(0, 3)
 	var work sync.WaitGroup
 	for range 20 {
@@ -67,7 +67,7 @@
 	}
 	_, manifest := env.play(0, "class=paid&key=same")
 	env.get(env.mediaURL(0, manifest))
-	if n := env.countEntries(audit.SetupArrived, "paid"); n != 1 {
+	if n := env.countEntries(audit.SetUpReceived, "paid"); n != 1 {
 		t.Errorf("%d set-ups for one viewer", n)
 	}
 	env.checkAudit()
@@ -107,7 +107,7 @@
 	_, manifest := env.play(0, "key=k1")
 	var crashed *standin.Box
 	for _, b := range env.fleet.Boxes {
-		if b.Sessions() > 0 {
+		if b.SessionCount() > 0 {
 			crashed = b
 		}
 	}
@@ -120,7 +120,7 @@
 	if _, list := env.get(uri); !strings.Contains(list, "#EXT-X-DISCONTINUITY\n") && !strings.Contains(list, "#EXT-X-MEDIA-SEQUENCE:0\n") {
 		t.Errorf("%s", list)
 	}
-	if n := env.countEntries(audit.SetupArrived, ""); n != 2 {
+	if n := env.countEntries(audit.SetUpReceived, ""); n != 2 {
 		t.Errorf("%d set-ups, want 2", n)
 	}
 	env.checkAudit()
@@ -146,7 +146,7 @@
 func TestSetUpAnswerLost(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
 	env.startEdge(0, 3)
-	loseNextAnswer := func(b *standin.Box) { b.Set(func(f *standin.Faults) { f.AnswerLost = 1 }) }
+	loseNextAnswer := func(b *standin.Box) { b.SetFaults(func(f *standin.Faults) { f.LostAnswerShare = 1 }) }
 	for _, b := range env.fleet.Boxes {
 		loseNextAnswer(b)
 	}
@@ -154,11 +154,11 @@
 	if code != 502 {
 		t.Errorf("paid: %d, want failed", code)
 	}
-	if n := env.countEntries(audit.SetupRan, "paid"); n != 1 {
+	if n := env.countEntries(audit.SetUpRan, "paid"); n != 1 {
 		t.Errorf("paid: %d set-ups ran", n)
 	}
 	healthy := env.fleet.Boxes[1]
-	healthy.Set(func(f *standin.Faults) { f.AnswerLost = 0 })
+	healthy.SetFaults(func(f *standin.Faults) { f.LostAnswerShare = 0 })
 	played := false
 	for i := range 4 {
 		code, _ = env.play(0, fmt.Sprint("class=play&key=r", i))
@@ -168,7 +168,7 @@
 		t.Error("repeatable: never played")
 	}
 	env.waitFor("orphaned sessions to be released", func() bool {
-		return env.fleet.Boxes[0].Sessions()+env.fleet.Boxes[2].Sessions() == 0
+		return env.fleet.Boxes[0].SessionCount()+env.fleet.Boxes[2].SessionCount() == 0
 	})
 	env.checkAudit()
 }
@@ -177,7 +177,7 @@
 // left behind.
 func TestDisconnectRaces(t *testing.T) {
 	env := newTestEnv(t, 3, 1, nil)
-	env.fleet.Setup = 20 * time.Millisecond
+	env.fleet.SetUpTime = 20 * time.Millisecond
 	env.startEdge(0, 3)
 	var work sync.WaitGroup
 	for i := range 60 {
@@ -209,7 +209,7 @@
 	env.startEdge(0, 2)
 	for i, text := range []string{"nonsense", "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\nhttp://evil/x\n", "#EXTM3U\n#EXT-X-TARGETDURATION:1\n"} {
 		for _, b := range env.fleet.Boxes {
-			b.Set(func(f *standin.Faults) { f.Playlist = text })
+			b.SetFaults(func(f *standin.Faults) { f.MediaPlaylist = text })
 		}
 		if code, _ := env.play(0, fmt.Sprint("class=paid&key=b", i)); code != 502 && code != 503 {
 			t.Errorf("%q: %d", text, code)
@@ -224,7 +224,7 @@
 	env := newTestEnv(t, 2, 1, nil)
 	env.startEdge(0, 2)
 	for _, b := range env.fleet.Boxes {
-		b.Set(func(f *standin.Faults) {
+		b.SetFaults(func(f *standin.Faults) {
 			f.Manifest = "#EXTM3U\n#EXT-X-NEW-TAG:A=1\n#EXT-X-MEDIA:TYPE=AUDIO,GROUP-ID=\"a\",NAME=\"en\",URI=\"r0/media.m3u8\"\n" +
 				"#EXT-X-MEDIA:TYPE=AUDIO,GROUP-ID=\"b\",NAME=\"other\",URI=\"r1/media.m3u8\"\n" +
 				"#EXT-X-STREAM-INF:BANDWIDTH=9,AUDIO=\"a\"\nr2/media.m3u8\n"
--- a/internal/registry/consul_test.go
+++ b/internal/registry/consul_test.go
@@ -42,7 +42,7 @@
 	if change != nil {
 		change(r.site)
 	}
-	r.catalogue.Change(func(s map[string]*standin.Service, k map[string]string) {
+	r.catalogue.Update(func(s map[string]*standin.Service, k map[string]string) {
 		for i := range 3 {
 			s[fmt.Sprint("box", i)] = boxService(i)
 		}
@@ -87,7 +87,7 @@
 }
 
 func (r *fixture) change(i int, do func(s *standin.Service)) {
-	r.catalogue.Change(func(s map[string]*standin.Service, _ map[string]string) { do(s[fmt.Sprint("box", i)]) })
+	r.catalogue.Update(func(s map[string]*standin.Service, _ map[string]string) { do(s[fmt.Sprint("box", i)]) })
 }
 
 // Boxes and titles are read through the official client, and every change is delivered: health, maintenance mode, a
@@ -108,7 +108,7 @@
 	})
 	r.change(0, func(s *standin.Service) { s.Port, s.Meta[MetaStarted] = 9100, "1700000005000" })
 	r.waitFor("a new address under the same id", func(s Snapshot) bool { return s.Boxes[2].ID == "127.0.0.1:9100" && s.Boxes[2].Started == 1700000005000 })
-	r.catalogue.Change(func(s map[string]*standin.Service, k map[string]string) {
+	r.catalogue.Update(func(s map[string]*standin.Service, k map[string]string) {
 		delete(s, "box1")
 		delete(k, "clips/one")
 	})
@@ -123,7 +123,7 @@
 		MetaCell: func(s *standin.Service) { s.Meta[MetaCell] = "20" }, MetaWeight: func(s *standin.Service) { s.Meta[MetaWeight] = "NaN" },
 		MetaStarted: func(s *standin.Service) { s.Meta[MetaStarted] = "9223372036854775807" }, "address": func(s *standin.Service) { s.Port = 0 },
 	}
-	r.catalogue.Change(func(s map[string]*standin.Service, k map[string]string) {
+	r.catalogue.Update(func(s map[string]*standin.Service, k map[string]string) {
 		i := 3
 		for name, do := range breaks {
 			s["bad-"+name] = boxService(i)
@@ -159,7 +159,7 @@
 			r := newFixture(t, func(s *config.Site) { s.Consul.Titles = "" })
 			r.watch()
 			r.waitFor("all boxes", func(s Snapshot) bool { return len(s.Boxes) == 3 })
-			r.catalogue.Set(f)
+			r.catalogue.SetFault(f)
 			if f.Hang { // setting the fault ends the waiting query; the next query hangs until its timeout
 				time.Sleep(300 * time.Millisecond)
 			} else {
@@ -169,7 +169,7 @@
 			if len(r.last.Boxes) != 3 || r.last.Boxes[0].Drain {
 				t.Errorf("delivered wrong boxes %+v", r.last.Boxes)
 			}
-			r.catalogue.Set(standin.CatalogueFault{})
+			r.catalogue.SetFault(standin.CatalogueFault{})
 			r.waitFor("the drain", func(s Snapshot) bool { return s.Boxes[0].Drain })
 		})
 	}
@@ -191,7 +191,7 @@
 		r := newFixture(t, nil)
 		r.watch()
 		r.waitFor("all boxes", func(s Snapshot) bool { return len(s.Boxes) == 3 })
-		r.catalogue.Set(standin.CatalogueFault{Back: 50})
+		r.catalogue.SetFault(standin.CatalogueFault{IndexDecrease: 50})
 		r.change(1, func(s *standin.Service) { s.Meta[MetaDrain] = "true" })
 		begin := time.Now()
 		r.waitFor("the drain", func(s Snapshot) bool { return s.Boxes[1].Drain })
@@ -202,14 +202,14 @@
 	t.Run("answers arrive slowly", func(t *testing.T) {
 		t.Parallel()
 		r := newFixture(t, nil)
-		r.catalogue.Set(standin.CatalogueFault{Trickle: 2 * time.Millisecond})
+		r.catalogue.SetFault(standin.CatalogueFault{TrickleDelay: 2 * time.Millisecond})
 		r.watch()
 		r.waitFor("all boxes and titles", func(s Snapshot) bool { return len(s.Boxes) == 3 && len(s.Titles) == 1 })
 	})
 	t.Run("a stale read reports its age", func(t *testing.T) {
 		t.Parallel()
 		r := newFixture(t, func(s *config.Site) { s.Consul.Consistency = "stale" })
-		r.catalogue.Set(standin.CatalogueFault{Contact: 7 * time.Second})
+		r.catalogue.SetFault(standin.CatalogueFault{LastContact: 7 * time.Second})
 		r.watch()
 		r.waitFor("all boxes, with an age of 7 s", func(s Snapshot) bool {
 			return len(s.Boxes) == 3 && s.Age == 7*time.Second
@@ -222,10 +222,10 @@
 			t.Fatal(err)
 		}
 		r := newFixture(t, func(s *config.Site) { s.Consul.TokenFile = file })
-		r.catalogue.Token("good")
+		r.catalogue.RequireToken("good")
 		r.watch()
 		r.waitFor("all boxes", func(s Snapshot) bool { return len(s.Boxes) == 3 })
-		r.catalogue.Token("other")
+		r.catalogue.RequireToken("other")
 		r.waitFor("errors", func(Snapshot) bool {
 			return slices.ContainsFunc(r.errs, func(e string) bool { return strings.Contains(e, "403") })
 		})
@@ -270,13 +270,13 @@
 	r.waitFor("all watchers to receive 3 boxes", all(3))
 	r.catalogue.Stop()
 	time.Sleep(time.Second)
-	r.catalogue.Change(func(s map[string]*standin.Service, _ map[string]string) { delete(s, "box2") })
-	before, _ := r.catalogue.Asked()
+	r.catalogue.Update(func(s map[string]*standin.Service, _ map[string]string) { delete(s, "box2") })
+	before, _ := r.catalogue.Requests()
 	if _, err := r.catalogue.Start(r.site.Consul.Address); err != nil {
 		t.Fatal(err)
 	}
 	r.waitFor("all watchers to receive 2 boxes", all(2))
-	after, _ := r.catalogue.Asked()
+	after, _ := r.catalogue.Requests()
 	most := 0
 	for _, at := range after[len(before):] {
 		n := 0
@@ -318,7 +318,7 @@
 	if !passing(Snapshot{}) {
 		t.Error("the check does not pass after its TTL")
 	}
-	r.catalogue.Change(func(s map[string]*standin.Service, _ map[string]string) { delete(s, "edge-0") })
+	r.catalogue.Update(func(s map[string]*standin.Service, _ map[string]string) { delete(s, "edge-0") })
 	r.waitFor("the second registration", passing)
 	stop()
 	<-stopped
--- a/internal/regret/regret.go
+++ b/internal/regret/regret.go
@@ -8,49 +8,49 @@
 
 // Causes.
 const (
-	Elsewhere Cause = "refused, room elsewhere"    // boxes without the title had room
-	Holder    Cause = "refused, a holder had room" // a holder had room in truth: the front did not know, or kept off it
-	Streams   Cause = "refused for streams"
-	Seats     Cause = "refused for seats"
-	Full      Cause = "refused, no room anywhere"
-	Late      Cause = "late"   // from a request to its session, without a refusal
-	Broken    Cause = "broken" // between a session's loss and the next, and set-ups that failed
-	Climb     Cause = "climb not yet made"
-	Stepped   Cause = "stepped down" // below what it had before and would have again
-	Share     Cause = "lower than its share, no room near"
-	Stalls    Cause = "stalls"
-	Switches  Cause = "switches"
-	Rest      Cause = "rest" // the end of a session that its viewer gave up, and what rounding leaves
+	RefusedCapacityElsewhere Cause = "refused, room elsewhere"    // boxes without the title had room
+	RefusedDespiteHolder     Cause = "refused, a holder had room" // a holder had room in truth: the front did not know, or kept off it
+	RefusedForStreams        Cause = "refused for streams"
+	RefusedForSeats          Cause = "refused for seats"
+	RefusedNoCapacity        Cause = "refused, no room anywhere"
+	LateStart                Cause = "late"   // from a request to its session, without a refusal
+	Interrupted              Cause = "broken" // between a session's loss and the next, and set-ups that failed
+	NotYetRaised             Cause = "climb not yet made"
+	SteppedDown              Cause = "stepped down" // below what it had before and would have again
+	LowShare                 Cause = "lower than its share, no room near"
+	Stalls                   Cause = "stalls"
+	RungChanges              Cause = "switches"
+	Remainder                Cause = "rest" // the end of a session that its viewer gave up, and what rounding leaves
 )
 
 // Causes are all of them, in their order.
 func Causes() []Cause {
-	return []Cause{Elsewhere, Holder, Streams, Seats, Full, Late, Broken, Climb, Stepped, Share, Stalls, Switches, Rest}
+	return []Cause{RefusedCapacityElsewhere, RefusedDespiteHolder, RefusedForStreams, RefusedForSeats, RefusedNoCapacity, LateStart, Interrupted, NotYetRaised, SteppedDown, LowShare, Stalls, RungChanges, Remainder}
 }
 
 // Played is a stretch of a session at one rung.
-type Played struct {
+type PlayedSpan struct {
 	Rung    int
 	Seconds float64
 }
 
 // Account is one viewer's session.
-type Account struct {
-	Best      int
-	Worth     []float64 // a second, by rung
-	Asked     float64   // worth
-	Delivered float64
-	Waited    map[Cause]float64 // seconds without a session, by why
-	Played    []Played
-	Stalled   float64 // seconds
-	Switches  float64 // worth paid for changes of rung
+type SessionAccount struct {
+	BestRung       int
+	WorthPerSecond []float64 // a second, by rung
+	WorthAsked     float64   // worth
+	WorthDelivered float64
+	WaitedSeconds  map[Cause]float64 // seconds without a session, by why
+	PlayedSpans    []PlayedSpan
+	StalledSeconds float64 // seconds
+	RungChangeCost float64 // worth paid for changes of rung
 }
 
 // Parts are losses by cause, in worth.
-type Parts map[Cause]float64
+type LossByCause map[Cause]float64
 
 // Sum is all of them together.
-func (p Parts) Sum() (sum float64) {
+func (p LossByCause) Total() (sum float64) {
 	for _, c := range Causes() {
 		sum += p[c]
 	}
@@ -60,35 +60,35 @@
 // Split gives an account's loss to its causes. The rungs: what lies below the highest rung that it had
 // earlier is "stepped down" if it had that rung, or a higher one, again later, and else its share; what
 // lies below a rung that it reached later is climb; what it never reached is its share.
-func Split(a Account) Parts {
-	p := Parts{}
-	top := a.Worth[a.Best]
-	for c, s := range a.Waited {
+func SplitLoss(a SessionAccount) LossByCause {
+	p := LossByCause{}
+	top := a.WorthPerSecond[a.BestRung]
+	for c, s := range a.WaitedSeconds {
 		p[c] += s * top
 	}
-	p[Stalls] += a.Stalled * top
-	p[Switches] += a.Switches
-	later := make([]int, len(a.Played)+1) // the highest rung from here on
-	later[len(a.Played)] = -1
-	for i := len(a.Played) - 1; i >= 0; i-- {
-		later[i] = max(later[i+1], a.Played[i].Rung)
+	p[Stalls] += a.StalledSeconds * top
+	p[RungChanges] += a.RungChangeCost
+	later := make([]int, len(a.PlayedSpans)+1) // the highest rung from here on
+	later[len(a.PlayedSpans)] = -1
+	for i := len(a.PlayedSpans) - 1; i >= 0; i-- {
+		later[i] = max(later[i+1], a.PlayedSpans[i].Rung)
 	}
 	earlier := -1
-	for i, x := range a.Played {
-		rung := min(x.Rung, a.Best)
-		reached := min(max(later[i], rung), a.Best)
+	for i, x := range a.PlayedSpans {
+		rung := min(x.Rung, a.BestRung)
+		reached := min(max(later[i], rung), a.BestRung)
 		back := min(reached, max(earlier, rung)) // had it before, and has it again
-		p[Stepped] += x.Seconds * (a.Worth[back] - a.Worth[rung])
-		p[Climb] += x.Seconds * (a.Worth[reached] - a.Worth[back])
-		p[Share] += x.Seconds * (top - a.Worth[reached])
+		p[SteppedDown] += x.Seconds * (a.WorthPerSecond[back] - a.WorthPerSecond[rung])
+		p[NotYetRaised] += x.Seconds * (a.WorthPerSecond[reached] - a.WorthPerSecond[back])
+		p[LowShare] += x.Seconds * (top - a.WorthPerSecond[reached])
 		earlier = max(earlier, x.Rung)
 	}
-	p[Rest] += a.Asked - a.Delivered - p.Sum()
+	p[Remainder] += a.WorthAsked - a.WorthDelivered - p.Total()
 	return p
 }
 
 // Add adds up.
-func (p Parts) Add(q Parts) {
+func (p LossByCause) Add(q LossByCause) {
 	for c, w := range q {
 		p[c] += w
 	}
@@ -96,8 +96,8 @@
 
 // Towards is the distance to what a better plan would have delivered, split by cause: all losses shrink
 // alike, so that their sum is that distance. What even the better plan loses has no cause of ours.
-func (p Parts) Towards(asked, delivered, better float64) Parts {
-	out := Parts{}
+func (p LossByCause) ScaleToGap(asked, delivered, better float64) LossByCause {
+	out := LossByCause{}
 	lost, distance := asked-delivered, better-delivered
 	if lost <= 0 {
 		return out
--- a/internal/regret/regret_test.go
+++ b/internal/regret/regret_test.go
@@ -16,27 +16,27 @@
 			w += 0.05 + num(0.5, "step")
 			worth[i] = w
 		}
-		a := Account{Best: rapid.IntRange(0, 4).Draw(t, "best"), Worth: worth, Asked: num(100, "asked"), Delivered: num(100, "delivered"),
-			Waited: map[Cause]float64{}, Stalled: num(5, "stalled"), Switches: num(2, "switches")}
+		a := SessionAccount{BestRung: rapid.IntRange(0, 4).Draw(t, "best"), WorthPerSecond: worth, WorthAsked: num(100, "asked"), WorthDelivered: num(100, "delivered"),
+			WaitedSeconds: map[Cause]float64{}, StalledSeconds: num(5, "stalled"), RungChangeCost: num(2, "switches")}
 		for range rapid.IntRange(0, 8).Draw(t, "stretches") {
-			a.Played = append(a.Played, Played{rapid.IntRange(0, 4).Draw(t, "rung"), num(20, "seconds")})
+			a.PlayedSpans = append(a.PlayedSpans, PlayedSpan{rapid.IntRange(0, 4).Draw(t, "rung"), num(20, "seconds")})
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "waits") {
-			a.Waited[rapid.SampledFrom(Causes()).Draw(t, "why")] += num(9, "waited")
+			a.WaitedSeconds[rapid.SampledFrom(Causes()).Draw(t, "why")] += num(9, "waited")
 		}
-		p := Split(a)
-		if math.Abs(p.Sum()-(a.Asked-a.Delivered)) > 1e-6 {
-			t.Fatalf("parts %v add up to %v, lost %v", p, p.Sum(), a.Asked-a.Delivered)
+		p := SplitLoss(a)
+		if math.Abs(p.Total()-(a.WorthAsked-a.WorthDelivered)) > 1e-6 {
+			t.Fatalf("parts %v add up to %v, lost %v", p, p.Total(), a.WorthAsked-a.WorthDelivered)
 		}
-		for _, c := range []Cause{Climb, Stepped, Share} {
+		for _, c := range []Cause{NotYetRaised, SteppedDown, LowShare} {
 			if p[c] < -1e-9 {
 				t.Fatalf("%s is %v", c, p[c])
 			}
 		}
-		if a.Asked > a.Delivered+1e-3 { // below, the quotient is noise
-			better := a.Delivered + num(50, "better")
-			if d := p.Towards(a.Asked, a.Delivered, better).Sum(); math.Abs(d-(better-a.Delivered)) > 1e-6*max(1, better) {
-				t.Fatalf("towards %v: %v", better-a.Delivered, d)
+		if a.WorthAsked > a.WorthDelivered+1e-3 { // below, the quotient is noise
+			better := a.WorthDelivered + num(50, "better")
+			if d := p.ScaleToGap(a.WorthAsked, a.WorthDelivered, better).Total(); math.Abs(d-(better-a.WorthDelivered)) > 1e-6*max(1, better) {
+				t.Fatalf("towards %v: %v", better-a.WorthDelivered, d)
 			}
 		}
 	})
@@ -44,8 +44,8 @@
 
 func TestRungs(t *testing.T) {
 	worth := []float64{0.2, 0.5, 1}
-	p := Split(Account{Best: 2, Worth: worth, Asked: 40, Delivered: 20, Played: []Played{{0, 10}, {1, 10}, {0, 10}, {1, 10}}})
-	for c, want := range map[Cause]float64{Climb: 3, Stepped: 3, Share: 20, Rest: -6} {
+	p := SplitLoss(SessionAccount{BestRung: 2, WorthPerSecond: worth, WorthAsked: 40, WorthDelivered: 20, PlayedSpans: []PlayedSpan{{0, 10}, {1, 10}, {0, 10}, {1, 10}}})
+	for c, want := range map[Cause]float64{NotYetRaised: 3, SteppedDown: 3, LowShare: 20, Remainder: -6} {
 		if math.Abs(p[c]-want) > 1e-9 {
 			t.Errorf("%s: %v, want %v", c, p[c], want)
 		}
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -26,7 +26,7 @@
 	if !r.wait(ctx, f.At.D()) {
 		return
 	}
-	r.log.Add(audit.Entry{Side: "script", Who: f.Kind, What: audit.Fault, Value: f.Size})
+	r.log.Add(audit.Entry{Observer: "script", Subject: f.Kind, Event: audit.FaultApplied, Value: f.Size})
 	mend := r.cause(f, rnd)
 	r.wait(ctx, f.For.D())
 	mend()
@@ -51,7 +51,7 @@
 		set := func(on bool) {
 			for _, x := range r.relays {
 				if f.Kind == "cut_planner" {
-					x.Cut(on)
+					x.SetBlocked(on)
 				} else if on {
 					x.SetDelay(time.Duration(f.Size * float64(time.Second) / r.Speed))
 				} else {
@@ -63,16 +63,16 @@
 		return func() { set(false) }
 	case "cut_zone":
 		zone := rnd.IntN(len(r.Site.Zones))
-		r.fleet.CutZone(zone)
-		return func() { r.fleet.CutZone(-1) }
+		r.fleet.IsolateZone(zone)
+		return func() { r.fleet.IsolateZone(-1) }
 	case "weak_uplink":
 		racks := some(rnd, r.Site.Racks, f.Part)
 		for _, k := range racks {
-			r.fleet.Weaken(k, max(f.Size, 1))
+			r.fleet.DivideUplink(k, max(f.Size, 1))
 		}
 		return func() {
 			for _, k := range racks {
-				r.fleet.Weaken(k, 1)
+				r.fleet.DivideUplink(k, 1)
 			}
 		}
 	case "burst", "hot_title":
@@ -104,14 +104,14 @@
 
 func (r *Run) killEdges(which []int) func() {
 	for _, i := range which {
-		r.log.Add(audit.Entry{Side: "script", Who: strconv.Itoa(i), What: audit.EdgeKilled})
+		r.log.Add(audit.Entry{Observer: "script", Subject: strconv.Itoa(i), Event: audit.EdgeKilled})
 		r.procs[i].end(syscall.SIGKILL, time.Second)
-		r.log.Add(audit.Entry{Side: "script", Who: strconv.Itoa(i), What: audit.EdgeKilled})
+		r.log.Add(audit.Entry{Observer: "script", Subject: strconv.Itoa(i), Event: audit.EdgeKilled})
 	}
 	return func() {
 		for _, i := range which {
 			_ = r.procs[i].start()
-			r.log.Add(audit.Entry{Side: "script", Who: strconv.Itoa(i), What: audit.EdgeUp})
+			r.log.Add(audit.Entry{Observer: "script", Subject: strconv.Itoa(i), Event: audit.EdgeStarted})
 		}
 	}
 }
@@ -123,8 +123,8 @@
 		}
 	}
 	set := func(on, off func(*standin.Faults)) func() {
-		each(func(b *standin.Box) { b.Set(on) })
-		return func() { each(func(b *standin.Box) { b.Set(off) }) }
+		each(func(b *standin.Box) { b.SetFaults(on) })
+		return func() { each(func(b *standin.Box) { b.SetFaults(off) }) }
 	}
 	switch f.Kind {
 	case "drain":
@@ -132,34 +132,34 @@
 		return func() { each(func(b *standin.Box) { b.Drain(false) }) }
 	case "crash":
 		each((*standin.Box).Crash)
-		return func() { each(func(b *standin.Box) { _ = b.Return() }) }
+		return func() { each(func(b *standin.Box) { _ = b.Restart() }) }
 	case "vanish":
-		each(func(b *standin.Box) { b.Set(func(x *standin.Faults) { x.Hang = true }) })
+		each(func(b *standin.Box) { b.SetFaults(func(x *standin.Faults) { x.Hang = true }) })
 		return func() {
 			each(func(b *standin.Box) {
 				b.Crash()
-				_ = b.Return()
+				_ = b.Restart()
 			})
 		}
 	case "reset":
-		return set(func(x *standin.Faults) { x.Reset = f.Size }, func(x *standin.Faults) { x.Reset = 0 })
+		return set(func(x *standin.Faults) { x.ResetShare = f.Size }, func(x *standin.Faults) { x.ResetShare = 0 })
 	case "false_health":
-		return set(func(x *standin.Faults) { x.Hang, x.Lies = true, true }, func(x *standin.Faults) { x.Hang, x.Lies = false, false })
+		return set(func(x *standin.Faults) { x.Hang, x.FalseHealth = true, true }, func(x *standin.Faults) { x.Hang, x.FalseHealth = false, false })
 	case "hang":
 		return set(func(x *standin.Faults) { x.Hang = true }, func(x *standin.Faults) { x.Hang = false })
 	case "answer_lost":
-		return set(func(x *standin.Faults) { x.AnswerLost = f.Size }, func(x *standin.Faults) { x.AnswerLost = 0 })
+		return set(func(x *standin.Faults) { x.LostAnswerShare = f.Size }, func(x *standin.Faults) { x.LostAnswerShare = 0 })
 	case "full_disk":
 		return set(func(x *standin.Faults) { x.FullDisk = true }, func(x *standin.Faults) { x.FullDisk = false })
 	case "refuse":
 		return set(func(x *standin.Faults) { x.Refuse = true }, func(x *standin.Faults) { x.Refuse = false })
 	case "slow":
-		return set(func(x *standin.Faults) { x.Slow = f.Size }, func(x *standin.Faults) { x.Slow = 0 })
+		return set(func(x *standin.Faults) { x.LinkDivisor = f.Size }, func(x *standin.Faults) { x.LinkDivisor = 0 })
 	case "late_notes":
 		d := time.Duration(f.Size * float64(time.Second) / r.Speed)
 		return set(func(x *standin.Faults) { x.NoteDelay = d }, func(x *standin.Faults) { x.NoteDelay = 0 })
 	case "frozen_notes":
-		return set(func(x *standin.Faults) { x.NoteFrozen = true }, func(x *standin.Faults) { x.NoteFrozen = false })
+		return set(func(x *standin.Faults) { x.FrozenNotes = true }, func(x *standin.Faults) { x.FrozenNotes = false })
 	}
 	return func() {}
 }
--- a/internal/scenario/paced.go
+++ b/internal/scenario/paced.go
@@ -63,7 +63,7 @@
 	r.mu.Lock()
 	wants := slices.Clone(r.wants)
 	r.mu.Unlock()
-	f := r.fleet.True()
+	f := r.fleet.ActualFleet()
 	p := &paced{r: r, racks: make([]float64, len(f.Uplinks)), holders: map[string][]*pacedBox{}, seated: map[[2]string]int{}, ahead: ahead}
 	for _, u := range f.Uplinks { // True divides by what plans fill to
 		p.uplinks = append(p.uplinks, u*peaks.MaxUtilization)
@@ -81,9 +81,9 @@
 	var waiting []*pacedSession
 	last := time.Duration(0)
 	for _, w := range wants {
-		waiting = append(waiting, &pacedSession{want: w, class: w.v.Class, begin: w.at, end: w.at + w.v.Length})
-		last = max(last, w.at+w.v.Length)
-		p.asked += w.v.Length.Seconds() * p.worth(w.v.Class, w.v.Best)
+		waiting = append(waiting, &pacedSession{want: w, class: w.v.Class, begin: w.at, end: w.at + w.v.SessionLength})
+		last = max(last, w.at+w.v.SessionLength)
+		p.asked += w.v.SessionLength.Seconds() * p.worth(w.v.Class, w.v.BestRung)
 	}
 	every := max(r.Site.Notes.LinkEvery.D(), pacedTick)
 	for now, round := time.Duration(0), time.Duration(0); now <= last; now += pacedTick {
@@ -178,7 +178,7 @@
 	}
 	x.on, x.rung = best, k.Floor
 	p.use(best, low)
-	for x.rung < x.v.Best {
+	for x.rung < x.v.BestRung {
 		step := p.rate(x.class, x.rung+1) - p.rate(x.class, x.rung)
 		if step > pacedStart*p.room(best) {
 			break
@@ -249,7 +249,7 @@
 		}
 		var steps []step
 		for _, x := range b.held {
-			if x.rung >= x.v.Best {
+			if x.rung >= x.v.BestRung {
 				continue
 			}
 			kb := p.rate(x.class, x.rung+1) - p.rate(x.class, x.rung)
--- a/internal/scenario/paced_test.go
+++ b/internal/scenario/paced_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	s.Load = load
-	site, err := makeSite(s, 1, &standin.Ports{})
+	site, err := makeSite(s, 1, &standin.PortAllocator{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 		v := r.viewer()
 		if i >= 120 { // the peak's
 			at = time.Duration(60+(i-120)/2) * time.Second
-			v.Title, v.Class, v.Best = site.Titles[0].Name, 0, 4
+			v.Title, v.Class, v.BestRung = site.Titles[0].Name, 0, 4
 		}
 		r.wants = append(r.wants, want{at: at, v: v, peak: i >= 120})
 	}
--- a/internal/scenario/peak.go
+++ b/internal/scenario/peak.go
@@ -89,11 +89,11 @@
 		r.mu.Lock()
 		r.lasts(v)
 		r.mu.Unlock()
-		v.Best = len(r.Site.Ladder) - 1
+		v.BestRung = len(r.Site.Ladder) - 1
 		if t := r.Site.Classes[v.Class].Top; t != nil {
-			v.Best = *t
+			v.BestRung = *t
 		}
-		v.Patience = 0
+		v.GiveUpAfter = 0
 		v.Title = r.Site.Titles[p.First+rnd.IntN(p.Titles)].Name
 		r.come(ctx, v, true)
 	}
@@ -127,26 +127,26 @@
 func (r *Run) Bound() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	capacity, asked, got := r.fleet.Capacity(), 0.0, 0.0
+	capacity, asked, got := r.fleet.TotalLinkRate(), 0.0, 0.0
 	const step = 0.25 // seconds
 	last := 0.0
 	for _, w := range r.wants {
-		last = max(last, (w.at + w.v.Length).Seconds())
+		last = max(last, (w.at + w.v.SessionLength).Seconds())
 	}
 	type gain struct{ worth, kb float64 }
 	for t := step / 2; t < last; t += step {
 		var gains []gain
 		for _, w := range r.wants {
-			if t < w.at.Seconds() || t >= (w.at+w.v.Length).Seconds() {
+			if t < w.at.Seconds() || t >= (w.at+w.v.SessionLength).Seconds() {
 				continue
 			}
 			k := r.Site.Classes[w.v.Class]
 			worth, kb := 0.0, 0.0
-			for _, g := range hull(r, w.v.Class, k.Floor, w.v.Best) {
+			for _, g := range hull(r, w.v.Class, k.Floor, w.v.BestRung) {
 				gains = append(gains, gain{g[0] - worth, g[1] - kb})
 				worth, kb = g[0], g[1]
 			}
-			asked += step * k.Worth * r.Site.Ladder[w.v.Best].Worth
+			asked += step * k.Worth * r.Site.Ladder[w.v.BestRung].Worth
 		}
 		slices.SortFunc(gains, func(a, b gain) int { return int(math.Copysign(1, b.worth*a.kb-a.worth*b.kb)) })
 		room := capacity
@@ -173,7 +173,7 @@
 	r.mu.Unlock()
 	last := 0.0
 	for _, w := range wants {
-		last = max(last, (w.at + w.v.Length).Seconds())
+		last = max(last, (w.at + w.v.SessionLength).Seconds())
 	}
 	var mu sync.Mutex
 	var work sync.WaitGroup
@@ -215,7 +215,7 @@
 
 // wanted is what is wanted at a moment, as a plan sees it, and what it is worth in full.
 func (r *Run) wanted(wants []want, t float64, spread bool) (*peaks.Fleet, []peaks.Demand, float64) {
-	f := r.fleet.True()
+	f := r.fleet.ActualFleet()
 	for _, g := range r.Site.Ladder {
 		f.Ladder, f.RungWorths = append(f.Ladder, float64(g.Rate)), append(f.RungWorths, g.Worth)
 	}
@@ -225,9 +225,9 @@
 	}
 	n, asked := map[group]float64{}, 0.0
 	for _, w := range wants {
-		if t >= w.at.Seconds() && t < (w.at+w.v.Length).Seconds() {
-			n[group{w.v.Title, w.v.Class, w.v.Best}]++
-			asked += r.Site.Classes[w.v.Class].Worth * r.Site.Ladder[w.v.Best].Worth
+		if t >= w.at.Seconds() && t < (w.at+w.v.SessionLength).Seconds() {
+			n[group{w.v.Title, w.v.Class, w.v.BestRung}]++
+			asked += r.Site.Classes[w.v.Class].Worth * r.Site.Ladder[w.v.BestRung].Worth
 		}
 	}
 	var demands []peaks.Demand
@@ -291,8 +291,8 @@
 		if w.peak {
 			i = 1
 		}
-		asked[i] += r.reports[w.report].Asked
-		got[i] += r.reports[w.report].Delivered
+		asked[i] += r.reports[w.report].WorthAsked
+		got[i] += r.reports[w.report].WorthDelivered
 	}
 	return round(got[1] / max(asked[1], 1e-9)), round(got[0] / max(asked[0], 1e-9))
 }
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -107,30 +107,30 @@
 	entries := r.Entries()
 	v := audit.Judge(r.Site, entries)
 	out := &Result{Scenario: r.Script.Name, Policy: r.Policy, Seed: r.Seed, Outcomes: map[string]int{"played": 0, "late": 0, "refused": 0, "failed": 0},
-		Doubles: v.Doubles, Overlaps: v.Overlaps, Broken: v.Broken(), Edges: len(r.Site.Edges), Boxes: len(r.Site.Boxes),
+		Doubles: v.DuplicateOutcomes, Overlaps: v.OverlappingAttempts, Broken: v.BrokenRules(), Edges: len(r.Site.Edges), Boxes: len(r.Site.Boxes),
 		Faults: r.faults, Verdict: v, Bad: []string{}}
 	hist := hdrhistogram.New(1, 60_000_000, 3)
 	for _, c := range r.Site.Classes {
 		out.Classes = append(out.Classes, ClassResult{Name: c.Name})
 	}
-	parts := regret.Parts{}
+	parts := regret.LossByCause{}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out.Bad = append(out.Bad, r.wrong...)
 	for _, p := range r.reports {
-		parts.Add(regret.Split(p.Account))
+		parts.Add(regret.SplitLoss(p.Account))
 		out.Sessions++
 		out.Outcomes[p.Outcome]++
-		out.Asked, out.Delivered = out.Asked+p.Asked, out.Delivered+p.Delivered
+		out.Asked, out.Delivered = out.Asked+p.WorthAsked, out.Delivered+p.WorthDelivered
 		out.Requests, out.Retries, out.Breaks = out.Requests+p.Requests, out.Retries+max(p.Requests-1, 0), out.Breaks+p.Breaks
 		out.Segments, out.StalledS = out.Segments+p.Segments, out.StalledS+p.Stalled.Seconds()
-		out.Bad = append(out.Bad, p.Bad...)
-		if p.First > 0 {
-			_ = hist.RecordValue(p.First.Microseconds())
+		out.Bad = append(out.Bad, p.PlayerErrors...)
+		if p.FirstPlaylist > 0 {
+			_ = hist.RecordValue(p.FirstPlaylist.Microseconds())
 		}
 		k := &out.Classes[p.Class]
 		k.Sessions++
-		k.Asked, k.Delivered = k.Asked+p.Asked, k.Delivered+p.Delivered
+		k.Asked, k.Delivered = k.Asked+p.WorthAsked, k.Delivered+p.WorthDelivered
 		*map[string]*int{"played": &k.Played, "late": &k.Late, "refused": &k.Refused, "failed": &k.Failed}[p.Outcome]++
 	}
 	out.First = Times{float64(hist.ValueAtQuantile(50)) / 1000, float64(hist.ValueAtQuantile(99)) / 1000, hist.TotalCount()}
@@ -142,8 +142,8 @@
 		}
 	}
 	for _, e := range entries {
-		switch e.What {
-		case audit.CopyWhole:
+		switch e.Event {
+		case audit.CopyCompleted:
 			out.Copies++
 		case audit.TitleDropped:
 			out.Drops++
@@ -160,8 +160,8 @@
 		return
 	}
 	out.Oracle, out.Missed = r.Oracle(false)
-	parts := regret.Parts(out.Lost)
-	out.Towards = parts.Towards(1, out.Share, out.Oracle)
+	parts := regret.LossByCause(out.Lost)
+	out.Towards = parts.ScaleToGap(1, out.Share, out.Oracle)
 }
 
 func round(x float64) float64 { return math.Round(x*1000) / 1000 }
@@ -202,6 +202,6 @@
 			fmt.Fprintf(w, "... and %d more\n", len(o.Verdict.Breaches)-i)
 			break
 		}
-		fmt.Fprintf(w, "  %s at %s: box %s session %s: %s\n", b.Rule, time.Duration(b.T)*time.Microsecond, b.Box, b.Session, b.Why)
+		fmt.Fprintf(w, "  %s at %s: box %s session %s: %s\n", b.Rule, time.Duration(b.TimeMicros)*time.Microsecond, b.Box, b.Session, b.Reason)
 	}
 }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -26,13 +26,13 @@
 type Options struct {
 	Script  *Script
 	Seed    uint64
-	Ports   *standin.Ports // shared by runs of one process; nil: its own
-	Policy  string         // "module" or "random"
-	Holds   string         // how the planner holds room for peaks: "lp" (default), "all", "greedy" or "none"
-	Copies  string         // how it chooses copies: "lp" (default), "greedy" or "none"
-	Command []string       // starts this program; "edge" or "planner" and flags follow
-	Dir     string         // for the site file, states and logs
-	Speed   float64        // the script's clock over the real one; 0: the script's
+	Ports   *standin.PortAllocator // shared by runs of one process; nil: its own
+	Policy  string                 // "module" or "random"
+	Holds   string                 // how the planner holds room for peaks: "lp" (default), "all", "greedy" or "none"
+	Copies  string                 // how it chooses copies: "lp" (default), "greedy" or "none"
+	Command []string               // starts this program; "edge" or "planner" and flags follow
+	Dir     string                 // for the site file, states and logs
+	Speed   float64                // the script's clock over the real one; 0: the script's
 }
 
 // Run is one running fleet.
@@ -48,7 +48,7 @@
 	mu      sync.Mutex
 	rate    float64 // times as many viewers
 	hot     float64
-	reports []standin.Report
+	reports []standin.ViewerReport
 	viewers sync.WaitGroup
 	faults  int
 	begun   time.Time
@@ -98,7 +98,7 @@
 // Start brings up boxes, relays, planner and edges, and waits until every edge has its view.
 func Start(ctx context.Context, o Options) (*Run, error) {
 	if o.Ports == nil {
-		o.Ports = &standin.Ports{}
+		o.Ports = &standin.PortAllocator{}
 	}
 	if o.Speed <= 0 {
 		o.Speed = o.Script.Speed
@@ -109,7 +109,7 @@
 	}
 	r := &Run{Options: o, Site: site, log: audit.NewLog(), rnd: rand.New(rand.NewPCG(o.Seed, 11)), rate: 1}
 	r.fleet = standin.NewFleet(site, r.log, o.Seed)
-	r.fleet.Disk = o.Script.Disk
+	r.fleet.DiskFactor = o.Script.Disk
 	if err := r.fleet.Start(ctx); err != nil {
 		return nil, err
 	}
@@ -240,15 +240,15 @@
 func (r *Run) viewer() *standin.Viewer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := &standin.Viewer{Site: r.Site, Log: r.log, Key: "k" + strconv.FormatUint(r.rnd.Uint64(), 36), Retries: 4, Why: r.fleet.Why}
+	v := &standin.Viewer{Site: r.Site, Log: r.log, Key: "k" + strconv.FormatUint(r.rnd.Uint64(), 36), Retries: 4, RefusalCause: r.fleet.RefusalCause}
 	v.Class = r.class()
 	class := r.Site.Classes[v.Class]
-	v.Best = len(r.Site.Ladder) - 1
+	v.BestRung = len(r.Site.Ladder) - 1
 	if class.Top != nil {
-		v.Best = *class.Top
+		v.BestRung = *class.Top
 	}
 	if r.rnd.Float64() < 0.25 {
-		v.Best = max(v.Best-1-r.rnd.IntN(2), class.Floor)
+		v.BestRung = max(v.BestRung-1-r.rnd.IntN(2), class.Floor)
 	}
 	title := int(math.Pow(float64(len(r.Site.Titles)), r.rnd.Float64())) - 1 // about Zipf's law
 	if r.rnd.Float64() < r.hot {
@@ -259,10 +259,10 @@
 	first := r.rnd.IntN(len(r.Site.Edges))
 	for i := range r.Site.Edges {
 		n := (first + i) % len(r.Site.Edges)
-		v.Edges, v.Position = append(v.Edges, r.Site.Edges[n].Listen), append(v.Position, n)
+		v.Edges, v.EdgePositions = append(v.Edges, r.Site.Edges[n].Listen), append(v.EdgePositions, n)
 	}
 	if r.rnd.Float64() < 0.02 { // gives up at once, in a race with the answer
-		v.Patience = time.Duration(5+r.rnd.IntN(60)) * time.Millisecond
+		v.GiveUpAfter = time.Duration(5+r.rnd.IntN(60)) * time.Millisecond
 	}
 	v.Rand = rand.New(rand.NewPCG(r.rnd.Uint64(), 3))
 	return v
@@ -282,7 +282,7 @@
 // lasts draws how long a viewer's session lasts.
 func (r *Run) lasts(v *standin.Viewer) {
 	mean, spread := r.Script.life(r.Site.Classes[v.Class].Name)
-	v.Length = time.Duration((mean + spread*(2*r.rnd.Float64()-1)) * float64(time.Second) / r.Speed)
+	v.SessionLength = time.Duration((mean + spread*(2*r.rnd.Float64()-1)) * float64(time.Second) / r.Speed)
 }
 
 // Stop ends the programs in order. Kept logs are in Dir.
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	site, err := makeSite(s, s.Speed, &standin.Ports{})
+	site, err := makeSite(s, s.Speed, &standin.PortAllocator{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenario/site.go
+++ b/internal/scenario/site.go
@@ -16,7 +16,7 @@
 // makeSite describes a fleet on free loopback ports, with links sized for the script's load. Sessions' and
 // notes' times, and how a copy's size follows from a title's length, go by the script's clock; deadlines, graces,
 // ramps and spans of the rules by the real one, as they judge programs and sockets that run no faster.
-func makeSite(s *Script, speed float64, ports *standin.Ports) (*config.Site, error) {
+func makeSite(s *Script, speed float64, ports *standin.PortAllocator) (*config.Site, error) {
 	quick := func(d config.Duration) config.Duration { return config.Duration(float64(d) / speed) }
 	out := &config.Site{
 		Zones: []string{"east", "west", "north"}, Cells: max(s.Boxes, 3), Racks: max(s.Boxes/4, 1), Peers: true,
@@ -52,7 +52,7 @@
 			Length: sec(s.longest()/speed + 1)})
 	}
 	for i := range s.Boxes {
-		addr, err := ports.Take()
+		addr, err := ports.Allocate()
 		if err != nil {
 			return nil, err
 		}
@@ -63,18 +63,18 @@
 		out.Boxes = append(out.Boxes, config.Box{Addr: addr, Zone: out.Zones[i%3], Kind: kind, Cell: i % out.Cells, Weight: weight})
 	}
 	for i := range s.Edges {
-		listen, err := ports.Take()
+		listen, err := ports.Allocate()
 		if err != nil {
 			return nil, err
 		}
-		peer, err := ports.Take()
+		peer, err := ports.Allocate()
 		if err != nil {
 			return nil, err
 		}
 		out.Edges = append(out.Edges, config.Edge{Zone: out.Zones[i%3], Listen: listen, Peer: peer})
 	}
 	var err error
-	out.Planner.Listen, err = ports.Take()
+	out.Planner.Listen, err = ports.Allocate()
 	return out, err
 }
 
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -23,97 +23,97 @@
 
 // Fleet is a set of stand-in boxes that share racks.
 type Fleet struct {
-	Site  *config.Site
-	Log   *audit.Log
-	Scale float64 // kB of the model for each kB that is sent
-	Setup time.Duration
-	Boxes []*Box
-	Disk  float64 // of each box, as a multiple of what it holds at first
-
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	uplinks []float64 // kB/s that each rack's uplink gives
-	weak    []float64 // divides an uplink
-	cut     int       // zone that is cut off from the others; -1: none
-	ctx     context.Context
-	wait    sync.WaitGroup
+	Site       *config.Site
+	Log        *audit.Log
+	ModelScale float64 // kB of the model for each kB that is sent
+	SetUpTime  time.Duration
+	Boxes      []*Box
+	DiskFactor float64 // of each box, as a multiple of what it holds at first
+
+	mu             sync.Mutex
+	rng            *rand.Rand
+	uplinkRates    []float64 // kB/s that each rack's uplink gives
+	uplinkDivisors []float64 // divides an uplink
+	isolatedZone   int       // zone that is cut off from the others; -1: none
+	ctx            context.Context
+	tasks          sync.WaitGroup
 }
 
 // Box is one stand-in clip box.
 type Box struct {
-	fleet   *Fleet
-	Addr    string
-	Zone    int
-	rack    int
-	streams int
-	link    float64
-	server  *http.Server
-	boot    string
-	started time.Time
-	state   string
-	up      bool
-	share   float64
-	short   bool
-	full    float64
-	held    map[string]*held
-	ears    map[string]*ear // by edge instance
-	recent  []time.Time     // set-ups, while cold
-	fault   Faults
-	frozen  map[string]float64
-	titles  map[string]*stored // outlives a crash
-	changed uint64             // rises with every change of titles
-	epoch   uint64             // of the planner that is obeyed
-	sending float64            // kB/s that copies of its titles ask of its link
-	spare   float64            // part of what copies ask that its link has for them
+	fleet             *Fleet
+	Addr              string
+	Zone              int
+	rack              int
+	streamSlots       int
+	linkRate          float64
+	server            *http.Server
+	bootID            string
+	started           time.Time
+	state             string
+	running           bool
+	rateShare         float64
+	wasLimited        bool
+	linkUtilization   float64
+	sessions          map[string]*session
+	eventStreams      map[string]*eventStream // by edge instance
+	recentSetUps      []time.Time             // set-ups, while cold
+	faults            Faults
+	frozenUtilization map[string]float64
+	titles            map[string]*storedTitle // outlives a crash
+	titlesVersion     uint64                  // rises with every change of titles
+	plannerEpoch      uint64                  // of the planner that is obeyed
+	copySendRate      float64                 // kB/s that copies of its titles ask of its link
+	copyShare         float64                 // part of what copies ask that its link has for them
 }
 
 // Faults of a box, set by the script.
 type Faults struct {
-	Hang       bool    // takes what comes, answers nothing
-	Lies       bool    // with Hang: health checks are answered all the same
-	AnswerLost float64 // share of set-ups that run and whose answer is lost
-	Reset      float64 // share of set-ups that end in a reset, half of them having run
-	Refuse     bool    // turns set-ups away as full
-	Slow       float64 // divides its link; 0: as it is
-	NoteDelay  time.Duration
-	NoteFrozen bool   // link notes repeat their last value
-	Playlist   string // served in place of every media playlist
-	Manifest   string // served in place of every multivariant playlist
-	SetUp      time.Duration
-	FullDisk   bool // nothing more fits
-}
-
-type held struct {
+	Hang            bool    // takes what comes, answers nothing
+	FalseHealth     bool    // with Hang: health checks are answered all the same
+	LostAnswerShare float64 // share of set-ups that run and whose answer is lost
+	ResetShare      float64 // share of set-ups that end in a reset, half of them having run
+	Refuse          bool    // turns set-ups away as full
+	LinkDivisor     float64 // divides its link; 0: as it is
+	NoteDelay       time.Duration
+	FrozenNotes     bool   // link notes repeat their last value
+	MediaPlaylist   string // served in place of every media playlist
+	Manifest        string // served in place of every multivariant playlist
+	ExtraSetUpTime  time.Duration
+	FullDisk        bool // nothing more fits
+}
+
+type session struct {
 	id, edge, title, class, viewer string
-	attempt, rung, best            int
+	attempt, rung, bestRung        int
 	rate                           float64
-	since                          time.Time
+	startedAt                      time.Time
 }
 
-type ear struct {
-	lines chan string
-	left  time.Time // the stream closed then; zero while it is open
+type eventStream struct {
+	lines    chan string
+	closedAt time.Time // the stream closed then; zero while it is open
 }
 
 const (
-	tick       = 100 * time.Millisecond
-	edgeGone   = 2 * time.Second // without its stream for so long, an edge's sessions are let go
-	SegmentFor = 1.024           // seconds: 48 frames of 1024 samples at 48 kHz
+	tickInterval   = 100 * time.Millisecond
+	edgeTimeout    = 2 * time.Second // without its stream for so long, an edge's sessions are let go
+	SegmentSeconds = 1.024           // seconds: 48 frames of 1024 samples at 48 kHz
 )
 
 // NewFleet makes the boxes of a site, not yet serving.
 func NewFleet(site *config.Site, log *audit.Log, seed uint64) *Fleet {
-	f := &Fleet{Site: site, Log: log, Scale: 200, Disk: 2.5, Setup: 20 * time.Millisecond, rnd: rand.New(rand.NewPCG(seed, 7)), cut: -1}
+	f := &Fleet{Site: site, Log: log, ModelScale: 200, DiskFactor: 2.5, SetUpTime: 20 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 7)), isolatedZone: -1}
 	for range site.Racks {
-		spread := 1 + 0.2*(2*f.rnd.Float64()-1)
-		f.uplinks, f.weak = append(f.uplinks, float64(site.Links.Uplink)*spread), append(f.weak, 1)
+		spread := 1 + 0.2*(2*f.rng.Float64()-1)
+		f.uplinkRates, f.uplinkDivisors = append(f.uplinkRates, float64(site.Links.Uplink)*spread), append(f.uplinkDivisors, 1)
 	}
 	for _, b := range site.Boxes {
 		k := site.Kind(b.Kind)
-		spread := 1 + 0.15*(2*f.rnd.Float64()-1)
+		spread := 1 + 0.15*(2*f.rng.Float64()-1)
 		f.Boxes = append(f.Boxes, &Box{fleet: f, Addr: b.Addr, Zone: site.Zone(b.Zone), rack: b.Cell % site.Racks,
-			streams: site.Kinds[k].Streams, link: b.Weight * float64(site.Links.PerWeight) * spread, state: "ready",
-			titles: f.firstTitles(b.Cell)})
+			streamSlots: site.Kinds[k].Streams, linkRate: b.Weight * float64(site.Links.PerWeight) * spread, state: "ready",
+			titles: f.initialTitles(b.Cell)})
 	}
 	return f
 }
@@ -126,9 +126,9 @@
 			return err
 		}
 	}
-	f.wait.Add(1)
+	f.tasks.Add(1)
 	go func() {
-		defer f.wait.Done()
+		defer f.tasks.Done()
 		f.run(ctx)
 	}()
 	return nil
@@ -136,7 +136,7 @@
 
 // Wait returns when all has ended after ctx.
 func (f *Fleet) Wait() {
-	f.wait.Wait()
+	f.tasks.Wait()
 	for _, b := range f.Boxes {
 		b.Crash()
 	}
@@ -158,24 +158,24 @@
 	f := b.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	b.boot = strconv.FormatUint(f.rnd.Uint64(), 36)
-	b.started, b.state, b.up, b.share = time.Now(), "ready", true, 1
-	b.held, b.ears, b.recent, b.frozen = map[string]*held{}, map[string]*ear{}, nil, map[string]float64{}
-	b.fault = Faults{}
+	b.bootID = strconv.FormatUint(f.rng.Uint64(), 36)
+	b.started, b.state, b.running, b.rateShare = time.Now(), "ready", true, 1
+	b.sessions, b.eventStreams, b.recentSetUps, b.frozenUtilization = map[string]*session{}, map[string]*eventStream{}, nil, map[string]float64{}
+	b.faults = Faults{}
 	text := ""
 	if !cold {
 		b.started, text = b.started.Add(-time.Hour), "warm"
 	}
-	f.Log.Add(audit.Entry{Side: "box", Who: b.Addr, What: audit.BoxStarted, Value: float64(b.streams), Text: text})
+	f.Log.Add(audit.Entry{Observer: "box", Subject: b.Addr, Event: audit.BoxStarted, Value: float64(b.streamSlots), Text: text})
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /sessions/{id}", b.setUp)
-	mux.HandleFunc("PUT /sessions/{id}", b.setRung)
-	mux.HandleFunc("DELETE /sessions/{id}", b.end)
-	mux.HandleFunc("GET /events", b.events)
-	mux.HandleFunc("GET /health", b.health)
-	b.titleRoutes(mux)
-	mux.HandleFunc("GET /t/{title}/{file}", b.playlist)
-	mux.HandleFunc("GET /t/{title}/{rung}/{file}", b.media)
+	mux.HandleFunc("POST /sessions/{id}", b.handleSetUp)
+	mux.HandleFunc("PUT /sessions/{id}", b.handleSetRung)
+	mux.HandleFunc("DELETE /sessions/{id}", b.handleRelease)
+	mux.HandleFunc("GET /events", b.handleEvents)
+	mux.HandleFunc("GET /health", b.handleHealth)
+	b.addTitleRoutes(mux)
+	mux.HandleFunc("GET /t/{title}/{file}", b.handleMultivariantPlaylist)
+	mux.HandleFunc("GET /t/{title}/{rung}/{file}", b.handleMedia)
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	b.server = s
 	go func() { _ = s.Serve(ln) }()
@@ -190,12 +190,12 @@
 }
 
 func (b *Box) crash(why string) {
-	if !b.up {
+	if !b.running {
 		return
 	}
-	b.up = false
-	for _, h := range b.held {
-		b.ended(h, why)
+	b.running = false
+	for _, h := range b.sessions {
+		b.endSession(h, why)
 	}
 	b.stopCopies()
 	s := b.server
@@ -203,7 +203,7 @@
 }
 
 // Return starts a crashed box anew, cold.
-func (b *Box) Return() error { return b.start(true) }
+func (b *Box) Restart() error { return b.start(true) }
 
 // Drain lets sessions play and takes no new ones.
 func (b *Box) Drain(on bool) {
@@ -215,29 +215,29 @@
 }
 
 // Set changes a box's faults.
-func (b *Box) Set(change func(*Faults)) {
+func (b *Box) SetFaults(change func(*Faults)) {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
-	change(&b.fault)
+	change(&b.faults)
 }
 
 // Weaken divides the uplink of a rack; 1 restores it.
-func (f *Fleet) Weaken(rack int, by float64) {
+func (f *Fleet) DivideUplink(rack int, by float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.weak[rack] = by
+	f.uplinkDivisors[rack] = by
 }
 
 // CutZone lets nothing through between a zone and the others, in either direction; -1 ends it.
-func (f *Fleet) CutZone(zone int) {
+func (f *Fleet) IsolateZone(zone int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut = zone
+	f.isolatedZone = zone
 }
 
 // away tells that nothing comes through from an edge: it stands on the other side of a cut.
-func (b *Box) away(edge string) bool {
-	if b.fleet.cut < 0 {
+func (b *Box) isCutOff(edge string) bool {
+	if b.fleet.isolatedZone < 0 {
 		return false
 	}
 	position, _, _ := strings.Cut(edge, ".")
@@ -246,57 +246,57 @@
 		return false
 	}
 	zone := b.fleet.Site.Zone(b.fleet.Site.Edges[n].Zone)
-	return (zone == b.fleet.cut) != (b.Zone == b.fleet.cut)
+	return (zone == b.fleet.isolatedZone) != (b.Zone == b.fleet.isolatedZone)
 }
 
 // Capacity is what all links give, in kB/s.
-func (f *Fleet) Capacity() (sum float64) {
+func (f *Fleet) TotalLinkRate() (sum float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, b := range f.Boxes {
-		sum += b.link
+		sum += b.linkRate
 	}
 	return sum
 }
 
 // True is the fleet as it really is, without anybody on it, for a plan that knows all.
-func (f *Fleet) True() *peaks.Fleet {
+func (f *Fleet) ActualFleet() *peaks.Fleet {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := &peaks.Fleet{Cells: f.Site.Cells, NoCompetingLoad: true}
-	for _, u := range f.uplinks {
+	for _, u := range f.uplinkRates {
 		out.Uplinks = append(out.Uplinks, u/peaks.MaxUtilization)
 	}
 	for i, b := range f.Boxes {
-		out.Boxes = append(out.Boxes, peaks.Box{ID: b.Addr, Rack: b.rack, Cell: f.Site.Boxes[i].Cell, LinkCapacity: b.link / peaks.MaxUtilization,
-			MaxStreams: float64(b.streams), RampShare: 1})
+		out.Boxes = append(out.Boxes, peaks.Box{ID: b.Addr, Rack: b.rack, Cell: f.Site.Boxes[i].Cell, LinkCapacity: b.linkRate / peaks.MaxUtilization,
+			MaxStreams: float64(b.streamSlots), RampShare: 1})
 	}
 	return out
 }
 
 // Why is why a viewer of a title was refused at an edge, in truth.
-func (f *Fleet) Why(title string, class, edge int) regret.Cause {
+func (f *Fleet) RefusalCause(title string, class, edge int) regret.Cause {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := f.Site.Classes[class]
-	low, seated := f.rate(class, k.Floor), 0
+	low, seated := f.rungRate(class, k.Floor), 0
 	holderStreams, holderRoom, elsewhere := false, false, false
-	asked := make([]float64, len(f.uplinks))
+	asked := make([]float64, len(f.uplinkRates))
 	for _, b := range f.Boxes {
-		asked[b.rack] += b.full * b.present()
+		asked[b.rack] += b.linkUtilization * b.currentLinkRate()
 	}
 	for _, b := range f.Boxes {
-		for _, h := range b.held {
+		for _, h := range b.sessions {
 			if position, _, _ := strings.Cut(h.edge, "."); h.title == title && h.class == k.Name && position == strconv.Itoa(edge) {
 				seated++
 			}
 		}
-		if !b.up || b.state != "ready" || b.fault.Hang || b.fault.Refuse {
+		if !b.running || b.state != "ready" || b.faults.Hang || b.faults.Refuse {
 			continue
 		}
-		streams := len(b.held) < b.streams
-		room := streams && b.present()*(1-b.full) >= low && f.uplinks[b.rack]/f.weak[b.rack]-asked[b.rack] >= low
-		if b.has(title) {
+		streams := len(b.sessions) < b.streamSlots
+		room := streams && b.currentLinkRate()*(1-b.linkUtilization) >= low && f.uplinkRates[b.rack]/f.uplinkDivisors[b.rack]-asked[b.rack] >= low
+		if b.hasTitleLocked(title) {
 			holderStreams, holderRoom = holderStreams || streams, holderRoom || room
 		} else {
 			elsewhere = elsewhere || room
@@ -304,47 +304,47 @@
 	}
 	switch {
 	case k.Seats > 0 && seated >= k.Seats:
-		return regret.Seats
+		return regret.RefusedForSeats
 	case holderRoom:
-		return regret.Holder
+		return regret.RefusedDespiteHolder
 	case elsewhere:
-		return regret.Elsewhere
+		return regret.RefusedCapacityElsewhere
 	case !holderStreams:
-		return regret.Streams
+		return regret.RefusedForStreams
 	}
-	return regret.Full
+	return regret.RefusedNoCapacity
 }
 
 // Sessions is how many a box runs.
-func (b *Box) Sessions() int {
+func (b *Box) SessionCount() int {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
-	return len(b.held)
+	return len(b.sessions)
 }
 
-func (b *Box) entry(what string, h *held) audit.Entry {
-	return audit.Entry{Side: "box", Who: b.Addr, What: what, Session: h.id, Edge: h.edge, Title: h.title, Class: h.class,
+func (b *Box) newEntry(what string, h *session) audit.Entry {
+	return audit.Entry{Observer: "box", Subject: b.Addr, Event: what, Session: h.id, Edge: h.edge, Title: h.title, Class: h.class,
 		Rung: h.rung, Attempt: h.attempt, Viewer: h.viewer}
 }
 
-func (b *Box) ended(h *held, why string) {
-	e := b.entry(audit.SessionEnd, h)
+func (b *Box) endSession(h *session, why string) {
+	e := b.newEntry(audit.SessionEnd, h)
 	e.Text = why
 	b.fleet.Log.Add(e)
-	delete(b.held, h.id)
+	delete(b.sessions, h.id)
 }
 
 // present is what the box's link gives now.
-func (b *Box) present() float64 {
-	if b.fault.Slow > 0 {
-		return b.link / b.fault.Slow
+func (b *Box) currentLinkRate() float64 {
+	if b.faults.LinkDivisor > 0 {
+		return b.linkRate / b.faults.LinkDivisor
 	}
-	return b.link
+	return b.linkRate
 }
 
 // run works out shares and sends notes.
 func (f *Fleet) run(ctx context.Context) {
-	t := time.NewTicker(tick)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for n := 1; ; n++ {
 		select {
@@ -353,108 +353,108 @@
 		case <-t.C:
 		}
 		f.mu.Lock()
-		f.shares()
+		f.updateShares()
 		for _, b := range f.Boxes {
-			if b.up && !b.fault.Hang {
-				b.notes(n)
+			if b.running && !b.faults.Hang {
+				b.sendNotes(n)
 			}
 		}
 		f.mu.Unlock()
 	}
 }
 
-func (f *Fleet) shares() {
-	asked := make([]float64, len(f.uplinks))
+func (f *Fleet) updateShares() {
+	asked := make([]float64, len(f.uplinkRates))
 	for _, b := range f.Boxes {
 		sum := 0.0
-		for _, h := range b.held {
+		for _, h := range b.sessions {
 			sum += h.rate
 		}
-		b.full = sum / b.present()
-		asked[b.rack] += min(sum, b.present())
+		b.linkUtilization = sum / b.currentLinkRate()
+		asked[b.rack] += min(sum, b.currentLinkRate())
 	}
 	// copies are lower effort (RFC 8622): they get what viewers leave, and are no part of what is told of links
-	left, copying := make([]float64, len(f.uplinks)), make([]float64, len(f.uplinks))
+	left, copying := make([]float64, len(f.uplinkRates)), make([]float64, len(f.uplinkRates))
 	for r := range left {
-		left[r] = max(f.uplinks[r]/f.weak[r]-asked[r], 0)
+		left[r] = max(f.uplinkRates[r]/f.uplinkDivisors[r]-asked[r], 0)
 	}
 	for _, b := range f.Boxes {
-		c := b.copying()
-		b.spare = min(max(b.present()*(1-b.full), 0)/max(c, 1e-9), 1)
-		copying[b.rack] += c * b.spare
+		c := b.copyRate()
+		b.copyShare = min(max(b.currentLinkRate()*(1-b.linkUtilization), 0)/max(c, 1e-9), 1)
+		copying[b.rack] += c * b.copyShare
 	}
 	for _, b := range f.Boxes {
-		b.spare *= min(left[b.rack]/max(copying[b.rack], 1e-9), 1)
+		b.copyShare *= min(left[b.rack]/max(copying[b.rack], 1e-9), 1)
 	}
 	for _, b := range f.Boxes {
-		b.share = min(1, 1/max(b.full, 1e-9))
-		if up := f.uplinks[b.rack] / f.weak[b.rack]; up > 0 {
-			b.share *= min(1, up/max(asked[b.rack], 1e-9))
+		b.rateShare = min(1, 1/max(b.linkUtilization, 1e-9))
+		if up := f.uplinkRates[b.rack] / f.uplinkDivisors[b.rack]; up > 0 {
+			b.rateShare *= min(1, up/max(asked[b.rack], 1e-9))
 		}
 	}
 }
 
-func (f *Fleet) uplinkFull(rack int) float64 {
+func (f *Fleet) uplinkUtilization(rack int) float64 {
 	sum := 0.0
 	for _, b := range f.Boxes {
 		if b.rack == rack {
-			sum += b.full * b.present()
+			sum += b.linkUtilization * b.currentLinkRate()
 		}
 	}
-	return sum / max(f.uplinks[rack]/f.weak[rack], 1e-9)
+	return sum / max(f.uplinkRates[rack]/f.uplinkDivisors[rack], 1e-9)
 }
 
 // notes sends each edge with sessions here what the module's notes tell, on one session of each.
-func (b *Box) notes(n int) {
+func (b *Box) sendNotes(n int) {
 	second := n%10 == 0
-	every := int(b.fleet.Site.Notes.LinkEvery.D() / tick)
-	one := map[string]*held{}
-	for _, h := range b.held {
+	every := int(b.fleet.Site.Notes.LinkEvery.D() / tickInterval)
+	one := map[string]*session{}
+	for _, h := range b.sessions {
 		if o := one[h.edge]; o == nil || h.id < o.id {
 			one[h.edge] = h
 		}
 	}
-	short := b.share < 0.98
-	for name, e := range b.ears {
-		if !e.left.IsZero() {
-			if time.Since(e.left) > edgeGone {
-				b.drop(name)
+	short := b.rateShare < 0.98
+	for name, e := range b.eventStreams {
+		if !e.closedAt.IsZero() {
+			if time.Since(e.closedAt) > edgeTimeout {
+				b.endEdgeSessions(name)
 			}
 			continue
 		}
-		if b.away(name) {
+		if b.isCutOff(name) {
 			continue
 		}
 		if second {
-			b.send(e, "{}", 0)
+			b.sendNote(e, "{}", 0)
 		}
 		h := one[name]
 		if h == nil {
 			continue
 		}
-		if second && (short || b.short) {
-			b.send(e, fmt.Sprintf(`{"s":%q,"k":1,"x":%.4f}`, h.id, b.share), b.noteDelay())
+		if second && (short || b.wasLimited) {
+			b.sendNote(e, fmt.Sprintf(`{"s":%q,"k":1,"x":%.4f}`, h.id, b.rateShare), b.noteDelay())
 		}
 		if every > 0 && n%every == 0 {
-			full := b.full
-			if b.fault.NoteFrozen {
-				if old, ok := b.frozen[name]; ok {
+			full := b.linkUtilization
+			if b.faults.FrozenNotes {
+				if old, ok := b.frozenUtilization[name]; ok {
 					full = old
 				}
 			}
-			b.frozen[name] = full
-			b.send(e, fmt.Sprintf(`{"s":%q,"k":3,"x":%.4f}`, h.id, full), b.noteDelay())
-			b.send(e, fmt.Sprintf(`{"s":%q,"k":4,"x":%.4f}`, h.id, b.fleet.uplinkFull(b.rack)), b.noteDelay())
+			b.frozenUtilization[name] = full
+			b.sendNote(e, fmt.Sprintf(`{"s":%q,"k":3,"x":%.4f}`, h.id, full), b.noteDelay())
+			b.sendNote(e, fmt.Sprintf(`{"s":%q,"k":4,"x":%.4f}`, h.id, b.fleet.uplinkUtilization(b.rack)), b.noteDelay())
 		}
 	}
 	if second {
-		b.short = short
+		b.wasLimited = short
 	}
 }
 
-func (b *Box) noteDelay() time.Duration { return b.fleet.Site.Notes.Delay.D() + b.fault.NoteDelay }
+func (b *Box) noteDelay() time.Duration { return b.fleet.Site.Notes.Delay.D() + b.faults.NoteDelay }
 
-func (b *Box) send(e *ear, line string, after time.Duration) {
+func (b *Box) sendNote(e *eventStream, line string, after time.Duration) {
 	put := func() {
 		select {
 		case e.lines <- line:
@@ -469,38 +469,38 @@
 }
 
 // drop lets go the sessions of an edge that is gone.
-func (b *Box) drop(edge string) {
-	for _, h := range b.held {
+func (b *Box) endEdgeSessions(edge string) {
+	for _, h := range b.sessions {
 		if h.edge == edge {
-			b.ended(h, "edge gone")
+			b.endSession(h, "edge gone")
 		}
 	}
-	delete(b.ears, edge)
+	delete(b.eventStreams, edge)
 }
 
-func (b *Box) events(w http.ResponseWriter, r *http.Request) {
+func (b *Box) handleEvents(w http.ResponseWriter, r *http.Request) {
 	f, edge := b.fleet, r.URL.Query().Get("edge")
 	f.mu.Lock()
-	if b.fault.Hang || b.away(edge) {
+	if b.faults.Hang || b.isCutOff(edge) {
 		f.mu.Unlock()
 		<-r.Context().Done()
 		return
 	}
-	e := &ear{lines: make(chan string, 64)}
-	b.ears[edge] = e
+	e := &eventStream{lines: make(chan string, 64)}
+	b.eventStreams[edge] = e
 	ids, left := []string{}, []map[string]any{}
 	position, _, _ := strings.Cut(edge, ".")
-	for _, h := range b.held {
+	for _, h := range b.sessions {
 		switch before, _, _ := strings.Cut(h.edge, "."); {
 		case h.edge == edge:
 			ids = append(ids, h.id)
 		case before == position: // of an earlier instance: handed over
 			h.edge = edge
 			left = append(left, map[string]any{"id": h.id, "title": h.title, "class": h.class, "viewer": h.viewer, "rung": h.rung,
-				"best": h.best, "since_ms": time.Since(h.since).Milliseconds()})
+				"best": h.bestRung, "since_ms": time.Since(h.startedAt).Milliseconds()})
 		}
 	}
-	boot := b.boot
+	boot := b.bootID
 	f.mu.Unlock()
 	out := http.NewResponseController(w)
 	first, _ := json.Marshal(map[string]any{"boot": boot, "sessions": ids, "held": left})
@@ -508,8 +508,8 @@
 	_ = out.Flush()
 	defer func() {
 		f.mu.Lock()
-		if b.ears[edge] == e {
-			e.left = time.Now()
+		if b.eventStreams[edge] == e {
+			e.closedAt = time.Now()
 		}
 		f.mu.Unlock()
 	}()
@@ -527,11 +527,11 @@
 	}
 }
 
-func (b *Box) health(w http.ResponseWriter, r *http.Request) {
+func (b *Box) handleHealth(w http.ResponseWriter, r *http.Request) {
 	b.fleet.mu.Lock()
-	hang, state, boot, started := b.fault.Hang && !b.fault.Lies, b.state, b.boot, b.started.UnixMilli()
-	changed := b.changed
-	b.load(w)
+	hang, state, boot, started := b.faults.Hang && !b.faults.FalseHealth, b.state, b.bootID, b.started.UnixMilli()
+	changed := b.titlesVersion
+	b.setLoadHeader(w)
 	b.fleet.mu.Unlock()
 	if hang {
 		<-r.Context().Done()
@@ -541,49 +541,49 @@
 }
 
 // load reports in the answer, as CMSD (CTA-5006) with keys of the project's own.
-func (b *Box) load(w http.ResponseWriter) {
+func (b *Box) setLoadHeader(w http.ResponseWriter) {
 	w.Header().Set("CMSD-Dynamic", fmt.Sprintf(`"box";example.rainpulley-streams=%d;example.rainpulley-link=%.4f;example.rainpulley-uplink=%.4f`,
-		len(b.held), b.full, b.fleet.uplinkFull(b.rack)))
+		len(b.sessions), b.linkUtilization, b.fleet.uplinkUtilization(b.rack)))
 }
 
 // setUp takes an attempt, in the order: hang, cold push, draining, full, set-up time, run.
-func (b *Box) setUp(w http.ResponseWriter, r *http.Request) {
+func (b *Box) handleSetUp(w http.ResponseWriter, r *http.Request) {
 	f, q := b.fleet, r.URL.Query()
-	h := &held{id: r.PathValue("id"), edge: q.Get("edge"), title: q.Get("title"), class: q.Get("class"), viewer: q.Get("viewer"), since: time.Now()}
+	h := &session{id: r.PathValue("id"), edge: q.Get("edge"), title: q.Get("title"), class: q.Get("class"), viewer: q.Get("viewer"), startedAt: time.Now()}
 	h.attempt, _ = strconv.Atoi(q.Get("attempt"))
 	h.rung, _ = strconv.Atoi(q.Get("rung"))
-	h.best, _ = strconv.Atoi(q.Get("best"))
+	h.bestRung, _ = strconv.Atoi(q.Get("best"))
 	class := f.Site.Class(h.class)
 	if class < 0 || h.rung < 0 || h.rung >= len(f.Site.Ladder) {
 		http.Error(w, "no such class or rung", http.StatusBadRequest)
 		return
 	}
-	h.rate = f.rate(class, h.rung)
-	e := b.entry(audit.SetupArrived, h)
+	h.rate = f.rungRate(class, h.rung)
+	e := b.newEntry(audit.SetUpReceived, h)
 	f.Log.Add(e)
 	over := func(text string) {
-		e.What, e.Text = audit.SetupOver, text
+		e.Event, e.Text = audit.SetUpEnded, text
 		f.Log.Add(e)
 	}
 	never := func(why string) {
-		e.What = audit.SetupNever
+		e.Event = audit.SetUpNotRun
 		f.Log.Add(e)
 		over("refused")
 		w.Header().Set("Rainpulley-Reason", why)
 		http.Error(w, why, http.StatusServiceUnavailable)
 	}
 	f.mu.Lock()
-	fault := b.fault
-	if away := b.away(h.edge); away {
+	fault := b.faults
+	if away := b.isCutOff(h.edge); away {
 		fault.Hang = true
 	} else {
-		b.push()
+		b.checkColdLoad()
 	}
-	up := b.up
-	reason := b.turnsAway(h.title)
-	setup := f.Setup + fault.SetUp
-	before := f.rnd.Float64() < fault.Reset/2
-	b.load(w)
+	up := b.running
+	reason := b.refusalReason(h.title)
+	setup := f.SetUpTime + fault.ExtraSetUpTime
+	before := f.rng.Float64() < fault.ResetShare/2
+	b.setLoadHeader(w)
 	f.mu.Unlock()
 	switch {
 	case !up:
@@ -607,20 +607,20 @@
 	case <-time.After(setup):
 	}
 	f.mu.Lock()
-	if !b.up {
+	if !b.running {
 		f.mu.Unlock()
 		over("fell")
 		panic(http.ErrAbortHandler)
 	}
-	if reason = b.turnsAway(h.title); reason != "" {
+	if reason = b.refusalReason(h.title); reason != "" {
 		f.mu.Unlock()
 		never(reason)
 		return
 	}
-	b.held[h.id] = h
-	f.Log.Add(b.entry(audit.SetupRan, h))
-	lost, reset := f.rnd.Float64() < fault.AnswerLost, f.rnd.Float64() < fault.Reset/2
-	b.load(w)
+	b.sessions[h.id] = h
+	f.Log.Add(b.newEntry(audit.SetUpRan, h))
+	lost, reset := f.rng.Float64() < fault.LostAnswerShare, f.rng.Float64() < fault.ResetShare/2
+	b.setLoadHeader(w)
 	f.mu.Unlock()
 	switch {
 	case reset:
@@ -635,48 +635,48 @@
 	w.Header().Set("Content-Type", "application/vnd.apple.mpegurl")
 	over("playing")
 	w.WriteHeader(http.StatusCreated)
-	manifest := f.multivariant(class)
+	manifest := f.multivariantPlaylist(class)
 	if fault.Manifest != "" {
 		manifest = fault.Manifest
 	}
 	_, _ = w.Write([]byte(manifest))
 }
 
-func (b *Box) turnsAway(title string) string {
-	if !b.has(title) {
+func (b *Box) refusalReason(title string) string {
+	if !b.hasTitleLocked(title) {
 		return "no such title"
 	}
 	switch {
 	case b.state == "draining":
 		return "draining"
-	case len(b.held) >= b.streams || b.fault.Refuse:
+	case len(b.sessions) >= b.streamSlots || b.faults.Refuse:
 		return "full"
-	case b.fleet.Site.Links.FullFrom > 0 && b.full >= b.fleet.Site.Links.FullFrom:
+	case b.fleet.Site.Links.FullFrom > 0 && b.linkUtilization >= b.fleet.Site.Links.FullFrom:
 		return "full"
 	}
 	return ""
 }
 
 // push counts set-ups while the box is cold; too many push it over.
-func (b *Box) push() {
+func (b *Box) checkColdLoad() {
 	r := b.fleet.Site.Rules
 	age := time.Since(b.started)
 	if age >= r.Ramp.D() || r.FallSpan <= 0 {
 		return
 	}
 	now := time.Now()
-	b.recent = append(b.recent, now)
-	for now.Sub(b.recent[0]) >= r.FallSpan.D() {
-		b.recent = b.recent[1:]
+	b.recentSetUps = append(b.recentSetUps, now)
+	for now.Sub(b.recentSetUps[0]) >= r.FallSpan.D() {
+		b.recentSetUps = b.recentSetUps[1:]
 	}
-	pace := float64(b.streams) / r.Ramp.D().Seconds() * (r.StartShare + (1-r.StartShare)*age.Seconds()/r.Ramp.D().Seconds())
-	if float64(len(b.recent)) > r.FallFactor*pace*r.FallSpan.D().Seconds()+3 {
-		b.fleet.Log.Add(audit.Entry{Side: "box", Who: b.Addr, What: audit.BoxFell})
+	pace := float64(b.streamSlots) / r.Ramp.D().Seconds() * (r.StartShare + (1-r.StartShare)*age.Seconds()/r.Ramp.D().Seconds())
+	if float64(len(b.recentSetUps)) > r.FallFactor*pace*r.FallSpan.D().Seconds()+3 {
+		b.fleet.Log.Add(audit.Entry{Observer: "box", Subject: b.Addr, Event: audit.BoxOverloaded})
 		b.crash("fell")
 	}
 }
 
-func (f *Fleet) rate(class, rung int) float64 {
+func (f *Fleet) rungRate(class, rung int) float64 {
 	factor := f.Site.Classes[class].RateFactor
 	if factor <= 0 {
 		factor = 1
@@ -684,25 +684,25 @@
 	return float64(f.Site.Ladder[rung].Rate) * factor
 }
 
-func (b *Box) setRung(w http.ResponseWriter, r *http.Request) {
+func (b *Box) handleSetRung(w http.ResponseWriter, r *http.Request) {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
-	h := b.held[r.PathValue("id")]
+	h := b.sessions[r.PathValue("id")]
 	rung, err := strconv.Atoi(r.URL.Query().Get("rung"))
 	if h == nil || err != nil || rung < 0 || rung >= len(b.fleet.Site.Ladder) {
 		http.Error(w, "no such session or rung", http.StatusNotFound)
 		return
 	}
-	h.rung, h.rate = rung, b.fleet.rate(b.fleet.Site.Class(h.class), rung)
-	b.fleet.Log.Add(b.entry(audit.RungSet, h))
+	h.rung, h.rate = rung, b.fleet.rungRate(b.fleet.Site.Class(h.class), rung)
+	b.fleet.Log.Add(b.newEntry(audit.RungSet, h))
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (b *Box) end(w http.ResponseWriter, r *http.Request) {
+func (b *Box) handleRelease(w http.ResponseWriter, r *http.Request) {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
-	if h := b.held[r.PathValue("id")]; h != nil {
-		b.ended(h, "released")
+	if h := b.sessions[r.PathValue("id")]; h != nil {
+		b.endSession(h, "released")
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/standin/catalogue.go
+++ b/internal/standin/catalogue.go
@@ -17,17 +17,17 @@
 // Catalogue is a stand-in for a Consul agent, from its published HTTP API: health and catalogue of services with
 // blocking queries, the key-value store, agents' registrations with TTL checks, and faults on cue.
 type Catalogue struct {
-	mu       sync.Mutex
-	index    uint64
-	changed  chan struct{} // closed and replaced at each change
-	services map[string]*Service
-	keys     map[string]string
-	fault    CatalogueFault
-	asked    []time.Time
-	waiting  int
-	token    string
-	server   *http.Server
-	addr     string
+	mu             sync.Mutex
+	index          uint64
+	changed        chan struct{} // closed and replaced at each change
+	services       map[string]*Service
+	keys           map[string]string
+	fault          CatalogueFault
+	requestTimes   []time.Time
+	waitingQueries int
+	token          string
+	server         *http.Server
+	addr           string
 }
 
 // Service is one registration. Checks are statuses by check id.
@@ -36,21 +36,21 @@
 	Port              int
 	Meta              map[string]string
 	Checks            map[string]string
-	due               time.Time // of a TTL check
+	ttlDeadline       time.Time // of a TTL check
 	ttl               time.Duration
 }
 
 // CatalogueFault is a trouble of the catalogue.
 type CatalogueFault struct {
-	Hang     bool          // takes requests, answers nothing
-	Status   int           // answers this, whatever is asked
-	Truncate bool          // half of each answer
-	Trickle  time.Duration // pause after each 64 bytes
-	Empty    bool          // lists nothing
-	Half     bool          // lists every other entry
-	Back     uint64        // indexes are so much lower
-	Contact  time.Duration // since the leader was heard
-	NoLeader bool
+	Hang          bool          // takes requests, answers nothing
+	Status        int           // answers this, whatever is asked
+	Truncate      bool          // half of each answer
+	TrickleDelay  time.Duration // pause after each 64 bytes
+	EmptyList     bool          // lists nothing
+	HalfList      bool          // lists every other entry
+	IndexDecrease uint64        // indexes are so much lower
+	LastContact   time.Duration // since the leader was heard
+	NoLeader      bool
 }
 
 // NewCatalogue is empty; Start serves it.
@@ -65,11 +65,11 @@
 		return "", fmt.Errorf("standin: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/health/service/{name}", c.health)
-	mux.HandleFunc("GET /v1/kv/{key...}", c.list)
-	mux.HandleFunc("PUT /v1/agent/service/register", c.register)
-	mux.HandleFunc("PUT /v1/agent/service/deregister/{id}", c.deregister)
-	mux.HandleFunc("PUT /v1/agent/check/update/{id}", c.update)
+	mux.HandleFunc("GET /v1/health/service/{name}", c.handleHealth)
+	mux.HandleFunc("GET /v1/kv/{key...}", c.handleListKeys)
+	mux.HandleFunc("PUT /v1/agent/service/register", c.handleRegister)
+	mux.HandleFunc("PUT /v1/agent/service/deregister/{id}", c.handleDeregister)
+	mux.HandleFunc("PUT /v1/agent/check/update/{id}", c.handleCheckUpdate)
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	c.mu.Lock()
 	c.server, c.addr = s, ln.Addr().String()
@@ -90,47 +90,47 @@
 }
 
 // Change does something to services and keys, under a new index.
-func (c *Catalogue) Change(do func(services map[string]*Service, keys map[string]string)) {
+func (c *Catalogue) Update(do func(services map[string]*Service, keys map[string]string)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	do(c.services, c.keys)
-	c.bump()
+	c.incrementIndex()
 }
 
-func (c *Catalogue) bump() {
+func (c *Catalogue) incrementIndex() {
 	c.index++
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
 // Set changes the trouble. Queries that wait are answered under it.
-func (c *Catalogue) Set(f CatalogueFault) {
+func (c *Catalogue) SetFault(f CatalogueFault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fault = f
-	c.bump()
+	c.incrementIndex()
 }
 
 // Token makes a token necessary; what waits is let go.
-func (c *Catalogue) Token(t string) {
+func (c *Catalogue) RequireToken(t string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.token = t
-	c.bump()
+	c.incrementIndex()
 }
 
 // Asked are the moments of all requests so far, and how many wait now.
-func (c *Catalogue) Asked() (at []time.Time, waiting int) {
+func (c *Catalogue) Requests() (at []time.Time, waiting int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.asked), c.waiting
+	return slices.Clone(c.requestTimes), c.waitingQueries
 }
 
 // Service is a registration as it stands, and whether there is one.
 func (c *Catalogue) Service(id string) (Service, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.expire()
+	c.expireChecks()
 	s := c.services[id]
 	if s == nil {
 		return Service{}, false
@@ -141,18 +141,18 @@
 }
 
 // expire turns TTL checks critical that were not renewed.
-func (c *Catalogue) expire() {
+func (c *Catalogue) expireChecks() {
 	for id, s := range c.services {
-		if s.ttl > 0 && time.Now().After(s.due) {
+		if s.ttl > 0 && time.Now().After(s.ttlDeadline) {
 			s.Checks["service:"+id] = "critical"
 		}
 	}
 }
 
 // begin notes a request and answers those that fail; false where it has.
-func (c *Catalogue) begin(w http.ResponseWriter, r *http.Request) (CatalogueFault, bool) {
+func (c *Catalogue) admitRequest(w http.ResponseWriter, r *http.Request) (CatalogueFault, bool) {
 	c.mu.Lock()
-	c.asked = append(c.asked, time.Now())
+	c.requestTimes = append(c.requestTimes, time.Now())
 	f, token := c.fault, c.token
 	c.mu.Unlock()
 	switch {
@@ -170,7 +170,7 @@
 }
 
 // block waits as a blocking query does: while the index is the one that the caller knows, up to its wait.
-func (c *Catalogue) block(ctx context.Context, r *http.Request) {
+func (c *Catalogue) waitForChange(ctx context.Context, r *http.Request) {
 	known, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil || wait <= 0 {
@@ -180,12 +180,12 @@
 	defer over.Stop()
 	for known > 0 {
 		c.mu.Lock()
-		now, changed := c.index-c.fault.Back, c.changed
+		now, changed := c.index-c.fault.IndexDecrease, c.changed
 		if now != known {
 			c.mu.Unlock()
 			return
 		}
-		c.waiting++
+		c.waitingQueries++
 		c.mu.Unlock()
 		ended := false
 		select {
@@ -196,7 +196,7 @@
 			ended = true
 		}
 		c.mu.Lock()
-		c.waiting--
+		c.waitingQueries--
 		c.mu.Unlock()
 		if ended {
 			return
@@ -205,24 +205,24 @@
 }
 
 // answer writes a list with the headers of a query.
-func (c *Catalogue) answer(w http.ResponseWriter, f CatalogueFault, list any) {
+func (c *Catalogue) writeAnswer(w http.ResponseWriter, f CatalogueFault, list any) {
 	body, err := json.Marshal(list)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	c.mu.Lock()
-	index := c.index - f.Back
+	index := c.index - f.IndexDecrease
 	c.mu.Unlock()
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	h.Set("X-Consul-KnownLeader", strconv.FormatBool(!f.NoLeader))
-	h.Set("X-Consul-LastContact", strconv.FormatInt(f.Contact.Milliseconds(), 10))
+	h.Set("X-Consul-LastContact", strconv.FormatInt(f.LastContact.Milliseconds(), 10))
 	switch {
 	case f.Truncate:
 		_, _ = w.Write(body[:len(body)/2])
-	case f.Trickle > 0:
+	case f.TrickleDelay > 0:
 		out := http.NewResponseController(w)
 		for len(body) > 0 {
 			n := min(64, len(body))
@@ -230,21 +230,21 @@
 				return
 			}
 			body = body[n:]
-			time.Sleep(f.Trickle)
+			time.Sleep(f.TrickleDelay)
 		}
 	default:
 		_, _ = w.Write(body)
 	}
 }
 
-func (c *Catalogue) health(w http.ResponseWriter, r *http.Request) {
-	if _, ok := c.begin(w, r); !ok {
+func (c *Catalogue) handleHealth(w http.ResponseWriter, r *http.Request) {
+	if _, ok := c.admitRequest(w, r); !ok {
 		return
 	}
-	c.block(r.Context(), r)
+	c.waitForChange(r.Context(), r)
 	c.mu.Lock()
 	f := c.fault
-	c.expire()
+	c.expireChecks()
 	list := []map[string]any{}
 	ids := make([]string, 0, len(c.services))
 	for id, s := range c.services {
@@ -254,7 +254,7 @@
 	}
 	slices.Sort(ids)
 	for i, id := range ids {
-		if f.Empty || f.Half && i%2 == 0 {
+		if f.EmptyList || f.HalfList && i%2 == 0 {
 			continue
 		}
 		s := c.services[id]
@@ -270,34 +270,34 @@
 		http.Error(w, "on cue", max(f.Status, 500))
 		return
 	}
-	c.answer(w, f, list)
+	c.writeAnswer(w, f, list)
 }
 
-func (c *Catalogue) list(w http.ResponseWriter, r *http.Request) {
-	if _, ok := c.begin(w, r); !ok {
+func (c *Catalogue) handleListKeys(w http.ResponseWriter, r *http.Request) {
+	if _, ok := c.admitRequest(w, r); !ok {
 		return
 	}
-	c.block(r.Context(), r)
+	c.waitForChange(r.Context(), r)
 	c.mu.Lock()
 	f, index := c.fault, c.index
 	list := []map[string]any{}
 	for k, v := range c.keys {
-		if strings.HasPrefix(k, r.PathValue("key")) && !f.Empty {
+		if strings.HasPrefix(k, r.PathValue("key")) && !f.EmptyList {
 			list = append(list, map[string]any{"Key": k, "Value": []byte(v)})
 		}
 	}
 	c.mu.Unlock()
 	if len(list) == 0 {
-		w.Header().Set("X-Consul-Index", strconv.FormatUint(index-f.Back, 10))
+		w.Header().Set("X-Consul-Index", strconv.FormatUint(index-f.IndexDecrease, 10))
 		w.Header().Set("X-Consul-KnownLeader", "true")
 		http.NotFound(w, r)
 		return
 	}
-	c.answer(w, f, list)
+	c.writeAnswer(w, f, list)
 }
 
-func (c *Catalogue) register(w http.ResponseWriter, r *http.Request) {
-	if _, ok := c.begin(w, r); !ok {
+func (c *Catalogue) handleRegister(w http.ResponseWriter, r *http.Request) {
+	if _, ok := c.admitRequest(w, r); !ok {
 		return
 	}
 	var q struct {
@@ -312,20 +312,20 @@
 	}
 	s := &Service{ID: q.ID, Name: q.Name, Address: q.Address, Port: q.Port, Meta: q.Meta, Checks: map[string]string{}}
 	if ttl, err := time.ParseDuration(q.Check.TTL); err == nil {
-		s.ttl, s.due = ttl, time.Now().Add(ttl)
+		s.ttl, s.ttlDeadline = ttl, time.Now().Add(ttl)
 		s.Checks["service:"+q.ID] = "critical" // until its first word, as published
 	}
-	c.Change(func(services map[string]*Service, _ map[string]string) { services[q.ID] = s })
+	c.Update(func(services map[string]*Service, _ map[string]string) { services[q.ID] = s })
 }
 
-func (c *Catalogue) deregister(w http.ResponseWriter, r *http.Request) {
-	if _, ok := c.begin(w, r); ok {
-		c.Change(func(services map[string]*Service, _ map[string]string) { delete(services, r.PathValue("id")) })
+func (c *Catalogue) handleDeregister(w http.ResponseWriter, r *http.Request) {
+	if _, ok := c.admitRequest(w, r); ok {
+		c.Update(func(services map[string]*Service, _ map[string]string) { delete(services, r.PathValue("id")) })
 	}
 }
 
-func (c *Catalogue) update(w http.ResponseWriter, r *http.Request) {
-	if _, ok := c.begin(w, r); !ok {
+func (c *Catalogue) handleCheckUpdate(w http.ResponseWriter, r *http.Request) {
+	if _, ok := c.admitRequest(w, r); !ok {
 		return
 	}
 	var q struct{ Status string }
@@ -337,10 +337,10 @@
 	c.mu.Lock()
 	s := c.services[id]
 	if s != nil {
-		s.due = time.Now().Add(s.ttl)
+		s.ttlDeadline = time.Now().Add(s.ttl)
 		if s.Checks["service:"+id] != q.Status {
 			s.Checks["service:"+id] = q.Status
-			c.bump()
+			c.incrementIndex()
 		}
 	}
 	c.mu.Unlock()
--- a/internal/standin/media.go
+++ b/internal/standin/media.go
@@ -11,48 +11,48 @@
 )
 
 // segments of a title at least as long as it plays.
-func (f *Fleet) segments(title string) int {
+func (f *Fleet) segmentCount(title string) int {
 	for _, t := range f.Site.Titles {
 		if t.Name == title {
-			return max(int(math.Ceil(t.Length.D().Seconds()/SegmentFor)), 1)
+			return max(int(math.Ceil(t.Length.D().Seconds()/SegmentSeconds)), 1)
 		}
 	}
 	return 0
 }
 
 // multivariant lists a variant for each rung, at the class's rates. Bandwidth in bits a second.
-func (f *Fleet) multivariant(class int) string {
+func (f *Fleet) multivariantPlaylist(class int) string {
 	var b strings.Builder
 	b.WriteString("#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-INDEPENDENT-SEGMENTS\n")
 	for i := range f.Site.Ladder {
-		fmt.Fprintf(&b, "#EXT-X-STREAM-INF:BANDWIDTH=%d,CODECS=\"mp4a.40.2\"\nr%d/media.m3u8\n", int(f.rate(class, i)*8000), i)
+		fmt.Fprintf(&b, "#EXT-X-STREAM-INF:BANDWIDTH=%d,CODECS=\"mp4a.40.2\"\nr%d/media.m3u8\n", int(f.rungRate(class, i)*8000), i)
 	}
 	return b.String()
 }
 
-func (b *Box) playlist(w http.ResponseWriter, r *http.Request) {
-	if r.PathValue("file") != "index.m3u8" || b.fleet.segments(r.PathValue("title")) == 0 || !b.stores(r.PathValue("title")) {
+func (b *Box) handleMultivariantPlaylist(w http.ResponseWriter, r *http.Request) {
+	if r.PathValue("file") != "index.m3u8" || b.fleet.segmentCount(r.PathValue("title")) == 0 || !b.hasTitle(r.PathValue("title")) {
 		http.NotFound(w, r)
 		return
 	}
 	w.Header().Set("Content-Type", "application/vnd.apple.mpegurl")
-	_, _ = w.Write([]byte(b.fleet.multivariant(0)))
+	_, _ = w.Write([]byte(b.fleet.multivariantPlaylist(0)))
 }
 
 // media serves a rung's playlist and its segments.
-func (b *Box) media(w http.ResponseWriter, r *http.Request) {
+func (b *Box) handleMedia(w http.ResponseWriter, r *http.Request) {
 	f := b.fleet
 	w.Header().Set("Access-Control-Allow-Origin", "*")
 	rung, err := strconv.Atoi(strings.TrimPrefix(r.PathValue("rung"), "r"))
-	count := f.segments(r.PathValue("title"))
-	if err != nil || rung < 0 || rung >= len(f.Site.Ladder) || count == 0 || !b.stores(r.PathValue("title")) {
+	count := f.segmentCount(r.PathValue("title"))
+	if err != nil || rung < 0 || rung >= len(f.Site.Ladder) || count == 0 || !b.hasTitle(r.PathValue("title")) {
 		http.NotFound(w, r)
 		return
 	}
 	f.mu.Lock()
-	fault := b.fault
-	h := b.held[r.URL.Query().Get("s")]
-	share, rate := b.share, 0.0
+	fault := b.faults
+	h := b.sessions[r.URL.Query().Get("s")]
+	share, rate := b.rateShare, 0.0
 	if h != nil {
 		rate = h.rate
 	}
@@ -63,8 +63,8 @@
 	}
 	if r.PathValue("file") == "media.m3u8" {
 		w.Header().Set("Content-Type", "application/vnd.apple.mpegurl")
-		if fault.Playlist != "" {
-			_, _ = w.Write([]byte(fault.Playlist))
+		if fault.MediaPlaylist != "" {
+			_, _ = w.Write([]byte(fault.MediaPlaylist))
 			return
 		}
 		_, _ = w.Write([]byte(mediaPlaylist(count)))
@@ -80,7 +80,7 @@
 		return
 	}
 	if share < 1 { // the link gives less than is asked: the segment takes longer than it plays
-		wait := time.Duration(SegmentFor * (1/max(share, 0.05) - 1) * float64(time.Second))
+		wait := time.Duration(SegmentSeconds * (1/max(share, 0.05) - 1) * float64(time.Second))
 		select {
 		case <-r.Context().Done():
 			return
@@ -88,14 +88,14 @@
 		}
 	}
 	w.Header().Set("Content-Type", "audio/aac")
-	_, _ = w.Write(segment(n, int(rate*SegmentFor*1000/f.Scale)))
+	_, _ = w.Write(newSegment(n, int(rate*SegmentSeconds*1000/f.ModelScale)))
 }
 
 func mediaPlaylist(count int) string {
 	var b strings.Builder
 	b.WriteString("#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-TARGETDURATION:1\n#EXT-X-MEDIA-SEQUENCE:0\n#EXT-X-PLAYLIST-TYPE:VOD\n")
 	for i := range count {
-		fmt.Fprintf(&b, "#EXTINF:%.3f,\n%d.aac\n", SegmentFor, i)
+		fmt.Fprintf(&b, "#EXTINF:%.3f,\n%d.aac\n", SegmentSeconds, i)
 	}
 	b.WriteString("#EXT-X-ENDLIST\n")
 	return b.String()
@@ -103,7 +103,7 @@
 
 // segment is packed audio: an ID3 tag with the time stamp (RFC 8216, 3.4) and, as padding up to the
 // scaled size, a private frame; then 48 ADTS frames of silence (AAC-LC, 48 kHz, mono).
-func segment(n, size int) []byte {
+func newSegment(n, size int) []byte {
 	const frames = 48
 	silence := []byte{0x00, 0xc8, 0x00, 0x80, 0x23, 0x80}
 	length := 7 + len(silence)
@@ -112,17 +112,17 @@
 	for range frames {
 		body = append(append(body, adts...), silence...)
 	}
-	stamp := binary.BigEndian.AppendUint64(nil, uint64(float64(n)*SegmentFor*90000)&(1<<33-1))
-	tag := private("com.apple.streaming.transportStreamTimestamp", stamp)
+	stamp := binary.BigEndian.AppendUint64(nil, uint64(float64(n)*SegmentSeconds*90000)&(1<<33-1))
+	tag := privFrame("com.apple.streaming.transportStreamTimestamp", stamp)
 	if pad := size - len(body) - len(tag) - 40; pad > 0 {
-		tag = append(tag, private("example.rainpulley.padding", make([]byte, pad))...)
+		tag = append(tag, privFrame("example.rainpulley.padding", make([]byte, pad))...)
 	}
 	out := append([]byte("ID3\x04\x00\x00"), syncSafe(len(tag))...)
 	return append(append(out, tag...), body...)
 }
 
 // private is an ID3v2.4 PRIV frame.
-func private(owner string, data []byte) []byte {
+func privFrame(owner string, data []byte) []byte {
 	out := append([]byte("PRIV"), syncSafe(len(owner)+1+len(data))...)
 	out = append(out, 0, 0)
 	return append(append(append(out, owner...), 0), data...)
--- a/internal/standin/ports.go
+++ b/internal/standin/ports.go
@@ -9,9 +9,9 @@
 
 // Ports gives out loopback ports below those that the kernel gives to outgoing connections, so that a
 // port stays free while the box that had it is down.
-type Ports struct {
-	mu   sync.Mutex
-	next int
+type PortAllocator struct {
+	mu        sync.Mutex
+	lastTried int
 }
 
 const (
@@ -20,25 +20,25 @@
 )
 
 // Take finds a port that is free for TCP and UDP alike, and gives it out once.
-func (p *Ports) Take() (string, error) {
+func (p *PortAllocator) Allocate() (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.next == 0 { // processes at work beside each other begin apart
-		p.next = firstPort + os.Getpid()*131%(lastPort-firstPort)
+	if p.lastTried == 0 { // processes at work beside each other begin apart
+		p.lastTried = firstPort + os.Getpid()*131%(lastPort-firstPort)
 	}
 	for range lastPort - firstPort {
-		if p.next++; p.next >= lastPort {
-			p.next = firstPort
+		if p.lastTried++; p.lastTried >= lastPort {
+			p.lastTried = firstPort
 		}
-		addr := fmt.Sprintf("127.0.0.1:%d", p.next)
-		if free(addr) {
+		addr := fmt.Sprintf("127.0.0.1:%d", p.lastTried)
+		if isFree(addr) {
 			return addr, nil
 		}
 	}
 	return "", fmt.Errorf("standin: no free port from %d to %d", firstPort, lastPort)
 }
 
-func free(addr string) bool {
+func isFree(addr string) bool {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return false
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -21,11 +21,11 @@
 	Target string
 	Log    *audit.Log
 
-	mu    sync.Mutex
-	delay time.Duration
-	cut   bool
-	conns map[net.Conn]bool
-	boxes map[string]bool // ever told as ready
+	mu         sync.Mutex
+	delay      time.Duration
+	blocked    bool
+	conns      map[net.Conn]bool
+	knownBoxes map[string]bool // ever told as ready
 }
 
 // SetDelay holds lines back for so long.
@@ -36,10 +36,10 @@
 }
 
 // Cut breaks and refuses connections, or lets them through again.
-func (r *Relay) Cut(on bool) {
+func (r *Relay) SetBlocked(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut = on
+	r.blocked = on
 	for c := range r.conns {
 		if on {
 			_ = c.Close()
@@ -49,24 +49,24 @@
 
 // Serve relays until ctx ends.
 func (r *Relay) Serve(ctx context.Context, ln net.Listener) {
-	r.conns, r.boxes = map[net.Conn]bool{}, map[string]bool{}
+	r.conns, r.knownBoxes = map[net.Conn]bool{}, map[string]bool{}
 	defer context.AfterFunc(ctx, func() {
 		_ = ln.Close()
-		r.Cut(true)
+		r.SetBlocked(true)
 	})()
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		go r.pass(c)
+		go r.forward(c)
 	}
 }
 
-func (r *Relay) pass(in net.Conn) {
+func (r *Relay) forward(in net.Conn) {
 	defer in.Close()
 	r.mu.Lock()
-	cut := r.cut
+	cut := r.blocked
 	r.conns[in] = true
 	r.mu.Unlock()
 	defer func() {
@@ -100,12 +100,12 @@
 		if _, err := in.Write(buf[:n]); err != nil {
 			return
 		}
-		rest = r.note(append(rest, buf[:n]...))
+		rest = r.logLines(append(rest, buf[:n]...))
 	}
 }
 
 // note logs the lines that are complete and returns the rest.
-func (r *Relay) note(b []byte) []byte {
+func (r *Relay) logLines(b []byte) []byte {
 	for {
 		i := bytes.IndexByte(b, '\n')
 		if i < 0 {
@@ -117,25 +117,25 @@
 		if len(line) == 0 || line[0] != '{' || json.Unmarshal(line, &l) != nil {
 			continue // heads and chunk sizes
 		}
-		r.told(l)
+		r.logUpdate(l)
 	}
 }
 
-func (r *Relay) told(l view.Update) {
+func (r *Relay) logUpdate(l view.Update) {
 	add := func(box, state string) {
-		r.Log.Add(audit.Entry{Side: "relay", Who: box, What: audit.Told, Edge: strconv.Itoa(r.Edge), Text: state})
+		r.Log.Add(audit.Entry{Observer: "relay", Subject: box, Event: audit.StatePublished, Edge: strconv.Itoa(r.Edge), Text: state})
 	}
 	listed := map[string]bool{}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, b := range l.Boxes {
-		listed[b.ID], r.boxes[b.ID] = true, true
+		listed[b.ID], r.knownBoxes[b.ID] = true, true
 		add(b.ID, string(b.State))
 	}
 	if !l.Full {
 		return
 	}
-	for id := range r.boxes { // what a whole view does not name is gone
+	for id := range r.knownBoxes { // what a whole view does not name is gone
 		if !listed[id] {
 			add(id, string(view.StateGone))
 		}
--- a/internal/standin/titles.go
+++ b/internal/standin/titles.go
@@ -17,16 +17,16 @@
 )
 
 // stored is a title on a box's disk: whole, or as much of it as was copied. Sizes in kB.
-type stored struct {
-	whole      bool
-	done, size float64
-	rate       float64            // kB/s that copying it asks of the link
-	stop       context.CancelFunc // while it is copied
-	why        string             // it stopped
+type storedTitle struct {
+	complete         bool
+	copiedKB, sizeKB float64
+	copyRate         float64            // kB/s that copying it asks of the link
+	cancelCopy       context.CancelFunc // while it is copied
+	lastError        string             // it stopped
 }
 
 // size of a title with all its renditions.
-func (f *Fleet) size(title string) float64 {
+func (f *Fleet) titleSizeKB(title string) float64 {
 	sum := 0.0
 	for _, r := range f.Site.Ladder {
 		sum += float64(r.Rate)
@@ -40,60 +40,60 @@
 }
 
 // firstTitles are whole at a box of a cell when the day begins.
-func (f *Fleet) firstTitles(cell int) map[string]*stored {
-	out := map[string]*stored{}
+func (f *Fleet) initialTitles(cell int) map[string]*storedTitle {
+	out := map[string]*storedTitle{}
 	for _, t := range f.Site.Titles {
 		if n := f.Site.Cells; ((cell-t.Home)%n+n)%n < t.Span {
-			s := f.size(t.Name)
-			out[t.Name] = &stored{whole: true, done: s, size: s}
+			s := f.titleSizeKB(t.Name)
+			out[t.Name] = &storedTitle{complete: true, copiedKB: s, sizeKB: s}
 		}
 	}
 	return out
 }
 
 // has tells whether a box has a title whole. Where nobody manages copies, titles lie where the planner is told.
-func (b *Box) has(title string) bool {
+func (b *Box) hasTitleLocked(title string) bool {
 	s := b.titles[title]
-	return s != nil && s.whole || !b.fleet.Site.Copies.Managed
+	return s != nil && s.complete || !b.fleet.Site.Copies.Managed
 }
 
-func (b *Box) stores(title string) bool {
+func (b *Box) hasTitle(title string) bool {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
-	return b.has(title)
+	return b.hasTitleLocked(title)
 }
 
 // copying is what copies to and from the box ask of its link.
-func (b *Box) copying() float64 {
-	sum := b.sending
+func (b *Box) copyRate() float64 {
+	sum := b.copySendRate
 	for _, s := range b.titles {
-		if s.stop != nil {
-			sum += s.rate
+		if s.cancelCopy != nil {
+			sum += s.copyRate
 		}
 	}
 	return sum
 }
 
 // free is what the disk has left.
-func (b *Box) free() float64 {
-	if b.fault.FullDisk {
+func (b *Box) freeDiskKB() float64 {
+	if b.faults.FullDisk {
 		return 0
 	}
 	sum, first := 0.0, 0.0
 	for _, s := range b.titles {
-		sum += max(s.size, s.done) // what is being copied has its room
+		sum += max(s.sizeKB, s.copiedKB) // what is being copied has its room
 	}
 	all := 0.0
 	for _, t := range b.fleet.Site.Titles {
-		all += b.fleet.size(t.Name) * float64(t.Span) / float64(len(b.fleet.Boxes))
+		all += b.fleet.titleSizeKB(t.Name) * float64(t.Span) / float64(len(b.fleet.Boxes))
 	}
-	for _, s := range b.fleet.firstTitles(b.fleet.cell(b)) {
-		first += s.size
+	for _, s := range b.fleet.initialTitles(b.fleet.cellOf(b)) {
+		first += s.sizeKB
 	}
-	return max(max(first, all)*b.fleet.Disk-sum, 0) // one that holds little has as large a disk as most
+	return max(max(first, all)*b.fleet.DiskFactor-sum, 0) // one that holds little has as large a disk as most
 }
 
-func (f *Fleet) cell(b *Box) int {
+func (f *Fleet) cellOf(b *Box) int {
 	for i, o := range f.Boxes {
 		if o == b {
 			return f.Site.Boxes[i].Cell
@@ -102,8 +102,8 @@
 	return 0
 }
 
-func (b *Box) playing(title string) (n int) {
-	for _, h := range b.held {
+func (b *Box) countSessions(title string) (n int) {
+	for _, h := range b.sessions {
 		if h.title == title {
 			n++
 		}
@@ -114,22 +114,22 @@
 // stopCopies ends what is being copied here; what was copied stays on disk.
 func (b *Box) stopCopies() {
 	for _, s := range b.titles {
-		if s.stop != nil {
-			s.stop()
-			s.stop = nil
+		if s.cancelCopy != nil {
+			s.cancelCopy()
+			s.cancelCopy = nil
 		}
 	}
-	b.changed++
+	b.titlesVersion++
 }
 
-func (b *Box) titleRoutes(mux *http.ServeMux) {
-	mux.HandleFunc("GET /titles", b.listTitles)
-	mux.HandleFunc("PUT /titles/{title}", b.fetchTitle)
-	mux.HandleFunc("DELETE /titles/{title}", b.dropTitle)
-	mux.HandleFunc("GET /titles/{title}/data", b.sendTitle)
+func (b *Box) addTitleRoutes(mux *http.ServeMux) {
+	mux.HandleFunc("GET /titles", b.handleListTitles)
+	mux.HandleFunc("PUT /titles/{title}", b.handleFetchTitle)
+	mux.HandleFunc("DELETE /titles/{title}", b.handleDropTitle)
+	mux.HandleFunc("GET /titles/{title}/data", b.handleSendTitle)
 }
 
-func (b *Box) listTitles(w http.ResponseWriter, r *http.Request) {
+func (b *Box) handleListTitles(w http.ResponseWriter, r *http.Request) {
 	type line struct {
 		Name    string  `json:"name"`
 		Whole   bool    `json:"whole"`
@@ -145,11 +145,11 @@
 		Version uint64  `json:"titles_version"`
 		Free    float64 `json:"free_kb"`
 		Titles  []line  `json:"titles"`
-	}{b.boot, b.changed, b.free(), []line{}}
+	}{b.bootID, b.titlesVersion, b.freeDiskKB(), []line{}}
 	for name, s := range b.titles {
-		out.Titles = append(out.Titles, line{name, s.whole, s.stop != nil, s.done, s.size, b.playing(name), s.why})
+		out.Titles = append(out.Titles, line{name, s.complete, s.cancelCopy != nil, s.copiedKB, s.sizeKB, b.countSessions(name), s.lastError})
 	}
-	hang := b.fault.Hang
+	hang := b.faults.Hang
 	b.fleet.mu.Unlock()
 	if hang {
 		<-r.Context().Done()
@@ -160,72 +160,72 @@
 }
 
 // obeys refuses a planner older than one that spoke before.
-func (b *Box) obeys(w http.ResponseWriter, r *http.Request) bool {
+func (b *Box) checkEpoch(w http.ResponseWriter, r *http.Request) bool {
 	epoch, err := strconv.ParseUint(r.URL.Query().Get("epoch"), 10, 64)
-	if err != nil || epoch < b.epoch {
-		no(w, http.StatusConflict, "epoch")
+	if err != nil || epoch < b.plannerEpoch {
+		writeRefusal(w, http.StatusConflict, "epoch")
 		return false
 	}
-	b.epoch = epoch
+	b.plannerEpoch = epoch
 	return true
 }
 
-func no(w http.ResponseWriter, code int, why string) {
+func writeRefusal(w http.ResponseWriter, code int, why string) {
 	w.Header().Set("Rainpulley-Reason", why)
 	http.Error(w, why, code)
 }
 
-func (b *Box) fetchTitle(w http.ResponseWriter, r *http.Request) {
+func (b *Box) handleFetchTitle(w http.ResponseWriter, r *http.Request) {
 	f, q, title := b.fleet, r.URL.Query(), r.PathValue("title")
 	rate, err := strconv.ParseFloat(q.Get("rate"), 64)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	size := f.size(title)
+	size := f.titleSizeKB(title)
 	switch s := b.titles[title]; {
-	case !b.obeys(w, r):
+	case !b.checkEpoch(w, r):
 		return
 	case err != nil || !(rate > 0) || size <= 0:
-		no(w, http.StatusBadRequest, "no such title, or no rate")
+		writeRefusal(w, http.StatusBadRequest, "no such title, or no rate")
 		return
-	case s != nil && s.whole:
+	case s != nil && s.complete:
 		return
-	case s == nil && b.free() < size:
-		no(w, http.StatusInsufficientStorage, "disk full")
+	case s == nil && b.freeDiskKB() < size:
+		writeRefusal(w, http.StatusInsufficientStorage, "disk full")
 		return
-	case s != nil && s.stop != nil: // from another box, or at another rate
-		s.stop()
+	case s != nil && s.cancelCopy != nil: // from another box, or at another rate
+		s.cancelCopy()
 	}
 	s := b.titles[title]
 	if s == nil {
-		s = &stored{size: size}
+		s = &storedTitle{sizeKB: size}
 		b.titles[title] = s
 	}
 	ctx, stop := context.WithCancel(f.ctx)
-	s.rate, s.why, s.stop = rate, "", stop
-	b.changed++
-	f.wait.Add(1)
+	s.copyRate, s.lastError, s.cancelCopy = rate, "", stop
+	b.titlesVersion++
+	f.tasks.Add(1)
 	go func() {
-		defer f.wait.Done()
+		defer f.tasks.Done()
 		defer stop()
 		err := b.copyFrom(ctx, q.Get("from"), title, s, rate)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if ctx.Err() != nil && b.titles[title] != s || s.stop == nil && !s.whole {
+		if ctx.Err() != nil && b.titles[title] != s || s.cancelCopy == nil && !s.complete {
 			return // stopped, dropped, or crashed
 		}
 		if err != nil && ctx.Err() == nil {
-			s.stop, s.why = nil, err.Error()
+			s.cancelCopy, s.lastError = nil, err.Error()
 		}
-		b.changed++
+		b.titlesVersion++
 	}()
 	w.WriteHeader(http.StatusAccepted)
 }
 
 // copyFrom reads what is missing from another box.
-func (b *Box) copyFrom(ctx context.Context, from, title string, s *stored, rate float64) error {
+func (b *Box) copyFrom(ctx context.Context, from, title string, s *storedTitle, rate float64) error {
 	f := b.fleet
 	f.mu.Lock()
-	done := s.done
+	done := s.copiedKB
 	f.mu.Unlock()
 	q := url.Values{"from": {strconv.FormatFloat(done, 'f', 3, 64)}, "rate": {strconv.FormatFloat(rate, 'f', 3, 64)}}
 	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+from+"/titles/"+title+"/data?"+q.Encode(), nil)
@@ -246,24 +246,24 @@
 	for {
 		n, err := resp.Body.Read(buf)
 		f.mu.Lock()
-		spare := b.spare
+		spare := b.copyShare
 		f.mu.Unlock()
 		if spare < 1 { // its own link is the narrower: the sender is held back by what is not read
 			select {
 			case <-ctx.Done():
-			case <-time.After(time.Duration(float64(n) * f.Scale / 1000 / rate / max(spare, 0.01) * float64(time.Second))):
+			case <-time.After(time.Duration(float64(n) * f.ModelScale / 1000 / rate / max(spare, 0.01) * float64(time.Second))):
 			}
 		}
 		f.mu.Lock()
-		if b.titles[title] != s || s.stop == nil || ctx.Err() != nil {
+		if b.titles[title] != s || s.cancelCopy == nil || ctx.Err() != nil {
 			f.mu.Unlock()
 			return context.Canceled
 		}
-		s.done = min(s.done+float64(n)*f.Scale/1000, s.size)
-		b.changed++
-		if errors.Is(err, io.EOF) && s.done >= s.size*0.999 {
-			s.whole, s.done, s.stop = true, s.size, nil
-			f.Log.Add(audit.Entry{Side: "box", Who: b.Addr, What: audit.CopyWhole, Title: title, Text: from})
+		s.copiedKB = min(s.copiedKB+float64(n)*f.ModelScale/1000, s.sizeKB)
+		b.titlesVersion++
+		if errors.Is(err, io.EOF) && s.copiedKB >= s.sizeKB*0.999 {
+			s.complete, s.copiedKB, s.cancelCopy = true, s.sizeKB, nil
+			f.Log.Add(audit.Entry{Observer: "box", Subject: b.Addr, Event: audit.CopyCompleted, Title: title, Text: from})
 			f.mu.Unlock()
 			return nil
 		}
@@ -275,25 +275,25 @@
 }
 
 // sendTitle gives a whole title to another box, as fast as was asked and the link allows.
-func (b *Box) sendTitle(w http.ResponseWriter, r *http.Request) {
+func (b *Box) handleSendTitle(w http.ResponseWriter, r *http.Request) {
 	f, title := b.fleet, r.PathValue("title")
 	from, err1 := strconv.ParseFloat(r.URL.Query().Get("from"), 64)
 	rate, err2 := strconv.ParseFloat(r.URL.Query().Get("rate"), 64)
 	f.mu.Lock()
-	ok := b.has(title) && err1 == nil && err2 == nil && rate > 0 && from >= 0
+	ok := b.hasTitleLocked(title) && err1 == nil && err2 == nil && rate > 0 && from >= 0
 	left := 0.0
 	if ok {
-		left = b.titles[title].size - from
-		b.sending += rate
+		left = b.titles[title].sizeKB - from
+		b.copySendRate += rate
 	}
 	f.mu.Unlock()
 	if !ok {
 		http.NotFound(w, r)
 		return
 	}
-	defer func() { f.mu.Lock(); b.sending -= rate; f.mu.Unlock() }()
+	defer func() { f.mu.Lock(); b.copySendRate -= rate; f.mu.Unlock() }()
 	out := http.NewResponseController(w)
-	t := time.NewTicker(tick)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for left > 0 {
 		select {
@@ -304,7 +304,7 @@
 		case <-t.C:
 		}
 		f.mu.Lock()
-		kb, hang, has := min(rate*tick.Seconds()*b.spare, left), b.fault.Hang, b.has(title)
+		kb, hang, has := min(rate*tickInterval.Seconds()*b.copyShare, left), b.faults.Hang, b.hasTitleLocked(title)
 		f.mu.Unlock()
 		if !has {
 			panic(http.ErrAbortHandler)
@@ -313,42 +313,42 @@
 			continue
 		}
 		left -= kb
-		if _, err := w.Write(make([]byte, int(kb*1000/f.Scale)+1)); err != nil || out.Flush() != nil {
+		if _, err := w.Write(make([]byte, int(kb*1000/f.ModelScale)+1)); err != nil || out.Flush() != nil {
 			return
 		}
 	}
 }
 
 // dropTitle takes a title off the disk, unless sessions play it.
-func (b *Box) dropTitle(w http.ResponseWriter, r *http.Request) {
+func (b *Box) handleDropTitle(w http.ResponseWriter, r *http.Request) {
 	f, title := b.fleet, r.PathValue("title")
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !b.obeys(w, r) {
+	if !b.checkEpoch(w, r) {
 		return
 	}
-	if b.playing(title) > 0 {
-		no(w, http.StatusConflict, "in use")
+	if b.countSessions(title) > 0 {
+		writeRefusal(w, http.StatusConflict, "in use")
 		return
 	}
 	if s := b.titles[title]; s != nil {
-		if s.stop != nil {
-			s.stop()
-			s.stop = nil
+		if s.cancelCopy != nil {
+			s.cancelCopy()
+			s.cancelCopy = nil
 		}
 		delete(b.titles, title)
-		b.changed++
-		f.Log.Add(audit.Entry{Side: "box", Who: b.Addr, What: audit.TitleDropped, Title: title})
+		b.titlesVersion++
+		f.Log.Add(audit.Entry{Observer: "box", Subject: b.Addr, Event: audit.TitleDropped, Title: title})
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // Copying tells whether a box is copying any title.
-func (b *Box) Copying() bool {
+func (b *Box) IsCopying() bool {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	for _, s := range b.titles {
-		if s.stop != nil {
+		if s.cancelCopy != nil {
 			return true
 		}
 	}
@@ -356,4 +356,4 @@
 }
 
 // Holds tells whether a box has a title whole.
-func (b *Box) Holds(title string) bool { return b.stores(title) }
+func (b *Box) HasTitle(title string) bool { return b.hasTitle(title) }
--- a/internal/standin/viewer.go
+++ b/internal/standin/viewer.go
@@ -23,60 +23,60 @@
 
 // Viewer is one stand-in viewer: it asks, plays, retries and gives up.
 type Viewer struct {
-	Site     *config.Site
-	Log      *audit.Log
-	Key      string
-	Title    string
-	Class    int
-	Best     int
-	Edges    []string // those of its zone, the preferred one first
-	Position []int    // of each of Edges
-	Length   time.Duration
-	Retries  int           // after a refusal, a failure or a break
-	Patience time.Duration // gives a request up after so long; 0: the class's deadline
-	Rand     *rand.Rand
+	Site          *config.Site
+	Log           *audit.Log
+	Key           string
+	Title         string
+	Class         int
+	BestRung      int
+	Edges         []string // those of its zone, the preferred one first
+	EdgePositions []int    // of each of Edges
+	SessionLength time.Duration
+	Retries       int           // after a refusal, a failure or a break
+	GiveUpAfter   time.Duration // gives a request up after so long; 0: the class's deadline
+	Rand          *rand.Rand
 
-	Why func(title string, class, edge int) regret.Cause // of a refusal, in truth; nil: not asked
+	RefusalCause func(title string, class, edge int) regret.Cause // of a refusal, in truth; nil: not asked
 }
 
 // Report is what a viewer saw.
-type Report struct {
-	Class     int
-	Outcome   string // "played", "late", "refused", "failed"
-	Asked     float64
-	Delivered float64
-	First     time.Duration // from the first request to the first media playlist; 0: never
-	Requests  int
-	Refusals  int
-	Failures  int
-	Breaks    int
-	Segments  int
-	Stalled   time.Duration
-	Bad       []string // what a player could not follow
-	Account   regret.Account
+type ViewerReport struct {
+	Class          int
+	Outcome        string // "played", "late", "refused", "failed"
+	WorthAsked     float64
+	WorthDelivered float64
+	FirstPlaylist  time.Duration // from the first request to the first media playlist; 0: never
+	Requests       int
+	Refusals       int
+	Failures       int
+	Breaks         int
+	Segments       int
+	Stalled        time.Duration
+	PlayerErrors   []string // what a player could not follow
+	Account        regret.SessionAccount
 }
 
-var asks atomic.Int64
+var requestCount atomic.Int64
 
 // seconds of worth at a rung
-func (v *Viewer) worth(rung int) float64 {
+func (v *Viewer) rungWorth(rung int) float64 {
 	return v.Site.Classes[v.Class].Worth * v.Site.Ladder[rung].Worth
 }
 
 // Run goes through the whole session.
-func (v *Viewer) Run(ctx context.Context) (rep Report) {
+func (v *Viewer) Run(ctx context.Context) (rep ViewerReport) {
 	begin := time.Now()
-	end := begin.Add(v.Length)
-	rep = Report{Class: v.Class, Asked: v.Length.Seconds() * v.worth(v.Best)}
-	rep.Account = regret.Account{Best: v.Best, Waited: map[regret.Cause]float64{}}
+	end := begin.Add(v.SessionLength)
+	rep = ViewerReport{Class: v.Class, WorthAsked: v.SessionLength.Seconds() * v.rungWorth(v.BestRung)}
+	rep.Account = regret.SessionAccount{BestRung: v.BestRung, WaitedSeconds: map[regret.Cause]float64{}}
 	for rung := range v.Site.Ladder {
-		rep.Account.Worth = append(rep.Account.Worth, v.worth(rung))
+		rep.Account.WorthPerSecond = append(rep.Account.WorthPerSecond, v.rungWorth(rung))
 	}
-	defer func() { rep.Account.Asked, rep.Account.Delivered = rep.Asked, rep.Delivered }()
-	without, why := begin, regret.Late // no session since, and for what cause
+	defer func() { rep.Account.WorthAsked, rep.Account.WorthDelivered = rep.WorthAsked, rep.WorthDelivered }()
+	without, why := begin, regret.LateStart // no session since, and for what cause
 	waited := func(until time.Time) {
 		if until = minTime(until, end); until.After(without) {
-			rep.Account.Waited[why] += until.Sub(without).Seconds()
+			rep.Account.WaitedSeconds[why] += until.Sub(without).Seconds()
 			without = until
 		}
 	}
@@ -85,7 +85,7 @@
 	for try := 0; try <= v.Retries && ctx.Err() == nil && time.Now().Before(end); try++ {
 		edge := try % len(v.Edges)
 		rep.Requests++
-		status, body, wait := v.ask(ctx, edge)
+		status, body, wait := v.request(ctx, edge)
 		if status == 200 {
 			if rep.Outcome == "" {
 				if rep.Outcome = "played"; time.Since(begin) > v.Site.Classes[v.Class].Aim.D() {
@@ -97,19 +97,19 @@
 				without = end
 				return rep
 			}
-			without, why = time.Now(), regret.Broken
+			without, why = time.Now(), regret.Interrupted
 			rep.Breaks++
 		} else if last = "failed"; status == 503 {
 			last = "refused"
 			rep.Refusals++
-			if v.Why != nil {
+			if v.RefusalCause != nil {
 				waited(time.Now())
-				why = v.Why(v.Title, v.Class, v.Position[edge])
+				why = v.RefusalCause(v.Title, v.Class, v.EdgePositions[edge])
 			}
 		} else {
 			rep.Failures++
 			waited(time.Now())
-			why = regret.Broken
+			why = regret.Interrupted
 		}
 		if wait == 0 {
 			wait = time.Duration(200+v.Rand.IntN(600)) * time.Millisecond
@@ -131,28 +131,28 @@
 
 // ask sends one request for the session on a connection of its own, and sees to it that one answer
 // comes and nothing after it.
-func (v *Viewer) ask(ctx context.Context, edge int) (status int, body string, wait time.Duration) {
+func (v *Viewer) request(ctx context.Context, edge int) (status int, body string, wait time.Duration) {
 	class := v.Site.Classes[v.Class]
 	deadline := class.Deadline.D()
-	id := "v" + strconv.FormatInt(asks.Add(1), 10)
+	id := "v" + strconv.FormatInt(requestCount.Add(1), 10)
 	conn, err := net.DialTimeout("tcp", v.Edges[edge], 500*time.Millisecond)
 	if err != nil {
 		return 0, "", 0 // nothing was asked
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
-	e := audit.Entry{Side: "viewer", Who: v.Key, Viewer: v.Key, Session: id, Edge: strconv.Itoa(v.Position[edge]), Title: v.Title,
+	e := audit.Entry{Observer: "viewer", Subject: v.Key, Viewer: v.Key, Session: id, Edge: strconv.Itoa(v.EdgePositions[edge]), Title: v.Title,
 		Class: class.Name, Value: deadline.Seconds()}
 	add := func(what string, code int) {
-		e.What, e.Status = what, code
+		e.Event, e.Status = what, code
 		v.Log.Add(e)
 	}
-	q := url.Values{"class": {class.Name}, "best": {strconv.Itoa(v.Best)}, "key": {v.Key}}
-	add(audit.Asked, 0)
+	q := url.Values{"class": {class.Name}, "best": {strconv.Itoa(v.BestRung)}, "key": {v.Key}}
+	add(audit.RequestSent, 0)
 	fmt.Fprintf(conn, "GET /play/%s/index.m3u8?%s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", v.Title, q.Encode(), v.Edges[edge])
 	patience := deadline + 2*time.Second
-	if v.Patience > 0 {
-		patience = v.Patience
+	if v.GiveUpAfter > 0 {
+		patience = v.GiveUpAfter
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(patience))
 	r := bufio.NewReader(conn)
@@ -164,15 +164,15 @@
 	if err != nil {
 		var late net.Error
 		if what := audit.Unanswered; errors.As(err, &late) && late.Timeout() || ctx.Err() != nil {
-			add(audit.GaveUp, 0)
+			add(audit.ViewerGaveUp, 0)
 		} else {
 			add(what, 0)
 		}
 		return 0, "", 0
 	}
-	add(audit.Answered, p.StatusCode)
+	add(audit.AnswerReceived, p.StatusCode)
 	if _, err := r.ReadByte(); err == nil {
-		add(audit.Extra, 0)
+		add(audit.ExtraBytes, 0)
 	}
 	if ms, err := strconv.Atoi(p.Header.Get("Rainpulley-Retry-After-Ms")); err == nil {
 		wait = time.Duration(ms) * time.Millisecond
@@ -182,17 +182,17 @@
 
 // player follows one media playlist as RFC 8216, 6.3 asks of clients.
 type player struct {
-	client  *http.Client
-	last    uint64 // next media sequence number wanted
-	have    bool
-	buffer  time.Time // what was fetched plays until then
-	content int       // last segment of the content that was fetched
-	misses  int
-	rung    int // of the last segment; -1: none
+	client        *http.Client
+	nextSequence  uint64 // next media sequence number wanted
+	started       bool
+	bufferedUntil time.Time // what was fetched plays until then
+	lastContent   int       // last segment of the content that was fetched
+	failures      int
+	lastRung      int // of the last segment; -1: none
 }
 
 // play plays until the session's time is over (true), or it breaks (false).
-func (v *Viewer) play(ctx context.Context, edge, manifest string, begin, end time.Time, rep *Report) bool {
+func (v *Viewer) play(ctx context.Context, edge, manifest string, begin, end time.Time, rep *ViewerReport) bool {
 	uri := ""
 	for _, l := range strings.Split(manifest, "\n") {
 		if l != "" && l[0] != '#' {
@@ -200,37 +200,37 @@
 		}
 	}
 	if uri == "" {
-		rep.Bad = append(rep.Bad, "manifest without a variant")
+		rep.PlayerErrors = append(rep.PlayerErrors, "manifest without a variant")
 		return false
 	}
 	t := &http.Transport{}
 	defer t.CloseIdleConnections()
-	p := &player{client: &http.Client{Transport: t, Timeout: v.Site.Classes[v.Class].Deadline.D() + time.Second}, content: -1, buffer: time.Now(), rung: -1}
+	p := &player{client: &http.Client{Transport: t, Timeout: v.Site.Classes[v.Class].Deadline.D() + time.Second}, lastContent: -1, bufferedUntil: time.Now(), lastRung: -1}
 	for time.Now().Before(end) && ctx.Err() == nil {
 		code, text := v.reload(ctx, p, edge, uri)
 		if code != 200 {
-			if p.misses++; code == 404 || code == 410 || p.misses > 2 {
+			if p.failures++; code == 404 || code == 410 || p.failures > 2 {
 				return ctx.Err() != nil
 			}
 			sleep(ctx, 300*time.Millisecond)
 			continue
 		}
-		if rep.First == 0 {
-			rep.First = time.Since(begin)
+		if rep.FirstPlaylist == 0 {
+			rep.FirstPlaylist = time.Since(begin)
 		}
-		list, err := readList(text)
+		list, err := parsePlaylist(text)
 		if err != nil {
-			rep.Bad = append(rep.Bad, err.Error())
+			rep.PlayerErrors = append(rep.PlayerErrors, err.Error())
 			return false
 		}
-		fetched := v.fetch(ctx, p, list, end, rep)
-		if list.end && p.last >= list.first+uint64(len(list.uris)) {
-			sleep(ctx, time.Until(minTime(end, p.buffer)))
+		fetched := v.fetchSegments(ctx, p, list, end, rep)
+		if list.ended && p.nextSequence >= list.firstSequence+uint64(len(list.uris)) {
+			sleep(ctx, time.Until(minTime(end, p.bufferedUntil)))
 			return true
 		}
 		if !fetched { // RFC 8216, 6.3.4: half the target duration after no change
 			sleep(ctx, 400*time.Millisecond)
-		} else if ahead := time.Until(p.buffer); ahead > time.Second {
+		} else if ahead := time.Until(p.bufferedUntil); ahead > time.Second {
 			sleep(ctx, ahead-time.Second)
 		}
 	}
@@ -241,24 +241,24 @@
 // set-up has its time too.
 func (v *Viewer) reload(ctx context.Context, p *player, edge, uri string) (int, string) {
 	class := v.Site.Classes[v.Class]
-	e := audit.Entry{Side: "viewer", Who: v.Key, Viewer: v.Key, Session: "r" + strconv.FormatInt(asks.Add(1), 10), Title: v.Title,
-		Class: class.Name, Value: class.Deadline.D().Seconds(), Text: audit.Reload}
+	e := audit.Entry{Observer: "viewer", Subject: v.Key, Viewer: v.Key, Session: "r" + strconv.FormatInt(requestCount.Add(1), 10), Title: v.Title,
+		Class: class.Name, Value: class.Deadline.D().Seconds(), Text: audit.PlaylistReload}
 	for i, a := range v.Edges {
 		if a == edge {
-			e.Edge = strconv.Itoa(v.Position[i])
+			e.Edge = strconv.Itoa(v.EdgePositions[i])
 		}
 	}
-	e.What = audit.Asked
+	e.Event = audit.RequestSent
 	v.Log.Add(e)
-	code, text, err := p.fetch(ctx, "http://"+edge+uri)
+	code, text, err := p.getURL(ctx, "http://"+edge+uri)
 	var late net.Error
 	switch e.Status = code; {
 	case err == nil:
-		e.What = audit.Answered
+		e.Event = audit.AnswerReceived
 	case errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || errors.As(err, &late) && late.Timeout():
-		e.What = audit.GaveUp // nobody listens, or it hangs up: the time tells whether an answer was owed
+		e.Event = audit.ViewerGaveUp // nobody listens, or it hangs up: the time tells whether an answer was owed
 	default:
-		e.What = audit.Unanswered
+		e.Event = audit.Unanswered
 	}
 	v.Log.Add(e)
 	return code, text
@@ -272,59 +272,59 @@
 }
 
 // fetch takes the segments that are new, and earns for those that play in time.
-func (v *Viewer) fetch(ctx context.Context, p *player, l list, end time.Time, rep *Report) (any bool) {
-	if !p.have {
-		p.last, p.have = l.first, true
+func (v *Viewer) fetchSegments(ctx context.Context, p *player, l playlist, end time.Time, rep *ViewerReport) (any bool) {
+	if !p.started {
+		p.nextSequence, p.started = l.firstSequence, true
 	}
-	if p.last < l.first { // segments fell out before they were fetched
-		p.last = l.first
+	if p.nextSequence < l.firstSequence { // segments fell out before they were fetched
+		p.nextSequence = l.firstSequence
 	}
-	for p.last < l.first+uint64(len(l.uris)) && ctx.Err() == nil && time.Now().Before(end) {
-		i := int(p.last - l.first)
-		code, _ := p.get(ctx, l.uris[i])
+	for p.nextSequence < l.firstSequence+uint64(len(l.uris)) && ctx.Err() == nil && time.Now().Before(end) {
+		i := int(p.nextSequence - l.firstSequence)
+		code, _ := p.getSegment(ctx, l.uris[i])
 		if code != 200 {
-			p.misses++
-			return any && p.misses < 2
+			p.failures++
+			return any && p.failures < 2
 		}
-		p.misses, any = 0, true
-		p.last++
-		rung, content := place(l.uris[i])
-		if content <= p.content {
+		p.failures, any = 0, true
+		p.nextSequence++
+		rung, content := parseSegmentURI(l.uris[i])
+		if content <= p.lastContent {
 			continue // published again after a move: seen already
 		}
-		p.content = content
+		p.lastContent = content
 		now := time.Now()
-		if p.buffer.Before(now) {
-			rep.Stalled += now.Sub(p.buffer)
-			if from := minTime(p.buffer, end); now.After(from) {
-				rep.Account.Stalled += minTime(now, end).Sub(from).Seconds()
+		if p.bufferedUntil.Before(now) {
+			rep.Stalled += now.Sub(p.bufferedUntil)
+			if from := minTime(p.bufferedUntil, end); now.After(from) {
+				rep.Account.StalledSeconds += minTime(now, end).Sub(from).Seconds()
 			}
-			p.buffer = now
+			p.bufferedUntil = now
 		}
-		from := p.buffer
-		p.buffer = p.buffer.Add(time.Duration(l.durations[i] * float64(time.Second)))
+		from := p.bufferedUntil
+		p.bufferedUntil = p.bufferedUntil.Add(time.Duration(l.durations[i] * float64(time.Second)))
 		rep.Segments++
 		if from.Before(end) {
-			secs := minTime(p.buffer, end).Sub(from).Seconds()
-			rep.Delivered += secs * v.worth(rung)
-			if p.rung >= 0 && rung != p.rung { // a change costs the viewer so much of what it then plays
-				cost := v.Site.Notes.SwitchCost.D().Seconds() * v.worth(rung)
-				rep.Delivered -= cost
-				rep.Account.Switches += cost
+			secs := minTime(p.bufferedUntil, end).Sub(from).Seconds()
+			rep.WorthDelivered += secs * v.rungWorth(rung)
+			if p.lastRung >= 0 && rung != p.lastRung { // a change costs the viewer so much of what it then plays
+				cost := v.Site.Notes.SwitchCost.D().Seconds() * v.rungWorth(rung)
+				rep.WorthDelivered -= cost
+				rep.Account.RungChangeCost += cost
 			}
-			if n := len(rep.Account.Played); n > 0 && rung == p.rung {
-				rep.Account.Played[n-1].Seconds += secs
+			if n := len(rep.Account.PlayedSpans); n > 0 && rung == p.lastRung {
+				rep.Account.PlayedSpans[n-1].Seconds += secs
 			} else {
-				rep.Account.Played = append(rep.Account.Played, regret.Played{Rung: rung, Seconds: secs})
+				rep.Account.PlayedSpans = append(rep.Account.PlayedSpans, regret.PlayedSpan{Rung: rung, Seconds: secs})
 			}
-			p.rung = rung
+			p.lastRung = rung
 		}
 	}
 	return any
 }
 
 // place reads rung and number out of a segment's URI.
-func place(uri string) (rung, n int) {
+func parseSegmentURI(uri string) (rung, n int) {
 	u, _, _ := strings.Cut(uri, "?")
 	parts := strings.Split(u, "/")
 	if len(parts) < 2 {
@@ -335,12 +335,12 @@
 	return rung, n
 }
 
-func (p *player) get(ctx context.Context, uri string) (int, string) {
-	code, text, _ := p.fetch(ctx, uri)
+func (p *player) getSegment(ctx context.Context, uri string) (int, string) {
+	code, text, _ := p.getURL(ctx, uri)
 	return code, text
 }
 
-func (p *player) fetch(ctx context.Context, uri string) (int, string, error) {
+func (p *player) getURL(ctx context.Context, uri string) (int, string, error) {
 	q, err := http.NewRequestWithContext(ctx, "GET", uri, nil)
 	if err != nil {
 		return 0, "", err
@@ -358,28 +358,28 @@
 }
 
 // list is a media playlist as this viewer reads it, with no code of the front's.
-type list struct {
-	first     uint64
-	uris      []string
-	durations []float64
-	end       bool
+type playlist struct {
+	firstSequence uint64
+	uris          []string
+	durations     []float64
+	ended         bool
 }
 
-func readList(text string) (l list, err error) {
+func parsePlaylist(text string) (l playlist, err error) {
 	if !strings.HasPrefix(text, "#EXTM3U\n") || !strings.Contains(text, "#EXT-X-TARGETDURATION:") {
 		return l, errors.New("no media playlist")
 	}
 	for _, line := range strings.Split(text, "\n") {
 		switch {
 		case strings.HasPrefix(line, "#EXT-X-MEDIA-SEQUENCE:"):
-			l.first, err = strconv.ParseUint(line[len("#EXT-X-MEDIA-SEQUENCE:"):], 10, 64)
+			l.firstSequence, err = strconv.ParseUint(line[len("#EXT-X-MEDIA-SEQUENCE:"):], 10, 64)
 		case strings.HasPrefix(line, "#EXTINF:"):
 			d, _, _ := strings.Cut(line[len("#EXTINF:"):], ",")
 			var n float64
 			n, err = strconv.ParseFloat(d, 64)
 			l.durations = append(l.durations, n)
 		case line == "#EXT-X-ENDLIST":
-			l.end = true
+			l.ended = true
 		case line != "" && line[0] != '#':
 			l.uris = append(l.uris, line)
 		}
