--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -49,7 +49,7 @@
 
 // Each planted breach is named with its rule, box and session; beside it stands the same day without it.
 func TestPlantedBreaches(t *testing.T) {
-	paid := func(e *Entry) { e.Class = "paid" }
+	atMostOnce := func(e *Entry) { e.Class = "paid" }
 	base := timeline{}.at(0, viewerEntry(RequestSent, "q")).withAttempt(0.1, 0.2, "b1", "s1", 0).at(0.3, viewerEntry(AnswerReceived, "q"))
 	for _, c := range []struct {
 		name, rule, box, session string
@@ -68,10 +68,10 @@
 		{"overlap", NoDuplicateSetUp, "b2", "s2", base.at(1, boxEntry(SetUpReceived, "b1", "s2", 0)).withAttempt(1.5, 1.6, "b2", "s2", 1).at(2, boxEntry(SetUpEnded, "b1", "s2", 0))},
 		{"never over", NoDuplicateSetUp, "b2", "s2", base.at(1, boxEntry(SetUpReceived, "b1", "s2", 0)).withAttempt(1.5, 1.6, "b2", "s2", 1)},
 		{"one after the other", "", "", "", base.withAttempt(1, 1.5, "b1", "s2", 0).withAttempt(1.5, 1.6, "b2", "s2", 1)},
-		{"paid again", NoDuplicateSetUp, "b2", "s2", base.at(1, modified(boxEntry(SetUpReceived, "b1", "s2", 0), paid)).at(1.1, modified(boxEntry(SetUpEnded, "b1", "s2", 0), paid)).
-			at(1.2, modified(boxEntry(SetUpReceived, "b2", "s2", 1), paid)).at(1.3, modified(boxEntry(SetUpEnded, "b2", "s2", 1), paid))},
-		{"paid again after never", "", "", "", base.at(1, modified(boxEntry(SetUpReceived, "b1", "s2", 0), paid)).at(1.1, modified(boxEntry(SetUpNotRun, "b1", "s2", 0), paid)).
-			at(1.1, modified(boxEntry(SetUpEnded, "b1", "s2", 0), paid)).at(1.2, modified(boxEntry(SetUpReceived, "b2", "s2", 1), paid)).at(1.3, modified(boxEntry(SetUpEnded, "b2", "s2", 1), paid))},
+		{"paid again", NoDuplicateSetUp, "b2", "s2", base.at(1, modified(boxEntry(SetUpReceived, "b1", "s2", 0), atMostOnce)).at(1.1, modified(boxEntry(SetUpEnded, "b1", "s2", 0), atMostOnce)).
+			at(1.2, modified(boxEntry(SetUpReceived, "b2", "s2", 1), atMostOnce)).at(1.3, modified(boxEntry(SetUpEnded, "b2", "s2", 1), atMostOnce))},
+		{"paid again after never", "", "", "", base.at(1, modified(boxEntry(SetUpReceived, "b1", "s2", 0), atMostOnce)).at(1.1, modified(boxEntry(SetUpNotRun, "b1", "s2", 0), atMostOnce)).
+			at(1.1, modified(boxEntry(SetUpEnded, "b1", "s2", 0), atMostOnce)).at(1.2, modified(boxEntry(SetUpReceived, "b2", "s2", 1), atMostOnce)).at(1.3, modified(boxEntry(SetUpEnded, "b2", "s2", 1), atMostOnce))},
 		{"draining", DrainsRespected, "b1", "s2", base.at(1, stateEntry("0", "b1", "draining")).withAttempt(2.2, 2.3, "b1", "s2", 0)},
 		{"gone, told again as draining", DrainsRespected, "b1", "s2", base.at(1, stateEntry("0", "b1", "draining")).at(2, stateEntry("0", "b1", "gone")).withAttempt(2.2, 2.3, "b1", "s2", 0)},
 		{"draining, within the grace", "", "", "", base.at(1, stateEntry("0", "b1", "draining")).withAttempt(1.9, 2, "b1", "s2", 0)},
@@ -128,14 +128,14 @@
 }
 
 func TestReadWrite(t *testing.T) {
-	day := timeline{}.at(0.5, viewerEntry(RequestSent, "q")).withAttempt(1, 2, "b", "s", 3)
+	entries := timeline{}.at(0.5, viewerEntry(RequestSent, "q")).withAttempt(1, 2, "b", "s", 3)
 	var b bytes.Buffer
-	if err := Write(&b, day); err != nil {
+	if err := Write(&b, entries); err != nil {
 		t.Fatal(err)
 	}
-	back, err := Read(&b)
-	if err != nil || !reflect.DeepEqual([]Entry(day), back) {
-		t.Errorf("%v %v", back, err)
+	read, err := Read(&b)
+	if err != nil || !reflect.DeepEqual([]Entry(entries), read) {
+		t.Errorf("%v %v", read, err)
 	}
 	if _, err := Read(strings.NewReader("{\"t\":1}\n{")); err == nil || !strings.Contains(err.Error(), "entry 2") {
 		t.Error(err)
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -92,10 +92,10 @@
 
 // Read reads lines of JSON.
 func Read(r io.Reader) (out []Entry, err error) {
-	d := json.NewDecoder(bufio.NewReader(r))
+	decoder := json.NewDecoder(bufio.NewReader(r))
 	for {
 		var e Entry
-		if err := d.Decode(&e); err == io.EOF {
+		if err := decoder.Decode(&e); err == io.EOF {
 			return out, nil
 		} else if err != nil {
 			return nil, fmt.Errorf("audit: entry %d: %w", len(out)+1, err)
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -85,14 +85,14 @@
 // Judge goes through a run's entries.
 func Judge(site *config.Site, entries []Entry) *Verdict {
 	c := &checker{site, &Verdict{Checks: map[string]int{}, Breaches: []Breach{}}}
-	es := slices.Clone(entries)
-	sort.SliceStable(es, func(i, j int) bool { return es[i].TimeMicros < es[j].TimeMicros })
-	c.checkAnswers(es)
-	c.checkSetUps(es)
-	c.checkDrains(es)
-	c.checkColdBoxes(es)
-	c.checkClassTerms(es)
-	c.checkAttemptBudget(es)
+	ordered := slices.Clone(entries)
+	sort.SliceStable(ordered, func(i, j int) bool { return ordered[i].TimeMicros < ordered[j].TimeMicros })
+	c.checkAnswers(ordered)
+	c.checkSetUps(ordered)
+	c.checkDrains(ordered)
+	c.checkColdBoxes(ordered)
+	c.checkClassTerms(ordered)
+	c.checkAttemptBudget(ordered)
 	return c.verdict
 }
 
@@ -103,93 +103,93 @@
 
 // answers: every request that a running edge took has one answer, in time. None is owed where the viewer
 // hung up before its time was over, or the edge was killed.
-func (c *checker) checkAnswers(es []Entry) {
-	open := map[string]Entry{}
-	kills := map[string][]int64{}
-	for _, e := range es {
+func (c *checker) checkAnswers(entries []Entry) {
+	openRequests := map[string]Entry{}
+	killTimes := map[string][]int64{}
+	for _, e := range entries {
 		switch {
 		case e.Event == EdgeKilled:
-			kills[e.Subject] = append(kills[e.Subject], e.TimeMicros)
+			killTimes[e.Subject] = append(killTimes[e.Subject], e.TimeMicros)
 		case e.Observer != "viewer":
 		case e.Event == RequestSent:
-			open[e.Session] = e
+			openRequests[e.Session] = e
 		case e.Event == ExtraBytes:
 			c.verdict.DuplicateOutcomes++
 			c.addBreach(NoSessionLost, e, "bytes after the one answer")
 		case e.Event == AnswerReceived || e.Event == ViewerGaveUp || e.Event == Unanswered:
-			q, ok := open[e.Session]
+			req, ok := openRequests[e.Session]
 			if !ok {
 				c.verdict.DuplicateOutcomes++
 				c.addBreach(NoSessionLost, e, "a second end of one request")
 				continue
 			}
-			delete(open, e.Session)
+			delete(openRequests, e.Session)
 			c.countCheck(NoSessionLost)
-			late := e.TimeMicros - q.TimeMicros - int64(q.Value*1e6) - c.site.Rules.AnswerSlack.D().Microseconds() - answerSlack
-			killed := slices.ContainsFunc(kills[edgePosition(q.Edge)], func(t int64) bool { return t >= q.TimeMicros-orderSlack && t <= e.TimeMicros+orderSlack })
+			lateness := e.TimeMicros - req.TimeMicros - int64(req.Value*1e6) - c.site.Rules.AnswerSlack.D().Microseconds() - answerSlack
+			killed := slices.ContainsFunc(killTimes[edgePosition(req.Edge)], func(t int64) bool { return t >= req.TimeMicros-orderSlack && t <= e.TimeMicros+orderSlack })
 			switch {
 			case e.Event == Unanswered && !killed:
 				c.addBreach(NoSessionLost, e, "the connection ended without an answer")
-			case e.Event == AnswerReceived && late > 0:
-				c.addBreach(NoSessionLost, e, "answered %d ms too late", late/1000)
-			case e.Event == ViewerGaveUp && late > 0 && !killed: // it hung up because nothing had come in time
-				c.addBreach(NoSessionLost, e, "no answer when the viewer gave up, %d ms past its time", late/1000)
+			case e.Event == AnswerReceived && lateness > 0:
+				c.addBreach(NoSessionLost, e, "answered %d ms too late", lateness/1000)
+			case e.Event == ViewerGaveUp && lateness > 0 && !killed: // it hung up because nothing had come in time
+				c.addBreach(NoSessionLost, e, "no answer when the viewer gave up, %d ms past its time", lateness/1000)
 			}
 		}
 	}
-	for _, k := range slices.Sorted(maps.Keys(open)) {
-		q := open[k]
-		killed := slices.ContainsFunc(kills[edgePosition(q.Edge)], func(t int64) bool { return t >= q.TimeMicros-orderSlack })
+	for _, k := range slices.Sorted(maps.Keys(openRequests)) {
+		req := openRequests[k]
+		killed := slices.ContainsFunc(killTimes[edgePosition(req.Edge)], func(t int64) bool { return t >= req.TimeMicros-orderSlack })
 		if c.countCheck(NoSessionLost); !killed {
-			c.addBreach(NoSessionLost, q, "no answer by the end of the run")
+			c.addBreach(NoSessionLost, req, "no answer by the end of the run")
 		}
 	}
 }
 
 // setups: attempts of one session never overlap, and a paid one goes out again only if no earlier one ran.
-func (c *checker) checkSetUps(es []Entry) {
-	type out struct {
+func (c *checker) checkSetUps(entries []Entry) {
+	type setUpAttempt struct {
 		Entry
 		over  int64
 		never bool
 	}
-	by := map[string][]*out{}
-	find := func(e Entry) *out {
-		for _, o := range by[e.Session] {
-			if o.Subject == e.Subject && o.Attempt == e.Attempt {
-				return o
+	attemptsBySession := map[string][]*setUpAttempt{}
+	find := func(e Entry) *setUpAttempt {
+		for _, attempt := range attemptsBySession[e.Session] {
+			if attempt.Subject == e.Subject && attempt.Attempt == e.Attempt {
+				return attempt
 			}
 		}
 		return nil
 	}
-	for _, e := range es {
+	for _, e := range entries {
 		if e.Observer != "box" {
 			continue
 		}
 		switch e.Event {
 		case SetUpReceived:
-			by[e.Session] = append(by[e.Session], &out{Entry: e})
+			attemptsBySession[e.Session] = append(attemptsBySession[e.Session], &setUpAttempt{Entry: e})
 		case SetUpEnded:
-			if o := find(e); o != nil {
-				o.over = e.TimeMicros
+			if attempt := find(e); attempt != nil {
+				attempt.over = e.TimeMicros
 			}
 		case SetUpNotRun:
-			if o := find(e); o != nil {
-				o.never = true
+			if attempt := find(e); attempt != nil {
+				attempt.never = true
 			}
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(by)) {
-		list := by[id]
-		for i, o := range list {
+	for _, id := range slices.Sorted(maps.Keys(attemptsBySession)) {
+		attempts := attemptsBySession[id]
+		for i, attempt := range attempts {
 			c.countCheck(NoDuplicateSetUp)
-			for _, p := range list[:i] {
-				if p.over == 0 || p.over > o.TimeMicros+orderSlack {
+			for _, earlier := range attempts[:i] {
+				if earlier.over == 0 || earlier.over > attempt.TimeMicros+orderSlack {
 					c.verdict.OverlappingAttempts++
-					c.addBreach(NoDuplicateSetUp, o.Entry, "attempt %d goes out while attempt %d is out at %s", o.Attempt, p.Attempt, p.Subject)
+					c.addBreach(NoDuplicateSetUp, attempt.Entry, "attempt %d goes out while attempt %d is out at %s", attempt.Attempt, earlier.Attempt, earlier.Subject)
 				}
-				if c.classEffect(o.Class) == "paid" && !p.never {
-					c.addBreach(NoDuplicateSetUp, o.Entry, "paid set-up sent again: attempt %d at %s may have run", p.Attempt, p.Subject)
+				if c.classEffect(attempt.Class) == "paid" && !earlier.never {
+					c.addBreach(NoDuplicateSetUp, attempt.Entry, "paid set-up sent again: attempt %d at %s may have run", earlier.Attempt, earlier.Subject)
 				}
 			}
 		}
@@ -204,28 +204,28 @@
 }
 
 // drains: nothing new to a box later than the grace after the edge was told that it drains or is gone.
-func (c *checker) checkDrains(es []Entry) {
+func (c *checker) checkDrains(entries []Entry) {
 	grace := c.site.Rules.DrainGrace.D().Microseconds() + publishSlack
 	type key struct{ edge, box string }
-	since := map[key]int64{}
-	for _, e := range es {
+	notReadySince := map[key]int64{}
+	for _, e := range entries {
 		switch {
 		case e.Observer == "relay" && e.Event == StatePublished:
 			k := key{edgePosition(e.Edge), e.Subject}
-			if _, was := since[k]; e.Text == "ready" {
-				delete(since, k)
-			} else if !was {
-				since[k] = e.TimeMicros
+			if _, known := notReadySince[k]; e.Text == "ready" {
+				delete(notReadySince, k)
+			} else if !known {
+				notReadySince[k] = e.TimeMicros
 			}
 		case e.Event == EdgeKilled: // what it was told is lost with it; it is told anew
-			for k := range since {
+			for k := range notReadySince {
 				if k.edge == e.Subject {
-					delete(since, k)
+					delete(notReadySince, k)
 				}
 			}
 		case e.Observer == "box" && e.Event == SetUpReceived:
 			c.countCheck(DrainsRespected)
-			if at, ok := since[key{edgePosition(e.Edge), e.Subject}]; ok && e.TimeMicros > at+grace {
+			if at, ok := notReadySince[key{edgePosition(e.Edge), e.Subject}]; ok && e.TimeMicros > at+grace {
 				c.addBreach(DrainsRespected, e, "set-up %d ms after edge %s was told", (e.TimeMicros-at)/1000, edgePosition(e.Edge))
 			}
 		}
@@ -236,7 +236,7 @@
 const coldSetUpSlack = 3
 
 // cold: a started box gets set-ups no faster than the stated multiple of its pace, over any window.
-func (c *checker) checkColdBoxes(es []Entry) {
+func (c *checker) checkColdBoxes(entries []Entry) {
 	r := c.site.Rules
 	if r.Ramp <= 0 || r.FallSpan <= 0 {
 		return
@@ -247,7 +247,7 @@
 		window  []int64
 	}
 	boxes := map[string]*box{}
-	for _, e := range es {
+	for _, e := range entries {
 		if e.Observer != "box" {
 			continue
 		}
@@ -268,24 +268,24 @@
 			for b.window[0] <= e.TimeMicros-r.FallSpan.D().Microseconds() {
 				b.window = b.window[1:]
 			}
-			warm := float64(e.TimeMicros-b.started) / float64(r.Ramp.D().Microseconds())
-			pace := b.streams / r.Ramp.D().Seconds() * (r.StartShare + (1-r.StartShare)*warm)
-			if most := r.FallFactor*pace*r.FallSpan.D().Seconds() + coldSetUpSlack; float64(len(b.window)) > most {
-				c.addBreach(ColdBoxesProtected, e, "%d set-ups in %v, %.1f allowed", len(b.window), r.FallSpan.D(), most)
+			rampShare := float64(e.TimeMicros-b.started) / float64(r.Ramp.D().Microseconds())
+			rampRate := b.streams / r.Ramp.D().Seconds() * (r.StartShare + (1-r.StartShare)*rampShare)
+			if allowed := r.FallFactor*rampRate*r.FallSpan.D().Seconds() + coldSetUpSlack; float64(len(b.window)) > allowed {
+				c.addBreach(ColdBoxesProtected, e, "%d set-ups in %v, %.1f allowed", len(b.window), r.FallSpan.D(), allowed)
 			}
 		}
 	}
 }
 
 // terms: no rung under a class's floor, and no more sessions of a title and class at one edge than seats.
-func (c *checker) checkClassTerms(es []Entry) {
-	type seat struct{ edge, title, class string }
-	held := map[seat]map[string]int64{} // session to the time from which it may be let go
-	for _, e := range es {
+func (c *checker) checkClassTerms(entries []Entry) {
+	type seatKey struct{ edge, title, class string }
+	endTimes := map[seatKey]map[string]int64{} // session to the time from which it may be let go
+	for _, e := range entries {
 		if e.Observer != "box" {
 			continue
 		}
-		k := seat{e.Edge, e.Title, e.Class}
+		k := seatKey{e.Edge, e.Title, e.Class}
 		n := c.site.Class(e.Class)
 		if n < 0 {
 			continue
@@ -300,21 +300,21 @@
 		}
 		switch {
 		case e.Event == SetUpReceived && class.Seats > 0:
-			if held[k] == nil {
-				held[k] = map[string]int64{}
+			if endTimes[k] == nil {
+				endTimes[k] = map[string]int64{}
 			}
-			for s, at := range held[k] {
-				if at > 0 && at <= e.TimeMicros {
-					delete(held[k], s)
+			for session, endedAt := range endTimes[k] {
+				if endedAt > 0 && endedAt <= e.TimeMicros {
+					delete(endTimes[k], session)
 				}
 			}
-			held[k][e.Session] = 0
-			if len(held[k]) > class.Seats {
-				c.addBreach(ClassTermsRespected, e, "%d sessions of %s in %s at edge %s, seats %d", len(held[k]), e.Title, e.Class, e.Edge, class.Seats)
+			endTimes[k][e.Session] = 0
+			if len(endTimes[k]) > class.Seats {
+				c.addBreach(ClassTermsRespected, e, "%d sessions of %s in %s at edge %s, seats %d", len(endTimes[k]), e.Title, e.Class, e.Edge, class.Seats)
 			}
 		case e.Event == SessionEnd, e.Event == SetUpEnded && e.Text != "playing":
-			if _, ok := held[k][e.Session]; ok {
-				held[k][e.Session] = e.TimeMicros
+			if _, ok := endTimes[k][e.Session]; ok {
+				endTimes[k][e.Session] = e.TimeMicros
 			}
 		}
 	}
@@ -322,33 +322,33 @@
 
 // budget: attempts beyond a session's first, over any window, against requests that the edge took. A
 // request counts for the whole window before and after its answer's travel.
-func (c *checker) checkAttemptBudget(es []Entry) {
+func (c *checker) checkAttemptBudget(entries []Entry) {
 	r := c.site.Rules
 	if r.BudgetSpan <= 0 {
 		return
 	}
 	span := r.BudgetSpan.D().Microseconds()
-	taken, further := map[string][]int64{}, map[string][]int64{}
-	for _, e := range es {
+	requests, retries := map[string][]int64{}, map[string][]int64{}
+	for _, e := range entries {
 		p := edgePosition(e.Edge)
 		switch {
 		case e.Observer == "viewer" && e.Event == RequestSent && e.Text != PlaylistReload: // most reloads are no request to the module
-			taken[p] = append(dropBefore(taken[p], e.TimeMicros-span-budgetSlack), e.TimeMicros)
+			requests[p] = append(dropBefore(requests[p], e.TimeMicros-span-budgetSlack), e.TimeMicros)
 		case e.Observer == "box" && e.Event == SetUpReceived && e.Attempt > 0:
 			c.countCheck(AttemptBudgetRespected)
-			further[p] = append(dropBefore(further[p], e.TimeMicros-span+budgetSlack), e.TimeMicros)
-			most := r.BudgetFree + r.BudgetShare*float64(len(dropBefore(taken[p], e.TimeMicros-span-budgetSlack)))
-			if float64(len(further[p])) > most {
-				c.addBreach(AttemptBudgetRespected, e, "%d further attempts of edge %s in %v, %.1f allowed", len(further[p]), p, r.BudgetSpan.D(), most)
+			retries[p] = append(dropBefore(retries[p], e.TimeMicros-span+budgetSlack), e.TimeMicros)
+			allowed := r.BudgetFree + r.BudgetShare*float64(len(dropBefore(requests[p], e.TimeMicros-span-budgetSlack)))
+			if float64(len(retries[p])) > allowed {
+				c.addBreach(AttemptBudgetRespected, e, "%d further attempts of edge %s in %v, %.1f allowed", len(retries[p]), p, r.BudgetSpan.D(), allowed)
 			}
 		}
 	}
 }
 
-func dropBefore(list []int64, from int64) []int64 {
+func dropBefore(times []int64, from int64) []int64 {
 	i := 0
-	for i < len(list) && list[i] < from {
+	for i < len(times) && times[i] < from {
 		i++
 	}
-	return list[i:]
+	return times[i:]
 }
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -28,8 +28,8 @@
 }
 
 // New makes the policy of one front.
-func New(set control.Settings, seed uint64) *Random {
-	return &Random{settings: set, rng: rand.New(rand.NewPCG(seed, 2)), servers: map[string]control.Server{}, openRequests: map[string]*openRequest{}}
+func New(settings control.Settings, seed uint64) *Random {
+	return &Random{settings: settings, rng: rand.New(rand.NewPCG(seed, 2)), servers: map[string]control.Server{}, openRequests: map[string]*openRequest{}}
 }
 
 // Step takes events and answers with actions, as the module does.
@@ -68,24 +68,24 @@
 	var holders []string
 	for id, s := range p.servers {
 		n := p.settings.Cells
-		has := ((s.Cell-q.HomeCell)%n+n)%n < q.CellSpan
+		hasTitle := ((s.Cell-q.HomeCell)%n+n)%n < q.CellSpan
 		if q.Holders != nil {
-			has = slices.Contains(q.Holders, id)
+			hasTitle = slices.Contains(q.Holders, id)
 		}
-		if s.State == control.Ready && has {
+		if s.State == control.Ready && hasTitle {
 			holders = append(holders, id)
 		}
 	}
 	slices.SortFunc(holders, strings.Compare)
-	again := q.attempts > 0
+	isRetry := q.attempts > 0
 	if q.mayHaveRun && class.Effect != control.Idempotent {
 		return []control.Action{control.Fail{ID: q.ID}}
 	}
-	spent := again && p.settings.BudgetSpan > 0 && float64(p.retries+1) > p.settings.BudgetShare*float64(p.requests)
-	if len(holders) == 0 || q.attempts >= 2 || spent {
+	budgetSpent := isRetry && p.settings.BudgetSpan > 0 && float64(p.retries+1) > p.settings.BudgetShare*float64(p.requests)
+	if len(holders) == 0 || q.attempts >= 2 || budgetSpent {
 		return []control.Action{control.Refuse{ID: q.ID}}
 	}
-	if again {
+	if isRetry {
 		p.retries++
 	}
 	q.attempts++
--- a/internal/regret/regret.go
+++ b/internal/regret/regret.go
@@ -60,50 +60,50 @@
 // Split gives an account's loss to its causes. The rungs: what lies below the highest rung that it had
 // earlier is "stepped down" if it had that rung, or a higher one, again later, and else its share; what
 // lies below a rung that it reached later is climb; what it never reached is its share.
-func SplitLoss(a SessionAccount) LossByCause {
-	p := LossByCause{}
-	top := a.WorthPerSecond[a.BestRung]
-	for c, s := range a.WaitedSeconds {
-		p[c] += s * top
+func SplitLoss(account SessionAccount) LossByCause {
+	losses := LossByCause{}
+	bestWorth := account.WorthPerSecond[account.BestRung]
+	for cause, seconds := range account.WaitedSeconds {
+		losses[cause] += seconds * bestWorth
 	}
-	p[Stalls] += a.StalledSeconds * top
-	p[RungChanges] += a.RungChangeCost
-	later := make([]int, len(a.PlayedSpans)+1) // the highest rung from here on
-	later[len(a.PlayedSpans)] = -1
-	for i := len(a.PlayedSpans) - 1; i >= 0; i-- {
-		later[i] = max(later[i+1], a.PlayedSpans[i].Rung)
+	losses[Stalls] += account.StalledSeconds * bestWorth
+	losses[RungChanges] += account.RungChangeCost
+	highestLater := make([]int, len(account.PlayedSpans)+1) // the highest rung from here on
+	highestLater[len(account.PlayedSpans)] = -1
+	for i := len(account.PlayedSpans) - 1; i >= 0; i-- {
+		highestLater[i] = max(highestLater[i+1], account.PlayedSpans[i].Rung)
 	}
-	earlier := -1
-	for i, x := range a.PlayedSpans {
-		rung := min(x.Rung, a.BestRung)
-		reached := min(max(later[i], rung), a.BestRung)
-		back := min(reached, max(earlier, rung)) // had it before, and has it again
-		p[SteppedDown] += x.Seconds * (a.WorthPerSecond[back] - a.WorthPerSecond[rung])
-		p[NotYetRaised] += x.Seconds * (a.WorthPerSecond[reached] - a.WorthPerSecond[back])
-		p[LowShare] += x.Seconds * (top - a.WorthPerSecond[reached])
-		earlier = max(earlier, x.Rung)
+	highestEarlier := -1
+	for i, span := range account.PlayedSpans {
+		rung := min(span.Rung, account.BestRung)
+		reached := min(max(highestLater[i], rung), account.BestRung)
+		regained := min(reached, max(highestEarlier, rung)) // had it before, and has it again
+		losses[SteppedDown] += span.Seconds * (account.WorthPerSecond[regained] - account.WorthPerSecond[rung])
+		losses[NotYetRaised] += span.Seconds * (account.WorthPerSecond[reached] - account.WorthPerSecond[regained])
+		losses[LowShare] += span.Seconds * (bestWorth - account.WorthPerSecond[reached])
+		highestEarlier = max(highestEarlier, span.Rung)
 	}
-	p[Remainder] += a.WorthAsked - a.WorthDelivered - p.Total()
-	return p
+	losses[Remainder] += account.WorthAsked - account.WorthDelivered - losses.Total()
+	return losses
 }
 
 // Add adds up.
-func (p LossByCause) Add(q LossByCause) {
-	for c, w := range q {
+func (p LossByCause) Add(other LossByCause) {
+	for c, w := range other {
 		p[c] += w
 	}
 }
 
 // Towards is the distance to what a better plan would have delivered, split by cause: all losses shrink
 // alike, so that their sum is that distance. What even the better plan loses has no cause of ours.
-func (p LossByCause) ScaleToGap(asked, delivered, better float64) LossByCause {
-	out := LossByCause{}
-	lost, distance := asked-delivered, better-delivered
+func (p LossByCause) ScaleToGap(asked, delivered, betterDelivered float64) LossByCause {
+	scaled := LossByCause{}
+	lost, gap := asked-delivered, betterDelivered-delivered
 	if lost <= 0 {
-		return out
+		return scaled
 	}
 	for c, w := range p {
-		out[c] = w * distance / lost
+		scaled[c] = w * gap / lost
 	}
-	return out
+	return scaled
 }
--- a/internal/regret/regret_test.go
+++ b/internal/regret/regret_test.go
@@ -42,7 +42,7 @@
 	})
 }
 
-func TestRungs(t *testing.T) {
+func TestSplitByRung(t *testing.T) {
 	worth := []float64{0.2, 0.5, 1}
 	p := SplitLoss(SessionAccount{BestRung: 2, WorthPerSecond: worth, WorthAsked: 40, WorthDelivered: 20, PlayedSpans: []PlayedSpan{{0, 10}, {1, 10}, {0, 10}, {1, 10}}})
 	for c, want := range map[Cause]float64{NotYetRaised: 3, SteppedDown: 3, LowShare: 20, Remainder: -6} {
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -109,10 +109,10 @@
 		f.uplinkRates, f.uplinkDivisors = append(f.uplinkRates, float64(site.Links.Uplink)*spread), append(f.uplinkDivisors, 1)
 	}
 	for _, b := range site.Boxes {
-		k := site.Kind(b.Kind)
+		kind := site.Kind(b.Kind)
 		spread := 1 + 0.15*(2*f.rng.Float64()-1)
 		f.Boxes = append(f.Boxes, &Box{fleet: f, Addr: b.Addr, Zone: site.Zone(b.Zone), rack: b.Cell % site.Racks,
-			streamSlots: site.Kinds[k].Streams, linkRate: b.Weight * float64(site.Links.PerWeight) * spread, state: "ready",
+			streamSlots: site.Kinds[kind].Streams, linkRate: b.Weight * float64(site.Links.PerWeight) * spread, state: "ready",
 			titles: f.initialTitles(b.Cell)})
 	}
 	return f
@@ -176,9 +176,9 @@
 	b.addTitleRoutes(mux)
 	mux.HandleFunc("GET /t/{title}/{file}", b.handleMultivariantPlaylist)
 	mux.HandleFunc("GET /t/{title}/{rung}/{file}", b.handleMedia)
-	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	b.server = s
-	go func() { _ = s.Serve(ln) }()
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
+	b.server = server
+	go func() { _ = server.Serve(ln) }()
 	return nil
 }
 
@@ -189,17 +189,17 @@
 	b.crash("crash")
 }
 
-func (b *Box) crash(why string) {
+func (b *Box) crash(reason string) {
 	if !b.running {
 		return
 	}
 	b.running = false
 	for _, h := range b.sessions {
-		b.endSession(h, why)
+		b.endSession(h, reason)
 	}
 	b.stopCopies()
-	s := b.server
-	go func() { _ = s.Close() }()
+	server := b.server
+	go func() { _ = server.Close() }()
 }
 
 // Return starts a crashed box anew, cold.
@@ -222,10 +222,10 @@
 }
 
 // Weaken divides the uplink of a rack; 1 restores it.
-func (f *Fleet) DivideUplink(rack int, by float64) {
+func (f *Fleet) DivideUplink(rack int, divisor float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.uplinkDivisors[rack] = by
+	f.uplinkDivisors[rack] = divisor
 }
 
 // CutZone lets nothing through between a zone and the others, in either direction; -1 ends it.
@@ -263,15 +263,15 @@
 func (f *Fleet) ActualFleet() *peaks.Fleet {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := &peaks.Fleet{Cells: f.Site.Cells, NoCompetingLoad: true}
+	actual := &peaks.Fleet{Cells: f.Site.Cells, NoCompetingLoad: true}
 	for _, u := range f.uplinkRates {
-		out.Uplinks = append(out.Uplinks, u/peaks.MaxUtilization)
+		actual.Uplinks = append(actual.Uplinks, u/peaks.MaxUtilization)
 	}
 	for i, b := range f.Boxes {
-		out.Boxes = append(out.Boxes, peaks.Box{ID: b.Addr, Rack: b.rack, Cell: f.Site.Boxes[i].Cell, LinkCapacity: b.linkRate / peaks.MaxUtilization,
+		actual.Boxes = append(actual.Boxes, peaks.Box{ID: b.Addr, Rack: b.rack, Cell: f.Site.Boxes[i].Cell, LinkCapacity: b.linkRate / peaks.MaxUtilization,
 			MaxStreams: float64(b.streamSlots), RampShare: 1})
 	}
-	return out
+	return actual
 }
 
 // Why is why a viewer of a title was refused at an edge, in truth.
@@ -279,37 +279,37 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := f.Site.Classes[class]
-	low, seated := f.rungRate(class, k.Floor), 0
-	holderStreams, holderRoom, elsewhere := false, false, false
-	asked := make([]float64, len(f.uplinkRates))
+	minRate, seatsTaken := f.rungRate(class, k.Floor), 0
+	holderHasSlot, holderHasCapacity, otherHasCapacity := false, false, false
+	rackDemand := make([]float64, len(f.uplinkRates))
 	for _, b := range f.Boxes {
-		asked[b.rack] += b.linkUtilization * b.currentLinkRate()
+		rackDemand[b.rack] += b.linkUtilization * b.currentLinkRate()
 	}
 	for _, b := range f.Boxes {
 		for _, h := range b.sessions {
 			if position, _, _ := strings.Cut(h.edge, "."); h.title == title && h.class == k.Name && position == strconv.Itoa(edge) {
-				seated++
+				seatsTaken++
 			}
 		}
 		if !b.running || b.state != "ready" || b.faults.Hang || b.faults.Refuse {
 			continue
 		}
-		streams := len(b.sessions) < b.streamSlots
-		room := streams && b.currentLinkRate()*(1-b.linkUtilization) >= low && f.uplinkRates[b.rack]/f.uplinkDivisors[b.rack]-asked[b.rack] >= low
+		hasSlot := len(b.sessions) < b.streamSlots
+		hasCapacity := hasSlot && b.currentLinkRate()*(1-b.linkUtilization) >= minRate && f.uplinkRates[b.rack]/f.uplinkDivisors[b.rack]-rackDemand[b.rack] >= minRate
 		if b.hasTitleLocked(title) {
-			holderStreams, holderRoom = holderStreams || streams, holderRoom || room
+			holderHasSlot, holderHasCapacity = holderHasSlot || hasSlot, holderHasCapacity || hasCapacity
 		} else {
-			elsewhere = elsewhere || room
+			otherHasCapacity = otherHasCapacity || hasCapacity
 		}
 	}
 	switch {
-	case k.Seats > 0 && seated >= k.Seats:
+	case k.Seats > 0 && seatsTaken >= k.Seats:
 		return regret.RefusedForSeats
-	case holderRoom:
+	case holderHasCapacity:
 		return regret.RefusedDespiteHolder
-	case elsewhere:
+	case otherHasCapacity:
 		return regret.RefusedCapacityElsewhere
-	case !holderStreams:
+	case !holderHasSlot:
 		return regret.RefusedForStreams
 	}
 	return regret.RefusedNoCapacity
@@ -327,9 +327,9 @@
 		Rung: h.rung, Attempt: h.attempt, Viewer: h.viewer}
 }
 
-func (b *Box) endSession(h *session, why string) {
+func (b *Box) endSession(h *session, reason string) {
 	e := b.newEntry(audit.SessionEnd, h)
-	e.Text = why
+	e.Text = reason
 	b.fleet.Log.Add(e)
 	delete(b.sessions, h.id)
 }
@@ -364,32 +364,32 @@
 }
 
 func (f *Fleet) updateShares() {
-	asked := make([]float64, len(f.uplinkRates))
+	rackDemand := make([]float64, len(f.uplinkRates))
 	for _, b := range f.Boxes {
-		sum := 0.0
+		demand := 0.0
 		for _, h := range b.sessions {
-			sum += h.rate
+			demand += h.rate
 		}
-		b.linkUtilization = sum / b.currentLinkRate()
-		asked[b.rack] += min(sum, b.currentLinkRate())
+		b.linkUtilization = demand / b.currentLinkRate()
+		rackDemand[b.rack] += min(demand, b.currentLinkRate())
 	}
 	// copies are lower effort (RFC 8622): they get what viewers leave, and are no part of what is told of links
-	left, copying := make([]float64, len(f.uplinkRates)), make([]float64, len(f.uplinkRates))
-	for r := range left {
-		left[r] = max(f.uplinkRates[r]/f.uplinkDivisors[r]-asked[r], 0)
+	remaining, copyDemand := make([]float64, len(f.uplinkRates)), make([]float64, len(f.uplinkRates))
+	for r := range remaining {
+		remaining[r] = max(f.uplinkRates[r]/f.uplinkDivisors[r]-rackDemand[r], 0)
 	}
 	for _, b := range f.Boxes {
 		c := b.copyRate()
 		b.copyShare = min(max(b.currentLinkRate()*(1-b.linkUtilization), 0)/max(c, 1e-9), 1)
-		copying[b.rack] += c * b.copyShare
+		copyDemand[b.rack] += c * b.copyShare
 	}
 	for _, b := range f.Boxes {
-		b.copyShare *= min(left[b.rack]/max(copying[b.rack], 1e-9), 1)
+		b.copyShare *= min(remaining[b.rack]/max(copyDemand[b.rack], 1e-9), 1)
 	}
 	for _, b := range f.Boxes {
 		b.rateShare = min(1, 1/max(b.linkUtilization, 1e-9))
-		if up := f.uplinkRates[b.rack] / f.uplinkDivisors[b.rack]; up > 0 {
-			b.rateShare *= min(1, up/max(asked[b.rack], 1e-9))
+		if uplink := f.uplinkRates[b.rack] / f.uplinkDivisors[b.rack]; uplink > 0 {
+			b.rateShare *= min(1, uplink/max(rackDemand[b.rack], 1e-9))
 		}
 	}
 }
@@ -406,15 +406,15 @@
 
 // notes sends each edge with sessions here what the module's notes tell, on one session of each.
 func (b *Box) sendNotes(n int) {
-	second := n%10 == 0
-	every := int(b.fleet.Site.Notes.LinkEvery.D() / tickInterval)
-	one := map[string]*session{}
-	for _, h := range b.sessions {
-		if o := one[h.edge]; o == nil || h.id < o.id {
-			one[h.edge] = h
+	everySecond := n%10 == 0
+	linkNoteTicks := int(b.fleet.Site.Notes.LinkEvery.D() / tickInterval)
+	sessionByEdge := map[string]*session{}
+	for _, s := range b.sessions {
+		if o := sessionByEdge[s.edge]; o == nil || s.id < o.id {
+			sessionByEdge[s.edge] = s
 		}
 	}
-	short := b.rateShare < 0.98
+	limited := b.rateShare < 0.98
 	for name, e := range b.eventStreams {
 		if !e.closedAt.IsZero() {
 			if time.Since(e.closedAt) > edgeTimeout {
@@ -425,47 +425,47 @@
 		if b.isCutOff(name) {
 			continue
 		}
-		if second {
+		if everySecond {
 			b.sendNote(e, "{}", 0)
 		}
-		h := one[name]
-		if h == nil {
+		s := sessionByEdge[name]
+		if s == nil {
 			continue
 		}
-		if second && (short || b.wasLimited) {
-			b.sendNote(e, fmt.Sprintf(`{"s":%q,"k":1,"x":%.4f}`, h.id, b.rateShare), b.noteDelay())
+		if everySecond && (limited || b.wasLimited) {
+			b.sendNote(e, fmt.Sprintf(`{"s":%q,"k":1,"x":%.4f}`, s.id, b.rateShare), b.noteDelay())
 		}
-		if every > 0 && n%every == 0 {
-			full := b.linkUtilization
+		if linkNoteTicks > 0 && n%linkNoteTicks == 0 {
+			utilization := b.linkUtilization
 			if b.faults.FrozenNotes {
-				if old, ok := b.frozenUtilization[name]; ok {
-					full = old
+				if previous, ok := b.frozenUtilization[name]; ok {
+					utilization = previous
 				}
 			}
-			b.frozenUtilization[name] = full
-			b.sendNote(e, fmt.Sprintf(`{"s":%q,"k":3,"x":%.4f}`, h.id, full), b.noteDelay())
-			b.sendNote(e, fmt.Sprintf(`{"s":%q,"k":4,"x":%.4f}`, h.id, b.fleet.uplinkUtilization(b.rack)), b.noteDelay())
+			b.frozenUtilization[name] = utilization
+			b.sendNote(e, fmt.Sprintf(`{"s":%q,"k":3,"x":%.4f}`, s.id, utilization), b.noteDelay())
+			b.sendNote(e, fmt.Sprintf(`{"s":%q,"k":4,"x":%.4f}`, s.id, b.fleet.uplinkUtilization(b.rack)), b.noteDelay())
 		}
 	}
-	if second {
-		b.wasLimited = short
+	if everySecond {
+		b.wasLimited = limited
 	}
 }
 
 func (b *Box) noteDelay() time.Duration { return b.fleet.Site.Notes.Delay.D() + b.faults.NoteDelay }
 
-func (b *Box) sendNote(e *eventStream, line string, after time.Duration) {
-	put := func() {
+func (b *Box) sendNote(e *eventStream, line string, delay time.Duration) {
+	enqueue := func() {
 		select {
 		case e.lines <- line:
 		default: // an edge that does not read loses notes
 		}
 	}
-	if after > 0 {
-		time.AfterFunc(after, put)
+	if delay > 0 {
+		time.AfterFunc(delay, enqueue)
 		return
 	}
-	put()
+	enqueue()
 }
 
 // drop lets go the sessions of an edge that is gone.
@@ -488,22 +488,22 @@
 	}
 	e := &eventStream{lines: make(chan string, 64)}
 	b.eventStreams[edge] = e
-	ids, left := []string{}, []map[string]any{}
+	ids, takenOver := []string{}, []map[string]any{}
 	position, _, _ := strings.Cut(edge, ".")
-	for _, h := range b.sessions {
-		switch before, _, _ := strings.Cut(h.edge, "."); {
-		case h.edge == edge:
-			ids = append(ids, h.id)
-		case before == position: // of an earlier instance: handed over
-			h.edge = edge
-			left = append(left, map[string]any{"id": h.id, "title": h.title, "class": h.class, "viewer": h.viewer, "rung": h.rung,
-				"best": h.bestRung, "since_ms": time.Since(h.startedAt).Milliseconds()})
+	for _, s := range b.sessions {
+		switch sessionPosition, _, _ := strings.Cut(s.edge, "."); {
+		case s.edge == edge:
+			ids = append(ids, s.id)
+		case sessionPosition == position: // of an earlier instance: handed over
+			s.edge = edge
+			takenOver = append(takenOver, map[string]any{"id": s.id, "title": s.title, "class": s.class, "viewer": s.viewer, "rung": s.rung,
+				"best": s.bestRung, "since_ms": time.Since(s.startedAt).Milliseconds()})
 		}
 	}
 	boot := b.bootID
 	f.mu.Unlock()
 	out := http.NewResponseController(w)
-	first, _ := json.Marshal(map[string]any{"boot": boot, "sessions": ids, "held": left})
+	first, _ := json.Marshal(map[string]any{"boot": boot, "sessions": ids, "held": takenOver})
 	fmt.Fprintf(w, "%s\n", first)
 	_ = out.Flush()
 	defer func() {
@@ -519,8 +519,8 @@
 			return
 		case <-f.ctx.Done():
 			return
-		case l := <-e.lines:
-			if _, err := fmt.Fprintln(w, l); err != nil || out.Flush() != nil {
+		case line := <-e.lines:
+			if _, err := fmt.Fprintln(w, line); err != nil || out.Flush() != nil {
 				return
 			}
 		}
@@ -530,14 +530,14 @@
 func (b *Box) handleHealth(w http.ResponseWriter, r *http.Request) {
 	b.fleet.mu.Lock()
 	hang, state, boot, started := b.faults.Hang && !b.faults.FalseHealth, b.state, b.bootID, b.started.UnixMilli()
-	changed := b.titlesVersion
+	titlesVersion := b.titlesVersion
 	b.setLoadHeader(w)
 	b.fleet.mu.Unlock()
 	if hang {
 		<-r.Context().Done()
 		return
 	}
-	fmt.Fprintf(w, `{"state":%q,"boot":%q,"started_ms":%d,"titles_version":%d}`+"\n", state, boot, started, changed)
+	fmt.Fprintf(w, `{"state":%q,"boot":%q,"started_ms":%d,"titles_version":%d}`+"\n", state, boot, started, titlesVersion)
 }
 
 // load reports in the answer, as CMSD (CTA-5006) with keys of the project's own.
@@ -549,91 +549,91 @@
 // setUp takes an attempt, in the order: hang, cold push, draining, full, set-up time, run.
 func (b *Box) handleSetUp(w http.ResponseWriter, r *http.Request) {
 	f, q := b.fleet, r.URL.Query()
-	h := &session{id: r.PathValue("id"), edge: q.Get("edge"), title: q.Get("title"), class: q.Get("class"), viewer: q.Get("viewer"), startedAt: time.Now()}
-	h.attempt, _ = strconv.Atoi(q.Get("attempt"))
-	h.rung, _ = strconv.Atoi(q.Get("rung"))
-	h.bestRung, _ = strconv.Atoi(q.Get("best"))
-	class := f.Site.Class(h.class)
-	if class < 0 || h.rung < 0 || h.rung >= len(f.Site.Ladder) {
+	s := &session{id: r.PathValue("id"), edge: q.Get("edge"), title: q.Get("title"), class: q.Get("class"), viewer: q.Get("viewer"), startedAt: time.Now()}
+	s.attempt, _ = strconv.Atoi(q.Get("attempt"))
+	s.rung, _ = strconv.Atoi(q.Get("rung"))
+	s.bestRung, _ = strconv.Atoi(q.Get("best"))
+	class := f.Site.Class(s.class)
+	if class < 0 || s.rung < 0 || s.rung >= len(f.Site.Ladder) {
 		http.Error(w, "no such class or rung", http.StatusBadRequest)
 		return
 	}
-	h.rate = f.rungRate(class, h.rung)
-	e := b.newEntry(audit.SetUpReceived, h)
+	s.rate = f.rungRate(class, s.rung)
+	e := b.newEntry(audit.SetUpReceived, s)
 	f.Log.Add(e)
-	over := func(text string) {
+	logEnded := func(text string) {
 		e.Event, e.Text = audit.SetUpEnded, text
 		f.Log.Add(e)
 	}
-	never := func(why string) {
+	refuse := func(why string) {
 		e.Event = audit.SetUpNotRun
 		f.Log.Add(e)
-		over("refused")
+		logEnded("refused")
 		w.Header().Set("Rainpulley-Reason", why)
 		http.Error(w, why, http.StatusServiceUnavailable)
 	}
 	f.mu.Lock()
 	fault := b.faults
-	if away := b.isCutOff(h.edge); away {
+	if cutOff := b.isCutOff(s.edge); cutOff {
 		fault.Hang = true
 	} else {
 		b.checkColdLoad()
 	}
-	up := b.running
-	reason := b.refusalReason(h.title)
-	setup := f.SetUpTime + fault.ExtraSetUpTime
-	before := f.rng.Float64() < fault.ResetShare/2
+	running := b.running
+	reason := b.refusalReason(s.title)
+	setUpTime := f.SetUpTime + fault.ExtraSetUpTime
+	resetBefore := f.rng.Float64() < fault.ResetShare/2
 	b.setLoadHeader(w)
 	f.mu.Unlock()
 	switch {
-	case !up:
-		over("fell")
+	case !running:
+		logEnded("fell")
 		panic(http.ErrAbortHandler)
 	case fault.Hang:
 		<-r.Context().Done()
-		over("closed")
+		logEnded("closed")
 		return
 	case reason != "":
-		never(reason)
+		refuse(reason)
 		return
-	case before:
-		over("reset")
+	case resetBefore:
+		logEnded("reset")
 		panic(http.ErrAbortHandler)
 	}
 	select {
 	case <-r.Context().Done():
-		over("closed")
+		logEnded("closed")
 		return
-	case <-time.After(setup):
+	case <-time.After(setUpTime):
 	}
 	f.mu.Lock()
 	if !b.running {
 		f.mu.Unlock()
-		over("fell")
+		logEnded("fell")
 		panic(http.ErrAbortHandler)
 	}
-	if reason = b.refusalReason(h.title); reason != "" {
+	if reason = b.refusalReason(s.title); reason != "" {
 		f.mu.Unlock()
-		never(reason)
+		refuse(reason)
 		return
 	}
-	b.sessions[h.id] = h
-	f.Log.Add(b.newEntry(audit.SetUpRan, h))
-	lost, reset := f.rng.Float64() < fault.LostAnswerShare, f.rng.Float64() < fault.ResetShare/2
+	b.sessions[s.id] = s
+	f.Log.Add(b.newEntry(audit.SetUpRan, s))
+	loseAnswer, resetAfter := f.rng.Float64() < fault.LostAnswerShare, f.rng.Float64() < fault.ResetShare/2
 	b.setLoadHeader(w)
 	f.mu.Unlock()
 	switch {
-	case reset:
-		over("reset")
+	case resetAfter:
+		logEnded("reset")
 		panic(http.ErrAbortHandler)
-	case lost:
+	case loseAnswer:
 		<-r.Context().Done()
-		over("closed")
+		logEnded("closed")
 		return
 	}
-	w.Header().Set("Content-Location", "/t/"+h.title+"/index.m3u8")
+	w.Header().Set("Content-Location", "/t/"+s.title+"/index.m3u8")
 	w.Header().Set("Content-Type", "application/vnd.apple.mpegurl")
-	over("playing")
+	logEnded("playing")
 	w.WriteHeader(http.StatusCreated)
 	manifest := f.multivariantPlaylist(class)
 	if fault.Manifest != "" {
@@ -669,8 +669,8 @@
 	for now.Sub(b.recentSetUps[0]) >= r.FallSpan.D() {
 		b.recentSetUps = b.recentSetUps[1:]
 	}
-	pace := float64(b.streamSlots) / r.Ramp.D().Seconds() * (r.StartShare + (1-r.StartShare)*age.Seconds()/r.Ramp.D().Seconds())
-	if float64(len(b.recentSetUps)) > r.FallFactor*pace*r.FallSpan.D().Seconds()+3 {
+	rampRate := float64(b.streamSlots) / r.Ramp.D().Seconds() * (r.StartShare + (1-r.StartShare)*age.Seconds()/r.Ramp.D().Seconds())
+	if float64(len(b.recentSetUps)) > r.FallFactor*rampRate*r.FallSpan.D().Seconds()+3 {
 		b.fleet.Log.Add(audit.Entry{Observer: "box", Subject: b.Addr, Event: audit.BoxOverloaded})
 		b.crash("fell")
 	}
--- a/internal/standin/catalogue.go
+++ b/internal/standin/catalogue.go
@@ -70,30 +70,30 @@
 	mux.HandleFunc("PUT /v1/agent/service/register", c.handleRegister)
 	mux.HandleFunc("PUT /v1/agent/service/deregister/{id}", c.handleDeregister)
 	mux.HandleFunc("PUT /v1/agent/check/update/{id}", c.handleCheckUpdate)
-	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	c.mu.Lock()
-	c.server, c.addr = s, ln.Addr().String()
+	c.server, c.addr = server, ln.Addr().String()
 	c.mu.Unlock()
-	go func() { _ = s.Serve(ln) }()
+	go func() { _ = server.Serve(ln) }()
 	return ln.Addr().String(), nil
 }
 
 // Stop ends it at once; Start may follow on the same address.
 func (c *Catalogue) Stop() {
 	c.mu.Lock()
-	s := c.server
+	server := c.server
 	c.server = nil
 	c.mu.Unlock()
-	if s != nil {
-		_ = s.Close()
+	if server != nil {
+		_ = server.Close()
 	}
 }
 
 // Change does something to services and keys, under a new index.
-func (c *Catalogue) Update(do func(services map[string]*Service, keys map[string]string)) {
+func (c *Catalogue) Update(change func(services map[string]*Service, keys map[string]string)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	do(c.services, c.keys)
+	change(c.services, c.keys)
 	c.incrementIndex()
 }
 
@@ -112,15 +112,15 @@
 }
 
 // Token makes a token necessary; what waits is let go.
-func (c *Catalogue) RequireToken(t string) {
+func (c *Catalogue) RequireToken(token string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.token = t
+	c.token = token
 	c.incrementIndex()
 }
 
 // Asked are the moments of all requests so far, and how many wait now.
-func (c *Catalogue) Requests() (at []time.Time, waiting int) {
+func (c *Catalogue) Requests() (times []time.Time, waiting int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.requestTimes), c.waitingQueries
@@ -176,29 +176,29 @@
 	if err != nil || wait <= 0 {
 		wait = 5 * time.Minute
 	}
-	over := time.NewTimer(wait)
-	defer over.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for known > 0 {
 		c.mu.Lock()
-		now, changed := c.index-c.fault.IndexDecrease, c.changed
-		if now != known {
+		current, changed := c.index-c.fault.IndexDecrease, c.changed
+		if current != known {
 			c.mu.Unlock()
 			return
 		}
 		c.waitingQueries++
 		c.mu.Unlock()
-		ended := false
+		expired := false
 		select {
 		case <-changed:
-		case <-over.C:
-			ended = true
+		case <-timer.C:
+			expired = true
 		case <-ctx.Done():
-			ended = true
+			expired = true
 		}
 		c.mu.Lock()
 		c.waitingQueries--
 		c.mu.Unlock()
-		if ended {
+		if expired {
 			return
 		}
 	}
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -94,9 +94,9 @@
 			return
 		}
 		r.mu.Lock()
-		wait := r.delay
+		delay := r.delay
 		r.mu.Unlock()
-		time.Sleep(wait)
+		time.Sleep(delay)
 		if _, err := in.Write(buf[:n]); err != nil {
 			return
 		}
@@ -113,26 +113,26 @@
 		}
 		line := b[:i]
 		b = b[i+1:]
-		var l view.Update
-		if len(line) == 0 || line[0] != '{' || json.Unmarshal(line, &l) != nil {
+		var update view.Update
+		if len(line) == 0 || line[0] != '{' || json.Unmarshal(line, &update) != nil {
 			continue // heads and chunk sizes
 		}
-		r.logUpdate(l)
+		r.logUpdate(update)
 	}
 }
 
-func (r *Relay) logUpdate(l view.Update) {
+func (r *Relay) logUpdate(update view.Update) {
 	add := func(box, state string) {
 		r.Log.Add(audit.Entry{Observer: "relay", Subject: box, Event: audit.StatePublished, Edge: strconv.Itoa(r.Edge), Text: state})
 	}
 	listed := map[string]bool{}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, b := range l.Boxes {
+	for _, b := range update.Boxes {
 		listed[b.ID], r.knownBoxes[b.ID] = true, true
 		add(b.ID, string(b.State))
 	}
-	if !l.Full {
+	if !update.Full {
 		return
 	}
 	for id := range r.knownBoxes { // what a whole view does not name is gone
--- a/internal/standin/titles.go
+++ b/internal/standin/titles.go
@@ -27,13 +27,13 @@
 
 // size of a title with all its renditions.
 func (f *Fleet) titleSizeKB(title string) float64 {
-	sum := 0.0
+	rate := 0.0
 	for _, r := range f.Site.Ladder {
-		sum += float64(r.Rate)
+		rate += float64(r.Rate)
 	}
 	for _, t := range f.Site.Titles {
 		if t.Name == title {
-			return sum * t.Length.D().Seconds()
+			return rate * t.Length.D().Seconds()
 		}
 	}
 	return 0
@@ -79,18 +79,18 @@
 	if b.faults.FullDisk {
 		return 0
 	}
-	sum, first := 0.0, 0.0
+	used, initial := 0.0, 0.0
 	for _, s := range b.titles {
-		sum += max(s.sizeKB, s.copiedKB) // what is being copied has its room
+		used += max(s.sizeKB, s.copiedKB) // what is being copied has its room
 	}
-	all := 0.0
+	average := 0.0
 	for _, t := range b.fleet.Site.Titles {
-		all += b.fleet.titleSizeKB(t.Name) * float64(t.Span) / float64(len(b.fleet.Boxes))
+		average += b.fleet.titleSizeKB(t.Name) * float64(t.Span) / float64(len(b.fleet.Boxes))
 	}
 	for _, s := range b.fleet.initialTitles(b.fleet.cellOf(b)) {
-		first += s.sizeKB
+		initial += s.sizeKB
 	}
-	return max(max(first, all)*b.fleet.DiskFactor-sum, 0) // one that holds little has as large a disk as most
+	return max(max(initial, average)*b.fleet.DiskFactor-used, 0) // one that holds little has as large a disk as most
 }
 
 func (f *Fleet) cellOf(b *Box) int {
@@ -130,7 +130,7 @@
 }
 
 func (b *Box) handleListTitles(w http.ResponseWriter, r *http.Request) {
-	type line struct {
+	type titleLine struct {
 		Name    string  `json:"name"`
 		Whole   bool    `json:"whole"`
 		Copying bool    `json:"copying"`
@@ -141,13 +141,13 @@
 	}
 	b.fleet.mu.Lock()
 	out := struct {
-		Boot    string  `json:"boot"`
-		Version uint64  `json:"titles_version"`
-		Free    float64 `json:"free_kb"`
-		Titles  []line  `json:"titles"`
-	}{b.bootID, b.titlesVersion, b.freeDiskKB(), []line{}}
+		Boot    string      `json:"boot"`
+		Version uint64      `json:"titles_version"`
+		Free    float64     `json:"free_kb"`
+		Titles  []titleLine `json:"titles"`
+	}{b.bootID, b.titlesVersion, b.freeDiskKB(), []titleLine{}}
 	for name, s := range b.titles {
-		out.Titles = append(out.Titles, line{name, s.complete, s.cancelCopy != nil, s.copiedKB, s.sizeKB, b.countSessions(name), s.lastError})
+		out.Titles = append(out.Titles, titleLine{name, s.complete, s.cancelCopy != nil, s.copiedKB, s.sizeKB, b.countSessions(name), s.lastError})
 	}
 	hang := b.faults.Hang
 	b.fleet.mu.Unlock()
@@ -155,7 +155,7 @@
 		<-r.Context().Done()
 		return
 	}
-	slices.SortFunc(out.Titles, func(x, y line) int { return strings.Compare(x.Name, y.Name) })
+	slices.SortFunc(out.Titles, func(x, y titleLine) int { return strings.Compare(x.Name, y.Name) })
 	_ = json.NewEncoder(w).Encode(out)
 }
 
@@ -170,9 +170,9 @@
 	return true
 }
 
-func writeRefusal(w http.ResponseWriter, code int, why string) {
-	w.Header().Set("Rainpulley-Reason", why)
-	http.Error(w, why, code)
+func writeRefusal(w http.ResponseWriter, code int, reason string) {
+	w.Header().Set("Rainpulley-Reason", reason)
+	http.Error(w, reason, code)
 }
 
 func (b *Box) handleFetchTitle(w http.ResponseWriter, r *http.Request) {
@@ -225,16 +225,16 @@
 func (b *Box) copyFrom(ctx context.Context, from, title string, s *storedTitle, rate float64) error {
 	f := b.fleet
 	f.mu.Lock()
-	done := s.copiedKB
+	copied := s.copiedKB
 	f.mu.Unlock()
-	q := url.Values{"from": {strconv.FormatFloat(done, 'f', 3, 64)}, "rate": {strconv.FormatFloat(rate, 'f', 3, 64)}}
+	q := url.Values{"from": {strconv.FormatFloat(copied, 'f', 3, 64)}, "rate": {strconv.FormatFloat(rate, 'f', 3, 64)}}
 	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+from+"/titles/"+title+"/data?"+q.Encode(), nil)
 	if err != nil {
 		return err
 	}
-	t := &http.Transport{}
-	defer t.CloseIdleConnections()
-	resp, err := (&http.Client{Transport: t}).Do(req)
+	transport := &http.Transport{}
+	defer transport.CloseIdleConnections()
+	resp, err := (&http.Client{Transport: transport}).Do(req)
 	if err != nil {
 		return err
 	}
@@ -246,12 +246,12 @@
 	for {
 		n, err := resp.Body.Read(buf)
 		f.mu.Lock()
-		spare := b.copyShare
+		share := b.copyShare
 		f.mu.Unlock()
-		if spare < 1 { // its own link is the narrower: the sender is held back by what is not read
+		if share < 1 { // its own link is the narrower: the sender is held back by what is not read
 			select {
 			case <-ctx.Done():
-			case <-time.After(time.Duration(float64(n) * f.ModelScale / 1000 / rate / max(spare, 0.01) * float64(time.Second))):
+			case <-time.After(time.Duration(float64(n) * f.ModelScale / 1000 / rate / max(share, 0.01) * float64(time.Second))):
 			}
 		}
 		f.mu.Lock()
@@ -281,9 +281,9 @@
 	rate, err2 := strconv.ParseFloat(r.URL.Query().Get("rate"), 64)
 	f.mu.Lock()
 	ok := b.hasTitleLocked(title) && err1 == nil && err2 == nil && rate > 0 && from >= 0
-	left := 0.0
+	remaining := 0.0
 	if ok {
-		left = b.titles[title].sizeKB - from
+		remaining = b.titles[title].sizeKB - from
 		b.copySendRate += rate
 	}
 	f.mu.Unlock()
@@ -295,7 +295,7 @@
 	out := http.NewResponseController(w)
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
-	for left > 0 {
+	for remaining > 0 {
 		select {
 		case <-r.Context().Done():
 			return
@@ -304,15 +304,15 @@
 		case <-t.C:
 		}
 		f.mu.Lock()
-		kb, hang, has := min(rate*tickInterval.Seconds()*b.copyShare, left), b.faults.Hang, b.hasTitleLocked(title)
+		kb, hang, hasTitle := min(rate*tickInterval.Seconds()*b.copyShare, remaining), b.faults.Hang, b.hasTitleLocked(title)
 		f.mu.Unlock()
-		if !has {
+		if !hasTitle {
 			panic(http.ErrAbortHandler)
 		}
 		if hang || kb <= 0 {
 			continue
 		}
-		left -= kb
+		remaining -= kb
 		if _, err := w.Write(make([]byte, int(kb*1000/f.ModelScale)+1)); err != nil || out.Flush() != nil {
 			return
 		}
--- a/internal/standin/viewer.go
+++ b/internal/standin/viewer.go
@@ -64,62 +64,64 @@
 }
 
 // Run goes through the whole session.
-func (v *Viewer) Run(ctx context.Context) (rep ViewerReport) {
+func (v *Viewer) Run(ctx context.Context) (report ViewerReport) {
 	begin := time.Now()
 	end := begin.Add(v.SessionLength)
-	rep = ViewerReport{Class: v.Class, WorthAsked: v.SessionLength.Seconds() * v.rungWorth(v.BestRung)}
-	rep.Account = regret.SessionAccount{BestRung: v.BestRung, WaitedSeconds: map[regret.Cause]float64{}}
+	report = ViewerReport{Class: v.Class, WorthAsked: v.SessionLength.Seconds() * v.rungWorth(v.BestRung)}
+	report.Account = regret.SessionAccount{BestRung: v.BestRung, WaitedSeconds: map[regret.Cause]float64{}}
 	for rung := range v.Site.Ladder {
-		rep.Account.WorthPerSecond = append(rep.Account.WorthPerSecond, v.rungWorth(rung))
+		report.Account.WorthPerSecond = append(report.Account.WorthPerSecond, v.rungWorth(rung))
 	}
-	defer func() { rep.Account.WorthAsked, rep.Account.WorthDelivered = rep.WorthAsked, rep.WorthDelivered }()
-	without, why := begin, regret.LateStart // no session since, and for what cause
-	waited := func(until time.Time) {
-		if until = minTime(until, end); until.After(without) {
-			rep.Account.WaitedSeconds[why] += until.Sub(without).Seconds()
-			without = until
+	defer func() {
+		report.Account.WorthAsked, report.Account.WorthDelivered = report.WorthAsked, report.WorthDelivered
+	}()
+	withoutSince, cause := begin, regret.LateStart // no session since, and for what cause
+	addWait := func(until time.Time) {
+		if until = minTime(until, end); until.After(withoutSince) {
+			report.Account.WaitedSeconds[cause] += until.Sub(withoutSince).Seconds()
+			withoutSince = until
 		}
 	}
-	defer func() { waited(end) }() // one that gave up is without a session to the end, for the same cause
-	last := "failed"
-	for try := 0; try <= v.Retries && ctx.Err() == nil && time.Now().Before(end); try++ {
-		edge := try % len(v.Edges)
-		rep.Requests++
-		status, body, wait := v.request(ctx, edge)
+	defer func() { addWait(end) }() // one that gave up is without a session to the end, for the same cause
+	lastOutcome := "failed"
+	for attempt := 0; attempt <= v.Retries && ctx.Err() == nil && time.Now().Before(end); attempt++ {
+		edge := attempt % len(v.Edges)
+		report.Requests++
+		status, body, retryAfter := v.request(ctx, edge)
 		if status == 200 {
-			if rep.Outcome == "" {
-				if rep.Outcome = "played"; time.Since(begin) > v.Site.Classes[v.Class].Aim.D() {
-					rep.Outcome = "late"
+			if report.Outcome == "" {
+				if report.Outcome = "played"; time.Since(begin) > v.Site.Classes[v.Class].Aim.D() {
+					report.Outcome = "late"
 				}
 			}
-			waited(time.Now())
-			if done := v.play(ctx, v.Edges[edge], body, begin, end, &rep); done {
-				without = end
-				return rep
+			addWait(time.Now())
+			if finished := v.play(ctx, v.Edges[edge], body, begin, end, &report); finished {
+				withoutSince = end
+				return report
 			}
-			without, why = time.Now(), regret.Interrupted
-			rep.Breaks++
-		} else if last = "failed"; status == 503 {
-			last = "refused"
-			rep.Refusals++
+			withoutSince, cause = time.Now(), regret.Interrupted
+			report.Breaks++
+		} else if lastOutcome = "failed"; status == 503 {
+			lastOutcome = "refused"
+			report.Refusals++
 			if v.RefusalCause != nil {
-				waited(time.Now())
-				why = v.RefusalCause(v.Title, v.Class, v.EdgePositions[edge])
+				addWait(time.Now())
+				cause = v.RefusalCause(v.Title, v.Class, v.EdgePositions[edge])
 			}
 		} else {
-			rep.Failures++
-			waited(time.Now())
-			why = regret.Interrupted
+			report.Failures++
+			addWait(time.Now())
+			cause = regret.Interrupted
 		}
-		if wait == 0 {
-			wait = time.Duration(200+v.Rand.IntN(600)) * time.Millisecond
+		if retryAfter == 0 {
+			retryAfter = time.Duration(200+v.Rand.IntN(600)) * time.Millisecond
 		}
-		sleep(ctx, wait)
+		sleep(ctx, retryAfter)
 	}
-	if rep.Outcome == "" {
-		rep.Outcome = last
+	if report.Outcome == "" {
+		report.Outcome = lastOutcome
 	}
-	return rep
+	return report
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -131,7 +133,7 @@
 
 // ask sends one request for the session on a connection of its own, and sees to it that one answer
 // comes and nothing after it.
-func (v *Viewer) request(ctx context.Context, edge int) (status int, body string, wait time.Duration) {
+func (v *Viewer) request(ctx context.Context, edge int) (status int, body string, retryAfter time.Duration) {
 	class := v.Site.Classes[v.Class]
 	deadline := class.Deadline.D()
 	id := "v" + strconv.FormatInt(requestCount.Add(1), 10)
@@ -143,41 +145,41 @@
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
 	e := audit.Entry{Observer: "viewer", Subject: v.Key, Viewer: v.Key, Session: id, Edge: strconv.Itoa(v.EdgePositions[edge]), Title: v.Title,
 		Class: class.Name, Value: deadline.Seconds()}
-	add := func(what string, code int) {
-		e.Event, e.Status = what, code
+	logEvent := func(event string, code int) {
+		e.Event, e.Status = event, code
 		v.Log.Add(e)
 	}
 	q := url.Values{"class": {class.Name}, "best": {strconv.Itoa(v.BestRung)}, "key": {v.Key}}
-	add(audit.RequestSent, 0)
+	logEvent(audit.RequestSent, 0)
 	fmt.Fprintf(conn, "GET /play/%s/index.m3u8?%s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", v.Title, q.Encode(), v.Edges[edge])
-	patience := deadline + 2*time.Second
+	timeout := deadline + 2*time.Second
 	if v.GiveUpAfter > 0 {
-		patience = v.GiveUpAfter
+		timeout = v.GiveUpAfter
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	_ = conn.SetReadDeadline(time.Now().Add(timeout))
 	r := bufio.NewReader(conn)
-	p, err := http.ReadResponse(r, nil)
+	resp, err := http.ReadResponse(r, nil)
 	var text []byte
 	if err == nil {
-		text, err = io.ReadAll(p.Body)
+		text, err = io.ReadAll(resp.Body)
 	}
 	if err != nil {
-		var late net.Error
-		if what := audit.Unanswered; errors.As(err, &late) && late.Timeout() || ctx.Err() != nil {
-			add(audit.ViewerGaveUp, 0)
+		var timeoutErr net.Error
+		if event := audit.Unanswered; errors.As(err, &timeoutErr) && timeoutErr.Timeout() || ctx.Err() != nil {
+			logEvent(audit.ViewerGaveUp, 0)
 		} else {
-			add(what, 0)
+			logEvent(event, 0)
 		}
 		return 0, "", 0
 	}
-	add(audit.AnswerReceived, p.StatusCode)
+	logEvent(audit.AnswerReceived, resp.StatusCode)
 	if _, err := r.ReadByte(); err == nil {
-		add(audit.ExtraBytes, 0)
+		logEvent(audit.ExtraBytes, 0)
 	}
-	if ms, err := strconv.Atoi(p.Header.Get("Rainpulley-Retry-After-Ms")); err == nil {
-		wait = time.Duration(ms) * time.Millisecond
+	if ms, err := strconv.Atoi(resp.Header.Get("Rainpulley-Retry-After-Ms")); err == nil {
+		retryAfter = time.Duration(ms) * time.Millisecond
 	}
-	return p.StatusCode, string(text), wait
+	return resp.StatusCode, string(text), retryAfter
 }
 
 // player follows one media playlist as RFC 8216, 6.3 asks of clients.
@@ -192,7 +194,7 @@
 }
 
 // play plays until the session's time is over (true), or it breaks (false).
-func (v *Viewer) play(ctx context.Context, edge, manifest string, begin, end time.Time, rep *ViewerReport) bool {
+func (v *Viewer) play(ctx context.Context, edge, manifest string, begin, end time.Time, report *ViewerReport) bool {
 	uri := ""
 	for _, l := range strings.Split(manifest, "\n") {
 		if l != "" && l[0] != '#' {
@@ -200,12 +202,12 @@
 		}
 	}
 	if uri == "" {
-		rep.PlayerErrors = append(rep.PlayerErrors, "manifest without a variant")
+		report.PlayerErrors = append(report.PlayerErrors, "manifest without a variant")
 		return false
 	}
-	t := &http.Transport{}
-	defer t.CloseIdleConnections()
-	p := &player{client: &http.Client{Transport: t, Timeout: v.Site.Classes[v.Class].Deadline.D() + time.Second}, lastContent: -1, bufferedUntil: time.Now(), lastRung: -1}
+	transport := &http.Transport{}
+	defer transport.CloseIdleConnections()
+	p := &player{client: &http.Client{Transport: transport, Timeout: v.Site.Classes[v.Class].Deadline.D() + time.Second}, lastContent: -1, bufferedUntil: time.Now(), lastRung: -1}
 	for time.Now().Before(end) && ctx.Err() == nil {
 		code, text := v.reload(ctx, p, edge, uri)
 		if code != 200 {
@@ -215,23 +217,23 @@
 			sleep(ctx, 300*time.Millisecond)
 			continue
 		}
-		if rep.FirstPlaylist == 0 {
-			rep.FirstPlaylist = time.Since(begin)
+		if report.FirstPlaylist == 0 {
+			report.FirstPlaylist = time.Since(begin)
 		}
-		list, err := parsePlaylist(text)
+		media, err := parsePlaylist(text)
 		if err != nil {
-			rep.PlayerErrors = append(rep.PlayerErrors, err.Error())
+			report.PlayerErrors = append(report.PlayerErrors, err.Error())
 			return false
 		}
-		fetched := v.fetchSegments(ctx, p, list, end, rep)
-		if list.ended && p.nextSequence >= list.firstSequence+uint64(len(list.uris)) {
+		fetched := v.fetchSegments(ctx, p, media, end, report)
+		if media.ended && p.nextSequence >= media.firstSequence+uint64(len(media.uris)) {
 			sleep(ctx, time.Until(minTime(end, p.bufferedUntil)))
 			return true
 		}
 		if !fetched { // RFC 8216, 6.3.4: half the target duration after no change
 			sleep(ctx, 400*time.Millisecond)
-		} else if ahead := time.Until(p.bufferedUntil); ahead > time.Second {
-			sleep(ctx, ahead-time.Second)
+		} else if buffered := time.Until(p.bufferedUntil); buffered > time.Second {
+			sleep(ctx, buffered-time.Second)
 		}
 	}
 	return true
@@ -251,11 +253,11 @@
 	e.Event = audit.RequestSent
 	v.Log.Add(e)
 	code, text, err := p.getURL(ctx, "http://"+edge+uri)
-	var late net.Error
+	var timeoutErr net.Error
 	switch e.Status = code; {
 	case err == nil:
 		e.Event = audit.AnswerReceived
-	case errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || errors.As(err, &late) && late.Timeout():
+	case errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || errors.As(err, &timeoutErr) && timeoutErr.Timeout():
 		e.Event = audit.ViewerGaveUp // nobody listens, or it hangs up: the time tells whether an answer was owed
 	default:
 		e.Event = audit.Unanswered
@@ -272,55 +274,55 @@
 }
 
 // fetch takes the segments that are new, and earns for those that play in time.
-func (v *Viewer) fetchSegments(ctx context.Context, p *player, l playlist, end time.Time, rep *ViewerReport) (any bool) {
+func (v *Viewer) fetchSegments(ctx context.Context, p *player, media playlist, end time.Time, report *ViewerReport) (fetched bool) {
 	if !p.started {
-		p.nextSequence, p.started = l.firstSequence, true
+		p.nextSequence, p.started = media.firstSequence, true
 	}
-	if p.nextSequence < l.firstSequence { // segments fell out before they were fetched
-		p.nextSequence = l.firstSequence
+	if p.nextSequence < media.firstSequence { // segments fell out before they were fetched
+		p.nextSequence = media.firstSequence
 	}
-	for p.nextSequence < l.firstSequence+uint64(len(l.uris)) && ctx.Err() == nil && time.Now().Before(end) {
-		i := int(p.nextSequence - l.firstSequence)
-		code, _ := p.getSegment(ctx, l.uris[i])
+	for p.nextSequence < media.firstSequence+uint64(len(media.uris)) && ctx.Err() == nil && time.Now().Before(end) {
+		i := int(p.nextSequence - media.firstSequence)
+		code, _ := p.getSegment(ctx, media.uris[i])
 		if code != 200 {
 			p.failures++
-			return any && p.failures < 2
+			return fetched && p.failures < 2
 		}
-		p.failures, any = 0, true
+		p.failures, fetched = 0, true
 		p.nextSequence++
-		rung, content := parseSegmentURI(l.uris[i])
+		rung, content := parseSegmentURI(media.uris[i])
 		if content <= p.lastContent {
 			continue // published again after a move: seen already
 		}
 		p.lastContent = content
 		now := time.Now()
 		if p.bufferedUntil.Before(now) {
-			rep.Stalled += now.Sub(p.bufferedUntil)
+			report.Stalled += now.Sub(p.bufferedUntil)
 			if from := minTime(p.bufferedUntil, end); now.After(from) {
-				rep.Account.StalledSeconds += minTime(now, end).Sub(from).Seconds()
+				report.Account.StalledSeconds += minTime(now, end).Sub(from).Seconds()
 			}
 			p.bufferedUntil = now
 		}
 		from := p.bufferedUntil
-		p.bufferedUntil = p.bufferedUntil.Add(time.Duration(l.durations[i] * float64(time.Second)))
-		rep.Segments++
+		p.bufferedUntil = p.bufferedUntil.Add(time.Duration(media.durations[i] * float64(time.Second)))
+		report.Segments++
 		if from.Before(end) {
-			secs := minTime(p.bufferedUntil, end).Sub(from).Seconds()
-			rep.WorthDelivered += secs * v.rungWorth(rung)
+			seconds := minTime(p.bufferedUntil, end).Sub(from).Seconds()
+			report.WorthDelivered += seconds * v.rungWorth(rung)
 			if p.lastRung >= 0 && rung != p.lastRung { // a change costs the viewer so much of what it then plays
 				cost := v.Site.Notes.SwitchCost.D().Seconds() * v.rungWorth(rung)
-				rep.WorthDelivered -= cost
-				rep.Account.RungChangeCost += cost
+				report.WorthDelivered -= cost
+				report.Account.RungChangeCost += cost
 			}
-			if n := len(rep.Account.PlayedSpans); n > 0 && rung == p.lastRung {
-				rep.Account.PlayedSpans[n-1].Seconds += secs
+			if n := len(report.Account.PlayedSpans); n > 0 && rung == p.lastRung {
+				report.Account.PlayedSpans[n-1].Seconds += seconds
 			} else {
-				rep.Account.PlayedSpans = append(rep.Account.PlayedSpans, regret.PlayedSpan{Rung: rung, Seconds: secs})
+				report.Account.PlayedSpans = append(report.Account.PlayedSpans, regret.PlayedSpan{Rung: rung, Seconds: seconds})
 			}
 			p.lastRung = rung
 		}
 	}
-	return any
+	return fetched
 }
 
 // place reads rung and number out of a segment's URI.
@@ -341,20 +343,20 @@
 }
 
 func (p *player) getURL(ctx context.Context, uri string) (int, string, error) {
-	q, err := http.NewRequestWithContext(ctx, "GET", uri, nil)
+	req, err := http.NewRequestWithContext(ctx, "GET", uri, nil)
 	if err != nil {
 		return 0, "", err
 	}
-	r, err := p.client.Do(q)
+	resp, err := p.client.Do(req)
 	if err != nil {
 		return 0, "", err
 	}
-	defer r.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(r.Body, 4<<20))
+	defer resp.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(resp.Body, 4<<20))
 	if err != nil {
 		return 0, "", err
 	}
-	return r.StatusCode, string(b), nil
+	return resp.StatusCode, string(body), nil
 }
 
 // list is a media playlist as this viewer reads it, with no code of the front's.
@@ -365,30 +367,30 @@
 	ended         bool
 }
 
-func parsePlaylist(text string) (l playlist, err error) {
+func parsePlaylist(text string) (media playlist, err error) {
 	if !strings.HasPrefix(text, "#EXTM3U\n") || !strings.Contains(text, "#EXT-X-TARGETDURATION:") {
-		return l, errors.New("no media playlist")
+		return media, errors.New("no media playlist")
 	}
 	for _, line := range strings.Split(text, "\n") {
 		switch {
 		case strings.HasPrefix(line, "#EXT-X-MEDIA-SEQUENCE:"):
-			l.firstSequence, err = strconv.ParseUint(line[len("#EXT-X-MEDIA-SEQUENCE:"):], 10, 64)
+			media.firstSequence, err = strconv.ParseUint(line[len("#EXT-X-MEDIA-SEQUENCE:"):], 10, 64)
 		case strings.HasPrefix(line, "#EXTINF:"):
 			d, _, _ := strings.Cut(line[len("#EXTINF:"):], ",")
 			var n float64
 			n, err = strconv.ParseFloat(d, 64)
-			l.durations = append(l.durations, n)
+			media.durations = append(media.durations, n)
 		case line == "#EXT-X-ENDLIST":
-			l.ended = true
+			media.ended = true
 		case line != "" && line[0] != '#':
-			l.uris = append(l.uris, line)
+			media.uris = append(media.uris, line)
 		}
 		if err != nil {
-			return l, err
+			return media, err
 		}
 	}
-	if len(l.uris) != len(l.durations) {
-		return l, errors.New("segments and durations differ in number")
+	if len(media.uris) != len(media.durations) {
+		return media, errors.New("segments and durations differ in number")
 	}
-	return l, nil
+	return media, nil
 }
