--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -197,8 +197,8 @@
 }
 
 func (c *checker) classEffect(class string) string {
-	if k := c.site.Class(class); k >= 0 {
-		return c.site.Classes[k].Effect
+	if index := c.site.Class(class); index >= 0 {
+		return c.site.Classes[index].Effect
 	}
 	return ""
 }
@@ -225,8 +225,8 @@
 			}
 		case e.Observer == "box" && e.Event == SetUpReceived:
 			c.countCheck(DrainsRespected)
-			if at, ok := notReadySince[key{edgePosition(e.Edge), e.Subject}]; ok && e.TimeMicros > at+grace {
-				c.addBreach(DrainsRespected, e, "set-up %d ms after edge %s was told", (e.TimeMicros-at)/1000, edgePosition(e.Edge))
+			if since, ok := notReadySince[key{edgePosition(e.Edge), e.Subject}]; ok && e.TimeMicros > since+grace {
+				c.addBreach(DrainsRespected, e, "set-up %d ms after edge %s was told", (e.TimeMicros-since)/1000, edgePosition(e.Edge))
 			}
 		}
 	}
@@ -286,11 +286,11 @@
 			continue
 		}
 		k := seatKey{e.Edge, e.Title, e.Class}
-		n := c.site.Class(e.Class)
-		if n < 0 {
+		index := c.site.Class(e.Class)
+		if index < 0 {
 			continue
 		}
-		class := c.site.Classes[n]
+		class := c.site.Classes[index]
 		switch e.Event {
 		case SetUpReceived, RungSet:
 			c.countCheck(ClassTermsRespected)
@@ -330,16 +330,16 @@
 	span := r.BudgetSpan.D().Microseconds()
 	requests, retries := map[string][]int64{}, map[string][]int64{}
 	for _, e := range entries {
-		p := edgePosition(e.Edge)
+		position := edgePosition(e.Edge)
 		switch {
 		case e.Observer == "viewer" && e.Event == RequestSent && e.Text != PlaylistReload: // most reloads are no request to the module
-			requests[p] = append(dropBefore(requests[p], e.TimeMicros-span-budgetSlack), e.TimeMicros)
+			requests[position] = append(dropBefore(requests[position], e.TimeMicros-span-budgetSlack), e.TimeMicros)
 		case e.Observer == "box" && e.Event == SetUpReceived && e.Attempt > 0:
 			c.countCheck(AttemptBudgetRespected)
-			retries[p] = append(dropBefore(retries[p], e.TimeMicros-span+budgetSlack), e.TimeMicros)
-			allowed := r.BudgetFree + r.BudgetShare*float64(len(dropBefore(requests[p], e.TimeMicros-span-budgetSlack)))
-			if float64(len(retries[p])) > allowed {
-				c.addBreach(AttemptBudgetRespected, e, "%d further attempts of edge %s in %v, %.1f allowed", len(retries[p]), p, r.BudgetSpan.D(), allowed)
+			retries[position] = append(dropBefore(retries[position], e.TimeMicros-span+budgetSlack), e.TimeMicros)
+			allowed := r.BudgetFree + r.BudgetShare*float64(len(dropBefore(requests[position], e.TimeMicros-span-budgetSlack)))
+			if float64(len(retries[position])) > allowed {
+				c.addBreach(AttemptBudgetRespected, e, "%d further attempts of edge %s in %v, %.1f allowed", len(retries[position]), position, r.BudgetSpan.D(), allowed)
 			}
 		}
 	}
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -51,44 +51,44 @@
 		case control.ViewerLeft:
 			delete(p.openRequests, e.ID)
 		case control.AttemptEnded:
-			q := p.openRequests[e.ID]
-			if q == nil || e.Final {
+			req := p.openRequests[e.ID]
+			if req == nil || e.Final {
 				delete(p.openRequests, e.ID)
 				continue
 			}
-			q.mayHaveRun = q.mayHaveRun || e.Outcome != control.Full && e.Outcome != control.ConnectFailed && e.Outcome != control.NotSent
-			out = append(out, p.trySend(q)...)
+			req.mayHaveRun = req.mayHaveRun || e.Outcome != control.Full && e.Outcome != control.ConnectFailed && e.Outcome != control.NotSent
+			out = append(out, p.trySend(req)...)
 		}
 	}
 	return out
 }
 
-func (p *Random) trySend(q *openRequest) []control.Action {
-	class := p.settings.Classes[q.Class]
+func (p *Random) trySend(req *openRequest) []control.Action {
+	class := p.settings.Classes[req.Class]
 	var holders []string
 	for id, s := range p.servers {
 		n := p.settings.Cells
-		hasTitle := ((s.Cell-q.HomeCell)%n+n)%n < q.CellSpan
-		if q.Holders != nil {
-			hasTitle = slices.Contains(q.Holders, id)
+		hasTitle := ((s.Cell-req.HomeCell)%n+n)%n < req.CellSpan
+		if req.Holders != nil {
+			hasTitle = slices.Contains(req.Holders, id)
 		}
 		if s.State == control.Ready && hasTitle {
 			holders = append(holders, id)
 		}
 	}
 	slices.SortFunc(holders, strings.Compare)
-	isRetry := q.attempts > 0
-	if q.mayHaveRun && class.Effect != control.Idempotent {
-		return []control.Action{control.Fail{ID: q.ID}}
+	isRetry := req.attempts > 0
+	if req.mayHaveRun && class.Effect != control.Idempotent {
+		return []control.Action{control.Fail{ID: req.ID}}
 	}
 	budgetSpent := isRetry && p.settings.BudgetSpan > 0 && float64(p.retries+1) > p.settings.BudgetShare*float64(p.requests)
-	if len(holders) == 0 || q.attempts >= 2 || budgetSpent {
-		return []control.Action{control.Refuse{ID: q.ID}}
+	if len(holders) == 0 || req.attempts >= 2 || budgetSpent {
+		return []control.Action{control.Refuse{ID: req.ID}}
 	}
 	if isRetry {
 		p.retries++
 	}
-	q.attempts++
-	return []control.Action{control.SetRung{ID: q.ID, Rung: class.MinRung},
-		control.Send{ID: q.ID, Server: holders[p.rng.IntN(len(holders))], Timeout: class.Aim}}
+	req.attempts++
+	return []control.Action{control.SetRung{ID: req.ID, Rung: class.MinRung},
+		control.Send{ID: req.ID, Server: holders[p.rng.IntN(len(holders))], Timeout: class.Aim}}
 }
--- a/internal/regret/regret.go
+++ b/internal/regret/regret.go
@@ -50,9 +50,9 @@
 type LossByCause map[Cause]float64
 
 // Sum is all of them together.
-func (p LossByCause) Total() (sum float64) {
+func (l LossByCause) Total() (sum float64) {
 	for _, c := range Causes() {
-		sum += p[c]
+		sum += l[c]
 	}
 	return sum
 }
@@ -88,21 +88,21 @@
 }
 
 // Add adds up.
-func (p LossByCause) Add(other LossByCause) {
+func (l LossByCause) Add(other LossByCause) {
 	for c, w := range other {
-		p[c] += w
+		l[c] += w
 	}
 }
 
 // Towards is the distance to what a better plan would have delivered, split by cause: all losses shrink
 // alike, so that their sum is that distance. What even the better plan loses has no cause of ours.
-func (p LossByCause) ScaleToGap(asked, delivered, betterDelivered float64) LossByCause {
+func (l LossByCause) ScaleToGap(asked, delivered, betterDelivered float64) LossByCause {
 	scaled := LossByCause{}
 	lost, gap := asked-delivered, betterDelivered-delivered
 	if lost <= 0 {
 		return scaled
 	}
-	for c, w := range p {
+	for c, w := range l {
 		scaled[c] = w * gap / lost
 	}
 	return scaled
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -194,8 +194,8 @@
 		return
 	}
 	b.running = false
-	for _, h := range b.sessions {
-		b.endSession(h, reason)
+	for _, s := range b.sessions {
+		b.endSession(s, reason)
 	}
 	b.stopCopies()
 	server := b.server
@@ -278,16 +278,16 @@
 func (f *Fleet) RefusalCause(title string, class, edge int) regret.Cause {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	k := f.Site.Classes[class]
-	minRate, seatsTaken := f.rungRate(class, k.Floor), 0
+	classConfig := f.Site.Classes[class]
+	minRate, seatsTaken := f.rungRate(class, classConfig.Floor), 0
 	holderHasSlot, holderHasCapacity, otherHasCapacity := false, false, false
 	rackDemand := make([]float64, len(f.uplinkRates))
 	for _, b := range f.Boxes {
 		rackDemand[b.rack] += b.linkUtilization * b.currentLinkRate()
 	}
 	for _, b := range f.Boxes {
-		for _, h := range b.sessions {
-			if position, _, _ := strings.Cut(h.edge, "."); h.title == title && h.class == k.Name && position == strconv.Itoa(edge) {
+		for _, s := range b.sessions {
+			if position, _, _ := strings.Cut(s.edge, "."); s.title == title && s.class == classConfig.Name && position == strconv.Itoa(edge) {
 				seatsTaken++
 			}
 		}
@@ -303,7 +303,7 @@
 		}
 	}
 	switch {
-	case k.Seats > 0 && seatsTaken >= k.Seats:
+	case classConfig.Seats > 0 && seatsTaken >= classConfig.Seats:
 		return regret.RefusedForSeats
 	case holderHasCapacity:
 		return regret.RefusedDespiteHolder
@@ -322,16 +322,16 @@
 	return len(b.sessions)
 }
 
-func (b *Box) newEntry(what string, h *session) audit.Entry {
-	return audit.Entry{Observer: "box", Subject: b.Addr, Event: what, Session: h.id, Edge: h.edge, Title: h.title, Class: h.class,
-		Rung: h.rung, Attempt: h.attempt, Viewer: h.viewer}
+func (b *Box) newEntry(event string, s *session) audit.Entry {
+	return audit.Entry{Observer: "box", Subject: b.Addr, Event: event, Session: s.id, Edge: s.edge, Title: s.title, Class: s.class,
+		Rung: s.rung, Attempt: s.attempt, Viewer: s.viewer}
 }
 
-func (b *Box) endSession(h *session, reason string) {
-	e := b.newEntry(audit.SessionEnd, h)
+func (b *Box) endSession(s *session, reason string) {
+	e := b.newEntry(audit.SessionEnd, s)
 	e.Text = reason
 	b.fleet.Log.Add(e)
-	delete(b.sessions, h.id)
+	delete(b.sessions, s.id)
 }
 
 // present is what the box's link gives now.
@@ -367,8 +367,8 @@
 	rackDemand := make([]float64, len(f.uplinkRates))
 	for _, b := range f.Boxes {
 		demand := 0.0
-		for _, h := range b.sessions {
-			demand += h.rate
+		for _, s := range b.sessions {
+			demand += s.rate
 		}
 		b.linkUtilization = demand / b.currentLinkRate()
 		rackDemand[b.rack] += min(demand, b.currentLinkRate())
@@ -410,7 +410,7 @@
 	linkNoteTicks := int(b.fleet.Site.Notes.LinkEvery.D() / tickInterval)
 	sessionByEdge := map[string]*session{}
 	for _, s := range b.sessions {
-		if o := sessionByEdge[s.edge]; o == nil || s.id < o.id {
+		if chosen := sessionByEdge[s.edge]; chosen == nil || s.id < chosen.id {
 			sessionByEdge[s.edge] = s
 		}
 	}
@@ -470,9 +470,9 @@
 
 // drop lets go the sessions of an edge that is gone.
 func (b *Box) endEdgeSessions(edge string) {
-	for _, h := range b.sessions {
-		if h.edge == edge {
-			b.endSession(h, "edge gone")
+	for _, s := range b.sessions {
+		if s.edge == edge {
+			b.endSession(s, "edge gone")
 		}
 	}
 	delete(b.eventStreams, edge)
@@ -565,31 +565,31 @@
 		e.Event, e.Text = audit.SetUpEnded, text
 		f.Log.Add(e)
 	}
-	refuse := func(why string) {
+	refuse := func(reasonText string) {
 		e.Event = audit.SetUpNotRun
 		f.Log.Add(e)
 		logEnded("refused")
-		w.Header().Set("Rainpulley-Reason", why)
-		http.Error(w, why, http.StatusServiceUnavailable)
+		w.Header().Set("Rainpulley-Reason", reasonText)
+		http.Error(w, reasonText, http.StatusServiceUnavailable)
 	}
 	f.mu.Lock()
-	fault := b.faults
+	faults := b.faults
 	if cutOff := b.isCutOff(s.edge); cutOff {
-		fault.Hang = true
+		faults.Hang = true
 	} else {
 		b.checkColdLoad()
 	}
 	running := b.running
 	reason := b.refusalReason(s.title)
-	setUpTime := f.SetUpTime + fault.ExtraSetUpTime
-	resetBefore := f.rng.Float64() < fault.ResetShare/2
+	setUpTime := f.SetUpTime + faults.ExtraSetUpTime
+	resetBefore := f.rng.Float64() < faults.ResetShare/2
 	b.setLoadHeader(w)
 	f.mu.Unlock()
 	switch {
 	case !running:
 		logEnded("fell")
 		panic(http.ErrAbortHandler)
-	case fault.Hang:
+	case faults.Hang:
 		<-r.Context().Done()
 		logEnded("closed")
 		return
@@ -619,7 +619,7 @@
 	}
 	b.sessions[s.id] = s
 	f.Log.Add(b.newEntry(audit.SetUpRan, s))
-	loseAnswer, resetAfter := f.rng.Float64() < fault.LostAnswerShare, f.rng.Float64() < fault.ResetShare/2
+	loseAnswer, resetAfter := f.rng.Float64() < faults.LostAnswerShare, f.rng.Float64() < faults.ResetShare/2
 	b.setLoadHeader(w)
 	f.mu.Unlock()
 	switch {
@@ -636,8 +636,8 @@
 	logEnded("playing")
 	w.WriteHeader(http.StatusCreated)
 	manifest := f.multivariantPlaylist(class)
-	if fault.Manifest != "" {
-		manifest = fault.Manifest
+	if faults.Manifest != "" {
+		manifest = faults.Manifest
 	}
 	_, _ = w.Write([]byte(manifest))
 }
@@ -687,22 +687,22 @@
 func (b *Box) handleSetRung(w http.ResponseWriter, r *http.Request) {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
-	h := b.sessions[r.PathValue("id")]
+	s := b.sessions[r.PathValue("id")]
 	rung, err := strconv.Atoi(r.URL.Query().Get("rung"))
-	if h == nil || err != nil || rung < 0 || rung >= len(b.fleet.Site.Ladder) {
+	if s == nil || err != nil || rung < 0 || rung >= len(b.fleet.Site.Ladder) {
 		http.Error(w, "no such session or rung", http.StatusNotFound)
 		return
 	}
-	h.rung, h.rate = rung, b.fleet.rungRate(b.fleet.Site.Class(h.class), rung)
-	b.fleet.Log.Add(b.newEntry(audit.RungSet, h))
+	s.rung, s.rate = rung, b.fleet.rungRate(b.fleet.Site.Class(s.class), rung)
+	b.fleet.Log.Add(b.newEntry(audit.RungSet, s))
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (b *Box) handleRelease(w http.ResponseWriter, r *http.Request) {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
-	if h := b.sessions[r.PathValue("id")]; h != nil {
-		b.endSession(h, "released")
+	if s := b.sessions[r.PathValue("id")]; s != nil {
+		b.endSession(s, "released")
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/standin/media.go
+++ b/internal/standin/media.go
@@ -50,21 +50,21 @@
 		return
 	}
 	f.mu.Lock()
-	fault := b.faults
-	h := b.sessions[r.URL.Query().Get("s")]
+	faults := b.faults
+	s := b.sessions[r.URL.Query().Get("s")]
 	share, rate := b.rateShare, 0.0
-	if h != nil {
-		rate = h.rate
+	if s != nil {
+		rate = s.rate
 	}
 	f.mu.Unlock()
-	if fault.Hang {
+	if faults.Hang {
 		<-r.Context().Done()
 		return
 	}
 	if r.PathValue("file") == "media.m3u8" {
 		w.Header().Set("Content-Type", "application/vnd.apple.mpegurl")
-		if fault.MediaPlaylist != "" {
-			_, _ = w.Write([]byte(fault.MediaPlaylist))
+		if faults.MediaPlaylist != "" {
+			_, _ = w.Write([]byte(faults.MediaPlaylist))
 			return
 		}
 		_, _ = w.Write([]byte(mediaPlaylist(count)))
@@ -75,7 +75,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	if h == nil { // segments are for sessions that are held here
+	if s == nil { // segments are for sessions that are held here
 		http.Error(w, "no such session", http.StatusGone)
 		return
 	}
--- a/internal/standin/titles.go
+++ b/internal/standin/titles.go
@@ -94,8 +94,8 @@
 }
 
 func (f *Fleet) cellOf(b *Box) int {
-	for i, o := range f.Boxes {
-		if o == b {
+	for i, other := range f.Boxes {
+		if other == b {
 			return f.Site.Boxes[i].Cell
 		}
 	}
@@ -103,8 +103,8 @@
 }
 
 func (b *Box) countSessions(title string) (n int) {
-	for _, h := range b.sessions {
-		if h.title == title {
+	for _, s := range b.sessions {
+		if s.title == title {
 			n++
 		}
 	}
@@ -200,13 +200,13 @@
 		s = &storedTitle{sizeKB: size}
 		b.titles[title] = s
 	}
-	ctx, stop := context.WithCancel(f.ctx)
-	s.copyRate, s.lastError, s.cancelCopy = rate, "", stop
+	ctx, cancel := context.WithCancel(f.ctx)
+	s.copyRate, s.lastError, s.cancelCopy = rate, "", cancel
 	b.titlesVersion++
 	f.tasks.Add(1)
 	go func() {
 		defer f.tasks.Done()
-		defer stop()
+		defer cancel()
 		err := b.copyFrom(ctx, q.Get("from"), title, s, rate)
 		f.mu.Lock()
 		defer f.mu.Unlock()
