--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -20,17 +20,17 @@
 // run is the entries of a day in order; each has its second.
 type timeline []Entry
 
-func (r timeline) at(sec float64, e Entry) timeline {
-	e.TimeMicros = int64(sec * 1e6)
+func (r timeline) at(seconds float64, e Entry) timeline {
+	e.TimeMicros = int64(seconds * 1e6)
 	return append(r, e)
 }
 
-func viewerEntry(what, id string) Entry {
-	return Entry{Observer: "viewer", Subject: "v", Viewer: "v", Event: what, Session: id, Edge: "0", Value: 4}
+func viewerEntry(event, id string) Entry {
+	return Entry{Observer: "viewer", Subject: "v", Viewer: "v", Event: event, Session: id, Edge: "0", Value: 4}
 }
 
-func boxEntry(what, box, id string, attempt int) Entry {
-	return Entry{Observer: "box", Subject: box, Event: what, Session: id, Attempt: attempt, Edge: "0.a", Title: "t", Class: "play", Rung: 1}
+func boxEntry(event, box, id string, attempt int) Entry {
+	return Entry{Observer: "box", Subject: box, Event: event, Session: id, Attempt: attempt, Edge: "0.a", Title: "t", Class: "play", Rung: 1}
 }
 
 func modified(e Entry, change func(*Entry)) Entry {
@@ -39,16 +39,16 @@
 }
 
 // attempt is one that ran.
-func (r timeline) withAttempt(from, to float64, where, id string, n int) timeline {
-	return r.at(from, boxEntry(SetUpReceived, where, id, n)).at(to, modified(boxEntry(SetUpEnded, where, id, n), func(e *Entry) { e.Text = "playing" }))
+func (r timeline) withAttempt(from, to float64, box, id string, attempt int) timeline {
+	return r.at(from, boxEntry(SetUpReceived, box, id, attempt)).at(to, modified(boxEntry(SetUpEnded, box, id, attempt), func(e *Entry) { e.Text = "playing" }))
 }
 
-func stateEntry(edge, who, state string) Entry {
-	return Entry{Observer: "relay", Subject: who, Event: StatePublished, Edge: edge, Text: state}
+func stateEntry(edge, box, state string) Entry {
+	return Entry{Observer: "relay", Subject: box, Event: StatePublished, Edge: edge, Text: state}
 }
 
 // Each planted breach is named with its rule, box and session; beside it stands the same day without it.
-func TestPlantedBreaches(t *testing.T) {
+func TestJudgeFindsBreaches(t *testing.T) {
 	atMostOnce := func(e *Entry) { e.Class = "paid" }
 	base := timeline{}.at(0, viewerEntry(RequestSent, "q")).withAttempt(0.1, 0.2, "b1", "s1", 0).at(0.3, viewerEntry(AnswerReceived, "q"))
 	for _, c := range []struct {
@@ -107,7 +107,7 @@
 
 // A cold box with 20 streams and a ramp of 10 s stands 2/s at warm, half at its start: twice that for a
 // second is 2 set-ups, and 3 for chance.
-func TestColdWindow(t *testing.T) {
+func TestSlowStartLimit(t *testing.T) {
 	start := timeline{}.at(0, Entry{Observer: "box", Subject: "b", Event: BoxStarted, Value: 20})
 	burst := func(r timeline, n int, from float64) timeline {
 		for i := range n {
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestReadWrite(t *testing.T) {
+func TestWriteAndRead(t *testing.T) {
 	entries := timeline{}.at(0.5, viewerEntry(RequestSent, "q")).withAttempt(1, 2, "b", "s", 3)
 	var b bytes.Buffer
 	if err := Write(&b, entries); err != nil {
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -68,7 +68,7 @@
 	verdict *Verdict
 }
 
-func (c *checker) addBreach(rule string, e Entry, format string, a ...any) {
+func (c *checker) addBreach(rule string, e Entry, format string, args ...any) {
 	box := e.Subject
 	if e.Observer != "box" && e.Observer != "relay" {
 		box = ""
@@ -77,7 +77,7 @@
 	if id == "" {
 		id = e.Viewer
 	}
-	c.verdict.Breaches = append(c.verdict.Breaches, Breach{rule, e.TimeMicros, box, id, fmt.Sprintf(format, a...)})
+	c.verdict.Breaches = append(c.verdict.Breaches, Breach{rule, e.TimeMicros, box, id, fmt.Sprintf(format, args...)})
 }
 
 func (c *checker) countCheck(rule string) { c.verdict.Checks[rule]++ }
--- a/internal/regret/regret_test.go
+++ b/internal/regret/regret_test.go
@@ -10,33 +10,33 @@
 // The parts of any account add up to what it lost, and those towards a better plan to the distance.
 func TestPartsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		num := func(most float64, what string) float64 { return rapid.Float64Range(0, most).Draw(t, what) }
-		worth, w := make([]float64, 5), 0.0
+		drawUpTo := func(most float64, what string) float64 { return rapid.Float64Range(0, most).Draw(t, what) }
+		worth, total := make([]float64, 5), 0.0
 		for i := range worth {
-			w += 0.05 + num(0.5, "step")
-			worth[i] = w
+			total += 0.05 + drawUpTo(0.5, "step")
+			worth[i] = total
 		}
-		a := SessionAccount{BestRung: rapid.IntRange(0, 4).Draw(t, "best"), WorthPerSecond: worth, WorthAsked: num(100, "asked"), WorthDelivered: num(100, "delivered"),
-			WaitedSeconds: map[Cause]float64{}, StalledSeconds: num(5, "stalled"), RungChangeCost: num(2, "switches")}
+		account := SessionAccount{BestRung: rapid.IntRange(0, 4).Draw(t, "best"), WorthPerSecond: worth, WorthAsked: drawUpTo(100, "asked"), WorthDelivered: drawUpTo(100, "delivered"),
+			WaitedSeconds: map[Cause]float64{}, StalledSeconds: drawUpTo(5, "stalled"), RungChangeCost: drawUpTo(2, "switches")}
 		for range rapid.IntRange(0, 8).Draw(t, "stretches") {
-			a.PlayedSpans = append(a.PlayedSpans, PlayedSpan{rapid.IntRange(0, 4).Draw(t, "rung"), num(20, "seconds")})
+			account.PlayedSpans = append(account.PlayedSpans, PlayedSpan{rapid.IntRange(0, 4).Draw(t, "rung"), drawUpTo(20, "seconds")})
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "waits") {
-			a.WaitedSeconds[rapid.SampledFrom(Causes()).Draw(t, "why")] += num(9, "waited")
+			account.WaitedSeconds[rapid.SampledFrom(Causes()).Draw(t, "why")] += drawUpTo(9, "waited")
 		}
-		p := SplitLoss(a)
-		if math.Abs(p.Total()-(a.WorthAsked-a.WorthDelivered)) > 1e-6 {
-			t.Fatalf("parts %v add up to %v, lost %v", p, p.Total(), a.WorthAsked-a.WorthDelivered)
+		losses := SplitLoss(account)
+		if math.Abs(losses.Total()-(account.WorthAsked-account.WorthDelivered)) > 1e-6 {
+			t.Fatalf("parts %v add up to %v, lost %v", losses, losses.Total(), account.WorthAsked-account.WorthDelivered)
 		}
 		for _, c := range []Cause{NotYetRaised, SteppedDown, LowShare} {
-			if p[c] < -1e-9 {
-				t.Fatalf("%s is %v", c, p[c])
+			if losses[c] < -1e-9 {
+				t.Fatalf("%s is %v", c, losses[c])
 			}
 		}
-		if a.WorthAsked > a.WorthDelivered+1e-3 { // below, the quotient is noise
-			better := a.WorthDelivered + num(50, "better")
-			if d := p.ScaleToGap(a.WorthAsked, a.WorthDelivered, better).Total(); math.Abs(d-(better-a.WorthDelivered)) > 1e-6*max(1, better) {
-				t.Fatalf("towards %v: %v", better-a.WorthDelivered, d)
+		if account.WorthAsked > account.WorthDelivered+1e-3 { // below, the quotient is noise
+			better := account.WorthDelivered + drawUpTo(50, "better")
+			if d := losses.ScaleToGap(account.WorthAsked, account.WorthDelivered, better).Total(); math.Abs(d-(better-account.WorthDelivered)) > 1e-6*max(1, better) {
+				t.Fatalf("towards %v: %v", better-account.WorthDelivered, d)
 			}
 		}
 	})
@@ -44,10 +44,10 @@
 
 func TestSplitByRung(t *testing.T) {
 	worth := []float64{0.2, 0.5, 1}
-	p := SplitLoss(SessionAccount{BestRung: 2, WorthPerSecond: worth, WorthAsked: 40, WorthDelivered: 20, PlayedSpans: []PlayedSpan{{0, 10}, {1, 10}, {0, 10}, {1, 10}}})
+	losses := SplitLoss(SessionAccount{BestRung: 2, WorthPerSecond: worth, WorthAsked: 40, WorthDelivered: 20, PlayedSpans: []PlayedSpan{{0, 10}, {1, 10}, {0, 10}, {1, 10}}})
 	for c, want := range map[Cause]float64{NotYetRaised: 3, SteppedDown: 3, LowShare: 20, Remainder: -6} {
-		if math.Abs(p[c]-want) > 1e-9 {
-			t.Errorf("%s: %v, want %v", c, p[c], want)
+		if math.Abs(losses[c]-want) > 1e-9 {
+			t.Errorf("%s: %v, want %v", c, losses[c], want)
 		}
 	}
 }
--- a/internal/standin/media.go
+++ b/internal/standin/media.go
@@ -112,10 +112,10 @@
 	for range frames {
 		body = append(append(body, adts...), silence...)
 	}
-	stamp := binary.BigEndian.AppendUint64(nil, uint64(float64(n)*SegmentSeconds*90000)&(1<<33-1))
-	tag := privFrame("com.apple.streaming.transportStreamTimestamp", stamp)
-	if pad := size - len(body) - len(tag) - 40; pad > 0 {
-		tag = append(tag, privFrame("example.rainpulley.padding", make([]byte, pad))...)
+	timestamp := binary.BigEndian.AppendUint64(nil, uint64(float64(n)*SegmentSeconds*90000)&(1<<33-1))
+	tag := privFrame("com.apple.streaming.transportStreamTimestamp", timestamp)
+	if padding := size - len(body) - len(tag) - 40; padding > 0 {
+		tag = append(tag, privFrame("example.rainpulley.padding", make([]byte, padding))...)
 	}
 	out := append([]byte("ID3\x04\x00\x00"), syncSafe(len(tag))...)
 	return append(append(out, tag...), body...)
