--- a/cmd/rainpulley/main.go
+++ b/cmd/rainpulley/main.go
@@ -140,7 +140,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%-14s %s\n", n, s.About)
+			fmt.Printf("%-14s %s\n", n, s.Description)
 		}
 		return nil
 	}
@@ -173,7 +173,7 @@
 		s.Edges = c.Edges
 	}
 	if c.Rate > 0 {
-		s.Rate = c.Rate
+		s.ArrivalRate = c.Rate
 	}
 	if c.Speed < 0 {
 		return errors.New("--speed must not be negative")
@@ -221,28 +221,28 @@
 	}
 	r := results[0]
 	for i, x := range results { // before the oracles, which take their time
-		fmt.Fprintf(os.Stderr, "%s: %.3f of worth asked, broken rules %v\n", runs[i].name, x.Share, x.Broken)
+		fmt.Fprintf(os.Stderr, "%s: %.3f of worth asked, broken rules %v\n", runs[i].name, x.WorthShare, x.BrokenRules)
 	}
 	if !serve {
-		days[0].Judge(r, c.Oracle)
+		days[0].AddOracles(r, c.Oracle)
 	}
 	for i, p := range runs {
 		if b := results[i]; p.policy == "random" {
-			r.Baseline = &scenario.Short{Policy: b.Policy, Sessions: b.Sessions, Share: b.Share, Delivered: b.Delivered, Asked: b.Asked, Broken: b.Broken}
+			r.Baseline = &scenario.BaselineResult{Policy: b.Policy, Sessions: b.Sessions, WorthShare: b.WorthShare, WorthDelivered: b.WorthDelivered, WorthAsked: b.WorthAsked, BrokenRules: b.BrokenRules}
 		}
 	}
 	if len(s.Peaks) > 0 && !serve {
 		r.PeakResult = beside(results, days, runs, c.Oracle)
 	}
-	r.Table(os.Stdout)
+	r.WriteTable(os.Stdout)
 	if r.Baseline != nil {
-		fmt.Printf("beside it, a random holder at the lowest rung: %.3f of worth asked\n", r.Baseline.Share)
+		fmt.Printf("beside it, a random holder at the lowest rung: %.3f of worth asked\n", r.Baseline.WorthShare)
 	}
 	if p := r.PeakResult; p != nil {
 		fmt.Printf("share of worth asked   all    peak   others\ncopies, paying holds   %.3f  %.3f  %.3f\nthe same, greedy       %.3f  %.3f  %.3f\nall holds, no copies   %.3f  %.3f  %.3f\n"+
 			"neither                %.3f  %.3f  %.3f\npaced, at rest         %.3f\npaced, peak everywhere %.3f  of which closed %.2f\nthe same, steps ahead   %.3f\n"+
-			"oracle, at rest        %.3f\noracle, peak everywhere %.3f\nall links as one       %.3f\n", p.With, p.PeakWith, p.OthersWith, p.Greedy, p.PeakGreedy, p.OthersGr,
-			p.Holds, p.PeakHolds, p.OthersHold, p.Without, p.PeakNo, p.OthersNo, p.PacedRest, p.Paced, p.Closed, p.PacedAhead, p.Oracle, p.OracleAll, p.Bound)
+			"oracle, at rest        %.3f\noracle, peak everywhere %.3f\nall links as one       %.3f\n", p.ShareWith, p.PeakShareWith, p.OthersShareWith, p.ShareGreedy, p.PeakShareGreedy, p.OthersShareGreedy,
+			p.ShareHolds, p.PeakShareHolds, p.OthersShareHolds, p.ShareWithout, p.PeakShareWithout, p.OthersShareWithout, p.SharePacedAtRest, p.SharePaced, p.GapClosed, p.SharePacedWithLead, p.ShareOracle, p.ShareOracleSpread, p.ShareUpperBound)
 	}
 	line, err := json.Marshal(r)
 	if err != nil {
@@ -250,8 +250,8 @@
 	}
 	fmt.Printf("%s\n", line)
 	for i, x := range results {
-		if runs[i].policy == "module" && len(x.Broken) > 0 {
-			return fmt.Errorf("rules broken (%s): %v", runs[i].name, x.Broken)
+		if runs[i].policy == "module" && len(x.BrokenRules) > 0 {
+			return fmt.Errorf("rules broken (%s): %v", runs[i].name, x.BrokenRules)
 		}
 	}
 	return nil
@@ -274,27 +274,27 @@
 
 // beside sets the ways of planning a peak beside each other.
 func beside(results []*scenario.Result, days []*scenario.Run, runs []kind, oracle bool) *scenario.PeakResult {
-	p := &scenario.PeakResult{Bound: days[0].Bound(), Oracle: results[0].Oracle, PacedRest: results[0].Paced}
+	p := &scenario.PeakResult{ShareUpperBound: days[0].UpperBound(), ShareOracle: results[0].OracleShare, SharePacedAtRest: results[0].PacedShare}
 	if oracle {
-		p.OracleAll, _ = days[0].Oracle(true)
+		p.ShareOracleSpread, _ = days[0].OracleShare(true)
 	}
-	p.Paced = days[0].Paced(true)
-	p.PacedAhead = days[0].PacedAhead(true, time.Duration(10*float64(time.Second)/days[0].Speed))
+	p.SharePaced = days[0].PacedShare(true)
+	p.SharePacedWithLead = days[0].PacedShareWithLead(true, time.Duration(10*float64(time.Second)/days[0].Speed))
 	for i, k := range runs {
-		in, out := days[i].PeakShare()
+		in, out := days[i].PeakAndOtherShares()
 		switch k.holds {
 		case "lp":
-			p.With, p.PeakWith, p.OthersWith = results[i].Share, in, out
+			p.ShareWith, p.PeakShareWith, p.OthersShareWith = results[i].WorthShare, in, out
 		case "all":
-			p.Holds, p.PeakHolds, p.OthersHold = results[i].Share, in, out
+			p.ShareHolds, p.PeakShareHolds, p.OthersShareHolds = results[i].WorthShare, in, out
 		case "greedy":
-			p.Greedy, p.PeakGreedy, p.OthersGr = results[i].Share, in, out
+			p.ShareGreedy, p.PeakShareGreedy, p.OthersShareGreedy = results[i].WorthShare, in, out
 		case "none":
-			p.Without, p.PeakNo, p.OthersNo = results[i].Share, in, out
+			p.ShareWithout, p.PeakShareWithout, p.OthersShareWithout = results[i].WorthShare, in, out
 		}
 	}
-	if d := p.Paced - p.Without; d > 0 {
-		p.Closed = (p.With - p.Without) / d
+	if d := p.SharePaced - p.ShareWithout; d > 0 {
+		p.GapClosed = (p.ShareWith - p.ShareWithout) / d
 	}
 	return p
 }
@@ -311,7 +311,7 @@
 		return nil, nil, err
 	}
 	if serve {
-		fmt.Printf("open in a player: %s\n", r.Address())
+		fmt.Printf("open in a player: %s\n", r.PlayURL())
 	}
 	r.Play(ctx)
 	if serve && ctx.Err() == nil {
--- a/internal/scenario/paced_test.go
+++ b/internal/scenario/paced_test.go
@@ -10,13 +10,13 @@
 )
 
 // wanted is a day of which nothing is played: what the oracles see of it.
-func wanted(t *testing.T, load float64) *Run {
+func newUnplayedRun(t *testing.T, load float64) *Run {
 	t.Helper()
 	s, err := Parse("x", `{ boxes: 12, rate: 1, length: '120s', peaks: [{ titles: 1, class: 'round-play', at: '60s', length: '30s', rate: 2 }] }`)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Load = load
+	s.OfferedLoad = load
 	site, err := makeSite(s, 1, &standin.PortAllocator{})
 	if err != nil {
 		t.Fatal(err)
@@ -24,12 +24,12 @@
 	r := &Run{Options: Options{Script: s, Seed: 1, Speed: 1}, Site: site, rnd: rand.New(rand.NewPCG(1, 1)), fleet: standin.NewFleet(site, audit.NewLog(), 1)}
 	for i := range 180 {
 		at := time.Duration(i) * time.Second
-		v := r.viewer()
+		v := r.newViewer()
 		if i >= 120 { // the peak's
 			at = time.Duration(60+(i-120)/2) * time.Second
 			v.Title, v.Class, v.BestRung = site.Titles[0].Name, 0, 4
 		}
-		r.wants = append(r.wants, want{at: at, v: v, peak: i >= 120})
+		r.arrivals = append(r.arrivals, arrival{at: at, viewer: v, forPeak: i >= 120})
 	}
 	return r
 }
@@ -40,15 +40,15 @@
 func TestOracles(t *testing.T) {
 	got := map[float64]float64{}
 	for _, load := range []float64{0.05, 0.8, 3} {
-		r := wanted(t, load)
-		rest, spread, bound := r.Paced(false), r.Paced(true), r.Bound()
-		oracle, failed := r.Oracle(false)
-		wide, _ := r.Oracle(true)
+		r := newUnplayedRun(t, load)
+		rest, spread, bound := r.PacedShare(false), r.PacedShare(true), r.UpperBound()
+		oracle, failed := r.OracleShare(false)
+		wide, _ := r.OracleShare(true)
 		if failed > 0 || rest > oracle+0.02 || oracle > bound+0.02 || spread < rest-0.02 || wide < oracle-0.005 {
 			t.Errorf("load %v: paced %v, spread %v, oracle %v (%d failed), spread %v, bound %v", load, rest, spread, oracle, failed, wide, bound)
 		}
 		got[load] = rest
-		if r.Paced(false) != rest {
+		if r.PacedShare(false) != rest {
 			t.Error("another figure for the same day")
 		}
 	}
--- a/internal/scenario/peak.go
+++ b/internal/scenario/peak.go
@@ -19,29 +19,29 @@
 )
 
 // want is what a viewer wanted, for the bound.
-type want struct {
-	at     time.Duration
-	v      *standin.Viewer
-	peak   bool
-	report int
+type arrival struct {
+	at          time.Duration
+	viewer      *standin.Viewer
+	forPeak     bool
+	reportIndex int
 }
 
 // announce tells the planner of the day's peaks.
-func (r *Run) announce() error {
+func (r *Run) announcePeaks() error {
 	now := time.Now()
 	for i, p := range r.Script.Peaks {
-		if p.Silent {
+		if p.Unannounced {
 			continue
 		}
-		rate := p.Told
+		rate := p.AnnouncedRate
 		if rate <= 0 {
-			rate = p.Rate
+			rate = p.ArrivalRate
 		}
-		a := peaks.Announcement{ID: fmt.Sprint("peak-", i), Version: 1, Class: p.Class, Rate: rate * r.Speed, SessionDuration: r.session(p.Class),
-			Start: now.Add(time.Duration(float64(p.At.D()+p.Off.D()) / r.Speed)).UnixMilli(), Uncertainty: int64(float64(p.Uncertain.D().Milliseconds()) / r.Speed),
-			Duration: int64(float64(p.Length.D().Milliseconds()) / r.Speed)}
-		for k := range p.Titles {
-			a.Titles = append(a.Titles, r.Site.Titles[p.First+k].Name)
+		a := peaks.Announcement{ID: fmt.Sprint("peak-", i), Version: 1, Class: p.Class, Rate: rate * r.Speed, SessionDuration: r.meanSessionMillis(p.Class),
+			Start: now.Add(time.Duration(float64(p.Start.D()+p.AnnouncementOffset.D()) / r.Speed)).UnixMilli(), Uncertainty: int64(float64(p.Uncertainty.D().Milliseconds()) / r.Speed),
+			Duration: int64(float64(p.Duration.D().Milliseconds()) / r.Speed)}
+		for k := range p.TitleCount {
+			a.Titles = append(a.Titles, r.Site.Titles[p.FirstTitle+k].Name)
 		}
 		b, err := json.Marshal(a)
 		if err != nil {
@@ -65,50 +65,50 @@
 }
 
 // session is how long sessions of a class last, in milliseconds.
-func (r *Run) session(class string) int64 {
-	mean, _ := r.Script.life(class)
+func (r *Run) meanSessionMillis(class string) int64 {
+	mean, _ := r.Script.sessionLength(class)
 	return int64(mean * 1000 / r.Speed)
 }
 
 // peak lets a peak's viewers come.
-func (r *Run) peak(ctx context.Context, number int, p Peak, rnd *rand.Rand) {
-	if !r.wait(ctx, p.At.D()) || p.Rate <= 0 {
+func (r *Run) runPeak(ctx context.Context, number int, p Peak, rnd *rand.Rand) {
+	if !r.sleep(ctx, p.Start.D()) || p.ArrivalRate <= 0 {
 		return
 	}
-	over := time.After(time.Duration(float64(p.Length.D()) / r.Speed))
+	over := time.After(time.Duration(float64(p.Duration.D()) / r.Speed))
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-over:
 			return
-		case <-time.After(time.Duration(rnd.ExpFloat64() / (p.Rate * r.Speed) * float64(time.Second))):
+		case <-time.After(time.Duration(rnd.ExpFloat64() / (p.ArrivalRate * r.Speed) * float64(time.Second))):
 		}
-		v := r.viewer()
+		v := r.newViewer()
 		v.Class = r.Site.Class(p.Class)
 		r.mu.Lock()
-		r.lasts(v)
+		r.drawSessionLength(v)
 		r.mu.Unlock()
 		v.BestRung = len(r.Site.Ladder) - 1
 		if t := r.Site.Classes[v.Class].Top; t != nil {
 			v.BestRung = *t
 		}
 		v.GiveUpAfter = 0
-		v.Title = r.Site.Titles[p.First+rnd.IntN(p.Titles)].Name
-		r.come(ctx, v, true)
+		v.Title = r.Site.Titles[p.FirstTitle+rnd.IntN(p.TitleCount)].Name
+		r.startViewer(ctx, v, true)
 	}
 }
 
 // heldBox is the box that holds most of the first peak's titles.
-func (r *Run) heldBox() int {
+func (r *Run) boxWithMostPeakTitles() int {
 	if len(r.Script.Peaks) == 0 {
 		return 0
 	}
 	p, most, best := r.Script.Peaks[0], -1, 0
 	for i, b := range r.Site.Boxes {
 		n := 0
-		for k := range p.Titles {
-			t := r.Site.Titles[p.First+k]
+		for k := range p.TitleCount {
+			t := r.Site.Titles[p.FirstTitle+k]
 			if ((b.Cell-t.Home)%r.Site.Cells+r.Site.Cells)%r.Site.Cells < t.Span {
 				n++
 			}
@@ -124,29 +124,29 @@
 // each second, what all viewers of that second want, fitted into all links taken as one, by the steps that
 // earn most for each kB/s. Holders, racks, streams, seats and the price of switches are left out, so that
 // the true best lies below it.
-func (r *Run) Bound() float64 {
+func (r *Run) UpperBound() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	capacity, asked, got := r.fleet.TotalLinkRate(), 0.0, 0.0
 	const step = 0.25 // seconds
 	last := 0.0
-	for _, w := range r.wants {
-		last = max(last, (w.at + w.v.SessionLength).Seconds())
+	for _, w := range r.arrivals {
+		last = max(last, (w.at + w.viewer.SessionLength).Seconds())
 	}
 	type gain struct{ worth, kb float64 }
 	for t := step / 2; t < last; t += step {
 		var gains []gain
-		for _, w := range r.wants {
-			if t < w.at.Seconds() || t >= (w.at+w.v.SessionLength).Seconds() {
+		for _, w := range r.arrivals {
+			if t < w.at.Seconds() || t >= (w.at+w.viewer.SessionLength).Seconds() {
 				continue
 			}
-			k := r.Site.Classes[w.v.Class]
+			k := r.Site.Classes[w.viewer.Class]
 			worth, kb := 0.0, 0.0
-			for _, g := range hull(r, w.v.Class, k.Floor, w.v.BestRung) {
+			for _, g := range worthHull(r, w.viewer.Class, k.Floor, w.viewer.BestRung) {
 				gains = append(gains, gain{g[0] - worth, g[1] - kb})
 				worth, kb = g[0], g[1]
 			}
-			asked += step * k.Worth * r.Site.Ladder[w.v.BestRung].Worth
+			asked += step * k.Worth * r.Site.Ladder[w.viewer.BestRung].Worth
 		}
 		slices.SortFunc(gains, func(a, b gain) int { return int(math.Copysign(1, b.worth*a.kb-a.worth*b.kb)) })
 		room := capacity
@@ -167,13 +167,13 @@
 // Oracle is the share that a plan reaches which knows who comes when, and moves every viewer for nothing
 // to where a linear program wants it: on the true holders, links, uplinks and streams, sampled
 // sixty times a day, or as many as are solved in forty seconds. With spread, the titles of peaks lie on every box. Samples that the solver's arithmetic fails on are left out; the second result counts them.
-func (r *Run) Oracle(spread bool) (share float64, failed int) {
+func (r *Run) OracleShare(spread bool) (share float64, failed int) {
 	r.mu.Lock()
-	wants := slices.Clone(r.wants)
+	wants := slices.Clone(r.arrivals)
 	r.mu.Unlock()
 	last := 0.0
 	for _, w := range wants {
-		last = max(last, (w.at + w.v.SessionLength).Seconds())
+		last = max(last, (w.at + w.viewer.SessionLength).Seconds())
 	}
 	var mu sync.Mutex
 	var work sync.WaitGroup
@@ -187,10 +187,10 @@
 		go func() {
 			defer work.Done()
 			defer func() { <-slots }()
-			if time.Since(begin) > oracleFor {
+			if time.Since(begin) > oracleTimeLimit {
 				return
 			}
-			f, demands, all := r.wanted(wants, t, spread)
+			f, demands, all := r.demandAt(wants, t, spread)
 			p, err := peaks.SolveLP(f, demands)
 			mu.Lock()
 			defer mu.Unlock()
@@ -209,12 +209,12 @@
 }
 
 const (
-	oracleSamples = 60
-	oracleFor     = 40 * time.Second
+	oracleSamples   = 60
+	oracleTimeLimit = 40 * time.Second
 )
 
 // wanted is what is wanted at a moment, as a plan sees it, and what it is worth in full.
-func (r *Run) wanted(wants []want, t float64, spread bool) (*peaks.Fleet, []peaks.Demand, float64) {
+func (r *Run) demandAt(wants []arrival, t float64, spread bool) (*peaks.Fleet, []peaks.Demand, float64) {
 	f := r.fleet.ActualFleet()
 	for _, g := range r.Site.Ladder {
 		f.Ladder, f.RungWorths = append(f.Ladder, float64(g.Rate)), append(f.RungWorths, g.Worth)
@@ -225,9 +225,9 @@
 	}
 	n, asked := map[group]float64{}, 0.0
 	for _, w := range wants {
-		if t >= w.at.Seconds() && t < (w.at+w.v.SessionLength).Seconds() {
-			n[group{w.v.Title, w.v.Class, w.v.BestRung}]++
-			asked += r.Site.Classes[w.v.Class].Worth * r.Site.Ladder[w.v.BestRung].Worth
+		if t >= w.at.Seconds() && t < (w.at+w.viewer.SessionLength).Seconds() {
+			n[group{w.viewer.Title, w.viewer.Class, w.viewer.BestRung}]++
+			asked += r.Site.Classes[w.viewer.Class].Worth * r.Site.Ladder[w.viewer.BestRung].Worth
 		}
 	}
 	var demands []peaks.Demand
@@ -238,7 +238,7 @@
 					f.Classes = append(f.Classes, peaks.Class{RateFactor: k.RateFactor, FloorRung: k.Floor, TopRung: best, Worth: k.Worth})
 					d := peaks.Demand{Peak: "all", Title: fmt.Sprint(title.Name, class, best), Class: len(f.Classes) - 1,
 						HomeCell: title.Home, CellSpan: title.Span, Sessions: c, Worth: k.Worth}
-					if spread && r.inPeak(title.Name) {
+					if spread && r.isPeakTitle(title.Name) {
 						d.CellSpan = f.Cells
 					}
 					demands = append(demands, d)
@@ -249,10 +249,10 @@
 	return f, demands, asked
 }
 
-func (r *Run) inPeak(title string) bool {
+func (r *Run) isPeakTitle(title string) bool {
 	for _, p := range r.Script.Peaks {
-		for i := range p.Titles {
-			if r.Site.Titles[p.First+i].Name == title {
+		for i := range p.TitleCount {
+			if r.Site.Titles[p.FirstTitle+i].Name == title {
 				return true
 			}
 		}
@@ -261,7 +261,7 @@
 }
 
 // hull is the upper hull of worth over kB/s from nothing to the best rung: what mixing rungs could earn.
-func hull(r *Run, class, floor, best int) (out [][2]float64) {
+func worthHull(r *Run, class, floor, best int) (out [][2]float64) {
 	k := r.Site.Classes[class]
 	for i := floor; i <= best; i++ {
 		p := [2]float64{k.Worth * r.Site.Ladder[i].Worth, float64(r.Site.Ladder[i].Rate) * k.RateFactor}
@@ -282,17 +282,17 @@
 }
 
 // PeakShare is the share of worth delivered of asked by viewers of peaks, and by the others.
-func (r *Run) PeakShare() (in, outside float64) {
+func (r *Run) PeakAndOtherShares() (in, outside float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var asked, got [2]float64
-	for _, w := range r.wants {
+	for _, w := range r.arrivals {
 		i := 0
-		if w.peak {
+		if w.forPeak {
 			i = 1
 		}
-		asked[i] += r.reports[w.report].WorthAsked
-		got[i] += r.reports[w.report].WorthDelivered
+		asked[i] += r.reports[w.reportIndex].WorthAsked
+		got[i] += r.reports[w.reportIndex].WorthDelivered
 	}
 	return round(got[1] / max(asked[1], 1e-9)), round(got[0] / max(asked[0], 1e-9))
 }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -38,49 +38,49 @@
 // Run is one running fleet.
 type Run struct {
 	Options
-	Site    *config.Site
-	fleet   *standin.Fleet
-	log     *audit.Log
-	relays  []*standin.Relay
-	path    string
-	procs   []*process // edges, then the planner
-	rnd     *rand.Rand
-	mu      sync.Mutex
-	rate    float64 // times as many viewers
-	hot     float64
-	reports []standin.ViewerReport
-	viewers sync.WaitGroup
-	faults  int
-	begun   time.Time
-	wants   []want
-	wrong   []string // answers of the planner that should have been others
+	Site          *config.Site
+	fleet         *standin.Fleet
+	auditLog      *audit.Log
+	plannerRelays []*standin.Relay
+	sitePath      string
+	processes     []*process // edges, then the planner
+	rnd           *rand.Rand
+	mu            sync.Mutex
+	arrivalFactor float64 // times as many viewers
+	hotTitleShare float64
+	reports       []standin.ViewerReport
+	activeViewers sync.WaitGroup
+	faultCount    int
+	startedAt     time.Time
+	arrivals      []arrival
+	plannerErrors []string // answers of the planner that should have been others
 }
 
 // process is one program of the fleet, started again under the same arguments.
 type process struct {
-	name string
-	args []string
-	cmd  *exec.Cmd
-	log  *os.File
-	mu   sync.Mutex
-	done chan struct{}
+	name    string
+	args    []string
+	cmd     *exec.Cmd
+	logFile *os.File
+	mu      sync.Mutex
+	exited  chan struct{}
 }
 
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cmd = exec.Command(p.args[0], p.args[1:]...)
-	p.cmd.Stderr = p.log
+	p.cmd.Stderr = p.logFile
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("scenario: %s: %w", p.name, err)
 	}
-	p.done = make(chan struct{})
-	go func(c *exec.Cmd, done chan struct{}) { _ = c.Wait(); close(done) }(p.cmd, p.done)
+	p.exited = make(chan struct{})
+	go func(c *exec.Cmd, done chan struct{}) { _ = c.Wait(); close(done) }(p.cmd, p.exited)
 	return nil
 }
 
 // end sends a signal and waits; what does not end by then is killed.
-func (p *process) end(sig syscall.Signal, within time.Duration) {
+func (p *process) stop(sig syscall.Signal, within time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil || p.cmd.Process == nil {
@@ -88,10 +88,10 @@
 	}
 	_ = p.cmd.Process.Signal(sig)
 	select {
-	case <-p.done:
+	case <-p.exited:
 	case <-time.After(within):
 		_ = p.cmd.Process.Kill()
-		<-p.done
+		<-p.exited
 	}
 }
 
@@ -107,16 +107,16 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Run{Options: o, Site: site, log: audit.NewLog(), rnd: rand.New(rand.NewPCG(o.Seed, 11)), rate: 1}
-	r.fleet = standin.NewFleet(site, r.log, o.Seed)
-	r.fleet.DiskFactor = o.Script.Disk
+	r := &Run{Options: o, Site: site, auditLog: audit.NewLog(), rnd: rand.New(rand.NewPCG(o.Seed, 11)), arrivalFactor: 1}
+	r.fleet = standin.NewFleet(site, r.auditLog, o.Seed)
+	r.fleet.DiskFactor = o.Script.DiskFactor
 	if err := r.fleet.Start(ctx); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
-	if r.path, err = writeSite(o.Dir, site); err != nil {
+	if r.sitePath, err = writeSite(o.Dir, site); err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	for i := range site.Edges {
@@ -124,19 +124,19 @@
 		if err != nil {
 			return nil, fmt.Errorf("scenario: %w", err)
 		}
-		relay := &standin.Relay{Edge: i, Target: site.Planner.Listen, Log: r.log}
-		r.relays = append(r.relays, relay)
+		relay := &standin.Relay{Edge: i, Target: site.Planner.Listen, Log: r.auditLog}
+		r.plannerRelays = append(r.plannerRelays, relay)
 		go relay.Serve(ctx, ln)
-		if err := r.add("edge-"+strconv.Itoa(i), "edge", "--site", r.path, "--position", strconv.Itoa(i), "--planner", ln.Addr().String(),
+		if err := r.addProcess("edge-"+strconv.Itoa(i), "edge", "--site", r.sitePath, "--position", strconv.Itoa(i), "--planner", ln.Addr().String(),
 			"--state", filepath.Join(o.Dir, "state"), "--seed", strconv.FormatUint(o.Seed+uint64(i), 10), "--policy", o.Policy, "--grace", "6s"); err != nil {
 			return r, err
 		}
 	}
 	r.Holds, r.Copies = cmp.Or(r.Holds, "lp"), cmp.Or(r.Copies, "lp")
-	if err := r.add("planner", "planner", "--site", r.path, "--state", filepath.Join(o.Dir, "state"), "--holds", r.Holds, "--copies", r.Copies); err != nil {
+	if err := r.addProcess("planner", "planner", "--site", r.sitePath, "--state", filepath.Join(o.Dir, "state"), "--holds", r.Holds, "--copies", r.Copies); err != nil {
 		return r, err
 	}
-	for _, p := range r.procs {
+	for _, p := range r.processes {
 		if err := p.start(); err != nil {
 			return r, err
 		}
@@ -144,15 +144,15 @@
 	if err := r.waitReady(ctx); err != nil {
 		return r, err
 	}
-	return r, r.announce()
+	return r, r.announcePeaks()
 }
 
-func (r *Run) add(name string, args ...string) error {
+func (r *Run) addProcess(name string, args ...string) error {
 	f, err := os.Create(filepath.Join(r.Dir, name+".log"))
 	if err != nil {
 		return fmt.Errorf("scenario: %w", err)
 	}
-	r.procs = append(r.procs, &process{name: name, args: append(append([]string(nil), r.Command...), args...), log: f})
+	r.processes = append(r.processes, &process{name: name, args: append(append([]string(nil), r.Command...), args...), logFile: f})
 	return nil
 }
 
@@ -182,36 +182,36 @@
 // Play goes through the script and waits for the last viewer.
 func (r *Run) Play(ctx context.Context) {
 	length := time.Duration(float64(r.Script.Length.D()) / r.Speed)
-	r.begun = time.Now()
+	r.startedAt = time.Now()
 	day, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	var work sync.WaitGroup
 	for _, f := range r.Script.Faults {
-		r.faults++
+		r.faultCount++
 		seed := r.rnd.Uint64()
 		work.Add(1)
-		go func() { defer work.Done(); r.play(ctx, f, rand.New(rand.NewPCG(seed, 1))) }()
+		go func() { defer work.Done(); r.runFault(ctx, f, rand.New(rand.NewPCG(seed, 1))) }()
 	}
 	for i, p := range r.Script.Peaks {
 		seed := r.rnd.Uint64()
 		work.Add(1)
-		go func() { defer work.Done(); r.peak(ctx, i, p, rand.New(rand.NewPCG(seed, 5))) }()
+		go func() { defer work.Done(); r.runPeak(ctx, i, p, rand.New(rand.NewPCG(seed, 5))) }()
 	}
-	r.arrivals(day, ctx)
+	r.generateArrivals(day, ctx)
 	work.Wait()
-	r.viewers.Wait()
+	r.activeViewers.Wait()
 }
 
 // quietPart of the usual viewers come while the day is quiet.
-const quietPart = 0.25
+const quietArrivalFactor = 0.25
 
 // arrivals start viewers at random distances, as the rate asks.
-func (r *Run) arrivals(day, ctx context.Context) {
+func (r *Run) generateArrivals(day, ctx context.Context) {
 	for {
 		r.mu.Lock()
-		rate := r.Script.Rate * r.rate * r.Speed
-		if time.Since(r.begun) < time.Duration(float64(r.Script.Quiet.D())/r.Speed) {
-			rate *= quietPart
+		rate := r.Script.ArrivalRate * r.arrivalFactor * r.Speed
+		if time.Since(r.startedAt) < time.Duration(float64(r.Script.QuietTime.D())/r.Speed) {
+			rate *= quietArrivalFactor
 		}
 		r.mu.Unlock()
 		select {
@@ -219,29 +219,29 @@
 			return
 		case <-time.After(time.Duration(r.rnd.ExpFloat64() / rate * float64(time.Second))):
 		}
-		r.come(ctx, r.viewer(), false)
+		r.startViewer(ctx, r.newViewer(), false)
 	}
 }
 
 // come lets a viewer go through its session.
-func (r *Run) come(ctx context.Context, v *standin.Viewer, peak bool) {
-	at := time.Since(r.begun)
-	r.viewers.Add(1)
+func (r *Run) startViewer(ctx context.Context, v *standin.Viewer, peak bool) {
+	at := time.Since(r.startedAt)
+	r.activeViewers.Add(1)
 	go func() {
-		defer r.viewers.Done()
+		defer r.activeViewers.Done()
 		rep := v.Run(ctx)
 		r.mu.Lock()
 		r.reports = append(r.reports, rep)
-		r.wants = append(r.wants, want{at, v, peak, len(r.reports) - 1})
+		r.arrivals = append(r.arrivals, arrival{at, v, peak, len(r.reports) - 1})
 		r.mu.Unlock()
 	}()
 }
 
-func (r *Run) viewer() *standin.Viewer {
+func (r *Run) newViewer() *standin.Viewer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := &standin.Viewer{Site: r.Site, Log: r.log, Key: "k" + strconv.FormatUint(r.rnd.Uint64(), 36), Retries: 4, RefusalCause: r.fleet.RefusalCause}
-	v.Class = r.class()
+	v := &standin.Viewer{Site: r.Site, Log: r.auditLog, Key: "k" + strconv.FormatUint(r.rnd.Uint64(), 36), Retries: 4, RefusalCause: r.fleet.RefusalCause}
+	v.Class = r.drawClass()
 	class := r.Site.Classes[v.Class]
 	v.BestRung = len(r.Site.Ladder) - 1
 	if class.Top != nil {
@@ -251,11 +251,11 @@
 		v.BestRung = max(v.BestRung-1-r.rnd.IntN(2), class.Floor)
 	}
 	title := int(math.Pow(float64(len(r.Site.Titles)), r.rnd.Float64())) - 1 // about Zipf's law
-	if r.rnd.Float64() < r.hot {
+	if r.rnd.Float64() < r.hotTitleShare {
 		title = len(r.Site.Titles) - 1
 	}
 	v.Title = r.Site.Titles[title].Name
-	r.lasts(v)
+	r.drawSessionLength(v)
 	first := r.rnd.IntN(len(r.Site.Edges))
 	for i := range r.Site.Edges {
 		n := (first + i) % len(r.Site.Edges)
@@ -269,7 +269,7 @@
 }
 
 // class draws one by its share.
-func (r *Run) class() int {
+func (r *Run) drawClass() int {
 	x := r.rnd.Float64()
 	for i, part := range classShares {
 		if x -= part; x < 0 {
@@ -280,29 +280,29 @@
 }
 
 // lasts draws how long a viewer's session lasts.
-func (r *Run) lasts(v *standin.Viewer) {
-	mean, spread := r.Script.life(r.Site.Classes[v.Class].Name)
+func (r *Run) drawSessionLength(v *standin.Viewer) {
+	mean, spread := r.Script.sessionLength(r.Site.Classes[v.Class].Name)
 	v.SessionLength = time.Duration((mean + spread*(2*r.rnd.Float64()-1)) * float64(time.Second) / r.Speed)
 }
 
 // Stop ends the programs in order. Kept logs are in Dir.
 func (r *Run) Stop() {
 	var work sync.WaitGroup
-	for _, p := range r.procs {
+	for _, p := range r.processes {
 		work.Add(1)
 		go func() {
 			defer work.Done()
-			p.end(syscall.SIGTERM, 8*time.Second)
-			_ = p.log.Close()
+			p.stop(syscall.SIGTERM, 8*time.Second)
+			_ = p.logFile.Close()
 		}()
 	}
 	work.Wait()
 }
 
 // Entries is what passed on the sockets.
-func (r *Run) Entries() []audit.Entry { return r.log.Entries() }
+func (r *Run) Entries() []audit.Entry { return r.auditLog.Entries() }
 
 // Address is where a player finds a title.
-func (r *Run) Address() string {
+func (r *Run) PlayURL() string {
 	return "http://" + r.Site.Edges[0].Listen + "/play/" + r.Site.Titles[0].Name + "/index.m3u8"
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -34,7 +34,7 @@
 }
 
 // day plays a short script through real processes, and wants every rule kept.
-func day(t *testing.T, text string) *Result {
+func playDay(t *testing.T, text string) *Result {
 	t.Helper()
 	s, err := Parse(t.Name(), text)
 	if err != nil {
@@ -52,18 +52,18 @@
 	r.Play(ctx)
 	r.Stop()
 	out := r.Result()
-	if len(out.Broken) > 0 || out.Doubles > 0 || out.Overlaps > 0 || len(out.Bad) > 0 {
-		t.Errorf("%+v, players %v", out.Verdict, out.Bad)
+	if len(out.BrokenRules) > 0 || out.DoubleOutcomes > 0 || out.OverlappingAttempts > 0 || len(out.PlayerErrors) > 0 {
+		t.Errorf("%+v, players %v", out.Verdict, out.PlayerErrors)
 	}
-	if out.Sessions < 20 || out.Delivered <= 0 || out.Verdict.Checks["no session lost"] < out.Sessions {
-		t.Errorf("%d sessions, %.0f worth, checks %v", out.Sessions, out.Delivered, out.Verdict.Checks)
+	if out.Sessions < 20 || out.WorthDelivered <= 0 || out.Verdict.Checks["no session lost"] < out.Sessions {
+		t.Errorf("%d sessions, %.0f worth, checks %v", out.Sessions, out.WorthDelivered, out.Verdict.Checks)
 	}
 	return out
 }
 
 // A short bad day with kill -9 of edges and planner keeps every rule.
 func TestShortBadDay(t *testing.T) {
-	out := day(t, `{ length: '48s', rate: 2, speed: 6, boxes: 8, edges: 2, faults: [
+	out := playDay(t, `{ length: '48s', rate: 2, speed: 6, boxes: 8, edges: 2, faults: [
 		{ kind: 'crash', at: '6s', 'for': '12s', part: 0.2 }, { kind: 'answer_lost', at: '6s', 'for': '24s', part: 0.3, size: 0.6 },
 		{ kind: 'kill_edge', at: '12s', 'for': '6s', part: 0.5 }, { kind: 'kill_planner', at: '18s', 'for': '12s' },
 		{ kind: 'drain', at: '18s', 'for': '18s', part: 0.2 }, { kind: 'false_health', at: '24s', 'for': '12s', part: 0.2 },
@@ -78,7 +78,7 @@
 	used := map[string]bool{}
 	for _, n := range Names() {
 		s, err := Load(n)
-		if err != nil || s.About == "" {
+		if err != nil || s.Description == "" {
 			t.Errorf("%s: %v", n, err)
 			continue
 		}
@@ -86,7 +86,7 @@
 			used[f.Kind] = true
 		}
 	}
-	for k := range kinds {
+	for k := range faultKinds {
 		if !used[k] {
 			t.Errorf("no script has %s", k)
 		}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -17,56 +17,56 @@
 
 // Script is a day: its size and its trouble.
 type Script struct {
-	Name   string          `json:"name"`
-	About  string          `json:"about"`
-	Length config.Duration `json:"length"`
-	Boxes  int             `json:"boxes"`
-	Edges  int             `json:"edges"`
-	Rate   float64         `json:"rate"` // new sessions a second
-	Load   float64         `json:"load"` // what viewers ask at the middle rate over what links give
-	Titles int             `json:"titles"`
-	Faults []Fault         `json:"faults"`
-	Peaks  []Peak          `json:"peaks"`
-
-	Speed  float64         `json:"speed"`  // the script's clock over the real one, unless the command says another
-	Life   config.Duration `json:"life"`   // of a session, on the mean
-	Spread config.Duration `json:"spread"` // a session lasts so much longer or shorter at the most
-	Lives  map[string]Life `json:"lives"`  // of classes that differ
-	Late   config.Duration `json:"late"`   // notes on playing sessions
-	Every  config.Duration `json:"every"`  // link notes
-	Ramp   config.Duration `json:"ramp"`   // of a box that starts
-	Disk   float64         `json:"disk"`   // of each box, as a multiple of what it holds at first
-	Quiet  config.Duration `json:"quiet"`  // the day begins with so long of a quarter of the viewers
-	Ahead  config.Duration `json:"ahead"`  // copies for an hour begin so long before it at the earliest
+	Name        string          `json:"name"`
+	Description string          `json:"about"`
+	Length      config.Duration `json:"length"`
+	Boxes       int             `json:"boxes"`
+	Edges       int             `json:"edges"`
+	ArrivalRate float64         `json:"rate"` // new sessions a second
+	OfferedLoad float64         `json:"load"` // what viewers ask at the middle rate over what links give
+	Titles      int             `json:"titles"`
+	Faults      []Fault         `json:"faults"`
+	Peaks       []Peak          `json:"peaks"`
+
+	Speed            float64                  `json:"speed"`  // the script's clock over the real one, unless the command says another
+	SessionMean      config.Duration          `json:"life"`   // of a session, on the mean
+	SessionSpread    config.Duration          `json:"spread"` // a session lasts so much longer or shorter at the most
+	SessionsByClass  map[string]SessionLength `json:"lives"`  // of classes that differ
+	NoteDelay        config.Duration          `json:"late"`   // notes on playing sessions
+	LinkNoteInterval config.Duration          `json:"every"`  // link notes
+	RampTime         config.Duration          `json:"ramp"`   // of a box that starts
+	DiskFactor       float64                  `json:"disk"`   // of each box, as a multiple of what it holds at first
+	QuietTime        config.Duration          `json:"quiet"`  // the day begins with so long of a quarter of the viewers
+	CopyLeadTime     config.Duration          `json:"ahead"`  // copies for an hour begin so long before it at the earliest
 }
 
 // Life is how long a class's sessions last.
-type Life struct {
+type SessionLength struct {
 	Mean   config.Duration `json:"mean"`
 	Spread config.Duration `json:"spread"`
 }
 
 // life of a class's sessions, in seconds of the script's clock: the mean, and how far they lie apart.
-func (s *Script) life(class string) (mean, spread float64) {
-	if l, ok := s.Lives[class]; ok {
+func (s *Script) sessionLength(class string) (mean, spread float64) {
+	if l, ok := s.SessionsByClass[class]; ok {
 		return l.Mean.D().Seconds(), l.Spread.D().Seconds()
 	}
-	return s.Life.D().Seconds(), s.Spread.D().Seconds()
+	return s.SessionMean.D().Seconds(), s.SessionSpread.D().Seconds()
 }
 
 // meanLife is that of all classes, by their share of the viewers.
-func (s *Script) meanLife() (sum float64) {
+func (s *Script) meanSessionLength() (sum float64) {
 	for i, c := range classNames {
-		mean, _ := s.life(c)
+		mean, _ := s.sessionLength(c)
 		sum += classShares[i] * mean
 	}
 	return sum
 }
 
 // longest is the longest session there may be.
-func (s *Script) longest() (most float64) {
+func (s *Script) maxSessionLength() (most float64) {
 	for _, c := range classNames {
-		mean, spread := s.life(c)
+		mean, spread := s.sessionLength(c)
 		most = max(most, mean+spread)
 	}
 	return most
@@ -75,29 +75,29 @@
 // Peak is an hour at which viewers come together. It is announced to the planner when the day begins,
 // for At + Off: a positive Off announces it late.
 type Peak struct {
-	Titles    int             `json:"titles"` // so many of the most wanted
-	First     int             `json:"first"`  // the first of them
-	Class     string          `json:"class"`
-	At        config.Duration `json:"at"`
-	Length    config.Duration `json:"length"`
-	Rate      float64         `json:"rate"`
-	Off       config.Duration `json:"off"`
-	Uncertain config.Duration `json:"uncertain"`
-	Told      float64         `json:"told"` // rate that is announced; 0: the true one
-	Silent    bool            `json:"silent"`
+	TitleCount         int             `json:"titles"` // so many of the most wanted
+	FirstTitle         int             `json:"first"`  // the first of them
+	Class              string          `json:"class"`
+	Start              config.Duration `json:"at"`
+	Duration           config.Duration `json:"length"`
+	ArrivalRate        float64         `json:"rate"`
+	AnnouncementOffset config.Duration `json:"off"`
+	Uncertainty        config.Duration `json:"uncertain"`
+	AnnouncedRate      float64         `json:"told"` // rate that is announced; 0: the true one
+	Unannounced        bool            `json:"silent"`
 }
 
 // Fault is one trouble. Part is a share of the boxes, edges or racks that it meets, Size its strength.
 type Fault struct {
-	Kind string          `json:"kind"`
-	At   config.Duration `json:"at"`
-	For  config.Duration `json:"for"`
-	Part float64         `json:"part"`
-	Size float64         `json:"size"`
+	Kind      string          `json:"kind"`
+	Start     config.Duration `json:"at"`
+	Duration  config.Duration `json:"for"`
+	Share     float64         `json:"part"`
+	Magnitude float64         `json:"size"`
 }
 
 // kinds of faults, with what Size means.
-var kinds = map[string]string{
+var faultKinds = map[string]string{
 	"drain":         "boxes drain",
 	"crash":         "boxes crash and come back cold after the time",
 	"hang":          "boxes take work and answer nothing",
@@ -159,8 +159,8 @@
 
 // Parse reads a script from Jsonnet text.
 func Parse(name, text string) (*Script, error) {
-	s := &Script{Length: config.Duration(30 * time.Second), Boxes: 12, Edges: 3, Rate: 2.5, Load: 0.85, Titles: 24, Speed: 1,
-		Life: sec(54.5), Spread: sec(15.5), Late: sec(2.5), Every: sec(3.5), Ramp: sec(8), Disk: 2.5, Ahead: sec(600)}
+	s := &Script{Length: config.Duration(30 * time.Second), Boxes: 12, Edges: 3, ArrivalRate: 2.5, OfferedLoad: 0.85, Titles: 24, Speed: 1,
+		SessionMean: seconds(54.5), SessionSpread: seconds(15.5), NoteDelay: seconds(2.5), LinkNoteInterval: seconds(3.5), RampTime: seconds(8), DiskFactor: 2.5, CopyLeadTime: seconds(600)}
 	if err := config.Evaluate(name, text, nil, s); err != nil {
 		return nil, err
 	}
@@ -176,29 +176,29 @@
 	bad(s.Length > 0 && s.Length.D() <= time.Hour, "length: above 0, an hour at most")
 	bad(s.Boxes >= 3 && s.Boxes <= 400, "boxes: 3 to 400")
 	bad(s.Edges >= 1 && s.Edges <= 32, "edges: 1 to 32")
-	bad(s.Rate > 0 && s.Rate <= 1000, "rate: above 0, 1000 at most")
-	bad(s.Load > 0, "load: above 0")
+	bad(s.ArrivalRate > 0 && s.ArrivalRate <= 1000, "rate: above 0, 1000 at most")
+	bad(s.OfferedLoad > 0, "load: above 0")
 	bad(s.Speed > 0 && s.Speed <= 100, "speed: above 0, 100 at most")
-	bad(s.Quiet >= 0 && s.Late >= 0 && s.Every > 0 && s.Ramp >= 0 && s.Ahead >= 0, "quiet, late, every, ramp and ahead: not negative, every above 0")
-	bad(s.Disk >= 1, "disk: 1 at least")
+	bad(s.QuietTime >= 0 && s.NoteDelay >= 0 && s.LinkNoteInterval > 0 && s.RampTime >= 0 && s.CopyLeadTime >= 0, "quiet, late, every, ramp and ahead: not negative, every above 0")
+	bad(s.DiskFactor >= 1, "disk: 1 at least")
 	for _, c := range classNames {
-		mean, spread := s.life(c)
+		mean, spread := s.sessionLength(c)
 		bad(mean > spread && spread >= 0 && mean <= 3600, "life of %s: %v s, %v s apart: above 0 whatever the spread", c, mean, spread)
 	}
-	for c := range s.Lives {
+	for c := range s.SessionsByClass {
 		bad(slices.Contains(classNames, c), "lives: %q is none of %v", c, classNames)
 	}
 	bad(s.Titles >= 1 && s.Titles <= 10000, "titles: 1 to 10000")
 	for i, f := range s.Faults {
-		_, ok := kinds[f.Kind]
+		_, ok := faultKinds[f.Kind]
 		bad(ok, "faults[%d].kind: %q is not known", i, f.Kind)
-		bad(f.At >= 0 && f.For >= 0 && f.At <= s.Length, "faults[%d]: at and for must lie in the day", i)
-		bad(f.Part >= 0 && f.Part <= 1 && f.Size >= 0, "faults[%d]: part is a share, size not negative", i)
+		bad(f.Start >= 0 && f.Duration >= 0 && f.Start <= s.Length, "faults[%d]: at and for must lie in the day", i)
+		bad(f.Share >= 0 && f.Share <= 1 && f.Magnitude >= 0, "faults[%d]: part is a share, size not negative", i)
 	}
 	for i, p := range s.Peaks {
-		bad(p.Titles > 0 && p.First >= 0 && p.First+p.Titles <= s.Titles, "peaks[%d].titles: some of %d", i, s.Titles)
-		bad(p.Rate >= 0 && p.Rate <= 1000 && p.Told >= 0, "peaks[%d].rate: 0 to 1000", i)
-		bad(p.At >= 0 && p.Length > 0 && p.At+p.Length <= s.Length, "peaks[%d]: must lie in the day", i)
+		bad(p.TitleCount > 0 && p.FirstTitle >= 0 && p.FirstTitle+p.TitleCount <= s.Titles, "peaks[%d].titles: some of %d", i, s.Titles)
+		bad(p.ArrivalRate >= 0 && p.ArrivalRate <= 1000 && p.AnnouncedRate >= 0, "peaks[%d].rate: 0 to 1000", i)
+		bad(p.Start >= 0 && p.Duration > 0 && p.Start+p.Duration <= s.Length, "peaks[%d]: must lie in the day", i)
 		bad(slices.Contains(classNames, p.Class), "peaks[%d].class: %q is none of %v", i, p.Class, classNames)
 	}
 	return s, errors.Join(errs...)
--- a/internal/scenario/site.go
+++ b/internal/scenario/site.go
@@ -11,7 +11,7 @@
 	"rainpulley/internal/standin"
 )
 
-func sec(s float64) config.Duration { return config.Duration(s * float64(time.Second)) }
+func seconds(s float64) config.Duration { return config.Duration(s * float64(time.Second)) }
 
 // makeSite describes a fleet on free loopback ports, with links sized for the script's load. Sessions' and
 // notes' times, and how a copy's size follows from a title's length, go by the script's clock; deadlines, graces,
@@ -23,33 +23,33 @@
 		Kinds: []config.Kind{{Name: "two-core", Streams: 0}, {Name: "three-core", Streams: 0}},
 		Ladder: []config.Rung{{Rate: 260, Worth: 0.17}, {Rate: 460, Worth: 0.41}, {Rate: 810, Worth: 0.61},
 			{Rate: 1440, Worth: 0.81}, {Rate: 2540, Worth: 1}},
-		Rules: config.Rules{DrainGrace: sec(1), Ramp: s.Ramp, StartShare: 0.4, FallFactor: 2.5, FallSpan: sec(1.5),
-			AnswerSlack: sec(0.04), BudgetSpan: sec(10), BudgetFree: 4, BudgetShare: 0.2},
-		Attempts: config.Attempts{Most: 5, ConnectTimeout: sec(0.25), Cancel: true},
-		Notes:    config.Notes{Delay: quick(s.Late), LinkEvery: quick(s.Every), SwitchCost: quick(sec(0.5)), Reports: "answers"},
-		Prices:   config.Prices{Move: 0.05, Zone: 0.04, Probe: 0.01}, RetryAfter: sec(0.5),
-		Planner:  config.Planner{CheckEvery: sec(0.25), CheckFor: sec(0.5), GoneAfter: 3},
-		Playback: config.Playback{Ahead: sec(3), Behind: sec(6), Silence: sec(6)},
+		Rules: config.Rules{DrainGrace: seconds(1), Ramp: s.RampTime, StartShare: 0.4, FallFactor: 2.5, FallSpan: seconds(1.5),
+			AnswerSlack: seconds(0.04), BudgetSpan: seconds(10), BudgetFree: 4, BudgetShare: 0.2},
+		Attempts: config.Attempts{Most: 5, ConnectTimeout: seconds(0.25), Cancel: true},
+		Notes:    config.Notes{Delay: quick(s.NoteDelay), LinkEvery: quick(s.LinkNoteInterval), SwitchCost: quick(seconds(0.5)), Reports: "answers"},
+		Prices:   config.Prices{Move: 0.05, Zone: 0.04, Probe: 0.01}, RetryAfter: seconds(0.5),
+		Planner:  config.Planner{CheckEvery: seconds(0.25), CheckFor: seconds(0.5), GoneAfter: 3},
+		Playback: config.Playback{Ahead: seconds(3), Behind: seconds(6), Silence: seconds(6)},
 		Limits:   config.Limits{Connections: 20000, Sessions: 20000, Queue: 1024},
-		Copies: config.Copies{Managed: true, Least: 2, AtOnce: 1, Share: 0.8, Most: 64, Grace: sec(6), Patience: sec(10),
-			Backoff: sec(1), Ahead: quick(s.Ahead)},
+		Copies: config.Copies{Managed: true, Least: 2, AtOnce: 1, Share: 0.8, Most: 64, Grace: seconds(6), Patience: seconds(10),
+			Backoff: seconds(1), Ahead: quick(s.CopyLeadTime)},
 	}
 	top := 3
 	out.Classes = []config.Class{
-		{Name: "round-play", Effect: "repeatable", Aim: sec(1), Deadline: sec(4), Worth: 2, RateFactor: 1.2, Seats: seats(s)},
-		{Name: "replay", Effect: "repeatable", Aim: sec(1.5), Deadline: sec(4), Worth: 1, RateFactor: 0.7, Top: &top},
-		{Name: "live-round", Effect: "paid", Aim: sec(1), Deadline: sec(5), Worth: 2, RateFactor: 1, Floor: 1},
+		{Name: "round-play", Effect: "repeatable", Aim: seconds(1), Deadline: seconds(4), Worth: 2, RateFactor: 1.2, Seats: seatQuota(s)},
+		{Name: "replay", Effect: "repeatable", Aim: seconds(1.5), Deadline: seconds(4), Worth: 1, RateFactor: 0.7, Top: &top},
+		{Name: "live-round", Effect: "paid", Aim: seconds(1), Deadline: seconds(5), Worth: 2, RateFactor: 1, Floor: 1},
 	}
-	playing := s.Rate * s.meanLife()
-	perBox := playing * 810 * 0.95 / s.Load / float64(s.Boxes)
+	playing := s.ArrivalRate * s.meanSessionLength()
+	perBox := playing * 810 * 0.95 / s.OfferedLoad / float64(s.Boxes)
 	out.Links = config.Links{PerWeight: config.Rate(perBox / 2.36), Uplink: config.Rate(perBox * float64(s.Boxes) / float64(out.Racks) * 0.9)}
 	for i := range out.Kinds {
-		out.Kinds[i].Streams = max(int(2.4*float64(2+i)/2.36*playing/s.Load/float64(s.Boxes)), 4)
+		out.Kinds[i].Streams = max(int(2.4*float64(2+i)/2.36*playing/s.OfferedLoad/float64(s.Boxes)), 4)
 	}
 	for i := range s.Titles {
 		span := min(3+2*(s.Titles-i)/s.Titles, out.Cells) // the wanted ones lie on more boxes
 		out.Titles = append(out.Titles, config.Title{Name: fmt.Sprintf("clip-%02d", i), Home: i * 5 % out.Cells, Span: span,
-			Length: sec(s.longest()/speed + 1)})
+			Length: seconds(s.maxSessionLength()/speed + 1)})
 	}
 	for i := range s.Boxes {
 		addr, err := ports.Allocate()
@@ -79,12 +79,12 @@
 }
 
 // seats: about twice what an edge usually has of the most wanted title.
-func seats(s *Script) int {
+func seatQuota(s *Script) int {
 	most := 3
 	for _, p := range s.Peaks { // an announced hour has seats enough for itself
-		most = max(most, int(1.5*p.Rate/float64(p.Titles)*s.meanLife()/float64(s.Edges)))
+		most = max(most, int(1.5*p.ArrivalRate/float64(p.TitleCount)*s.meanSessionLength()/float64(s.Edges)))
 	}
-	return max(int(2*0.35*s.Rate*s.meanLife()/float64(s.Edges)*0.22), most)
+	return max(int(2*0.35*s.ArrivalRate*s.meanSessionLength()/float64(s.Edges)*0.22), most)
 }
 
 // writeSite puts the site where the programs read it. JSON is Jsonnet.
--- a/internal/scenario/titles.go
+++ b/internal/scenario/titles.go
@@ -10,7 +10,7 @@
 )
 
 // tellPlanner calls the planner's API and returns the status; 0 where it is not there.
-func (r *Run) tellPlanner(method, path, body string) int {
+func (r *Run) callPlanner(method, path, body string) int {
 	q, err := http.NewRequest(method, "http://"+r.Site.Planner.Listen+path, strings.NewReader(body))
 	if err != nil {
 		return 0
@@ -26,15 +26,15 @@
 
 // titleFault changes the catalogue while viewers come. An update that is not answered as it should be is an
 // error of the day.
-func (r *Run) titleFault(f Fault, rnd *rand.Rand) func() {
+func (r *Run) applyTitleFault(f Fault, rnd *rand.Rand) func() {
 	want := func(status int, method, path, body string) {
-		if got := r.tellPlanner(method, path, body); got != status {
+		if got := r.callPlanner(method, path, body); got != status {
 			r.mu.Lock()
-			r.wrong = append(r.wrong, fmt.Sprintf("%s %s %s: answered %d, want %d", method, path, body, got, status))
+			r.plannerErrors = append(r.plannerErrors, fmt.Sprintf("%s %s %s: answered %d, want %d", method, path, body, got, status))
 			r.mu.Unlock()
 		}
 	}
-	which := some(rnd, len(r.Site.Titles), f.Part)
+	which := sampleIndexes(rnd, len(r.Site.Titles), f.Share)
 	put := func(i, further int) string {
 		t := r.Site.Titles[i]
 		return fmt.Sprintf(`{"name":%q,"home":%d,"span":%d,"length_ms":%d}`, t.Name, (t.Home+further)%r.Site.Cells, t.Span, t.Length.D().Milliseconds())
@@ -49,7 +49,7 @@
 	}
 	switch f.Kind {
 	case "move_titles":
-		each(func(i int) { want(204, "PUT", path(i), put(i, int(f.Size))) })()
+		each(func(i int) { want(204, "PUT", path(i), put(i, int(f.Magnitude))) })()
 		return func() {}
 	case "remove_titles":
 		each(func(i int) { want(204, "DELETE", path(i), "") })()
