--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -27,56 +27,56 @@
 		return
 	}
 	r.auditLog.Add(audit.Entry{Observer: "script", Subject: f.Kind, Event: audit.FaultApplied, Value: f.Magnitude})
-	mend := r.applyFault(f, rnd)
+	revert := r.applyFault(f, rnd)
 	r.sleep(ctx, f.Duration.D())
-	mend()
+	revert()
 }
 
 // some are the numbers of a random part of n, one at least.
-func sampleIndexes(rnd *rand.Rand, n int, part float64) []int {
-	k := min(max(int(math.Round(part*float64(n))), 1), n)
-	return rnd.Perm(n)[:k]
+func sampleIndexes(rnd *rand.Rand, n int, share float64) []int {
+	count := min(max(int(math.Round(share*float64(n))), 1), n)
+	return rnd.Perm(n)[:count]
 }
 
 // cause begins a fault and returns what ends it.
-func (r *Run) applyFault(f Fault, rnd *rand.Rand) (mend func()) {
+func (r *Run) applyFault(f Fault, rnd *rand.Rand) (revert func()) {
 	switch f.Kind {
 	case "kill_edge":
 		return r.killEdges(sampleIndexes(rnd, len(r.Site.Edges), f.Share))
 	case "kill_planner":
-		p := r.processes[len(r.processes)-1]
-		p.stop(syscall.SIGKILL, time.Second)
-		return func() { _ = p.start() }
+		planner := r.processes[len(r.processes)-1]
+		planner.stop(syscall.SIGKILL, time.Second)
+		return func() { _ = planner.start() }
 	case "late_list", "cut_planner":
-		set := func(on bool) {
-			for _, x := range r.plannerRelays {
+		setFault := func(on bool) {
+			for _, relay := range r.plannerRelays {
 				if f.Kind == "cut_planner" {
-					x.SetBlocked(on)
+					relay.SetBlocked(on)
 				} else if on {
-					x.SetDelay(time.Duration(f.Magnitude * float64(time.Second) / r.Speed))
+					relay.SetDelay(time.Duration(f.Magnitude * float64(time.Second) / r.Speed))
 				} else {
-					x.SetDelay(0)
+					relay.SetDelay(0)
 				}
 			}
 		}
-		set(true)
-		return func() { set(false) }
+		setFault(true)
+		return func() { setFault(false) }
 	case "cut_zone":
 		zone := rnd.IntN(len(r.Site.Zones))
 		r.fleet.IsolateZone(zone)
 		return func() { r.fleet.IsolateZone(-1) }
 	case "weak_uplink":
 		racks := sampleIndexes(rnd, r.Site.Racks, f.Share)
-		for _, k := range racks {
-			r.fleet.DivideUplink(k, max(f.Magnitude, 1))
+		for _, rack := range racks {
+			r.fleet.DivideUplink(rack, max(f.Magnitude, 1))
 		}
 		return func() {
-			for _, k := range racks {
-				r.fleet.DivideUplink(k, 1)
+			for _, rack := range racks {
+				r.fleet.DivideUplink(rack, 1)
 			}
 		}
 	case "burst", "hot_title":
-		set := func(rate, hot float64) {
+		setFault := func(rate, hot float64) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if f.Kind == "burst" {
@@ -85,8 +85,8 @@
 				r.hotTitleShare = hot
 			}
 		}
-		set(max(f.Magnitude, 1), f.Magnitude)
-		return func() { set(1, 0) }
+		setFault(max(f.Magnitude, 1), f.Magnitude)
+		return func() { setFault(1, 0) }
 	}
 	switch f.Kind {
 	case "move_titles", "remove_titles", "half_update":
@@ -102,64 +102,64 @@
 	return r.applyBoxFault(f, sampleIndexes(rnd, len(r.fleet.Boxes), f.Share))
 }
 
-func (r *Run) killEdges(which []int) func() {
-	for _, i := range which {
+func (r *Run) killEdges(indexes []int) func() {
+	for _, i := range indexes {
 		r.auditLog.Add(audit.Entry{Observer: "script", Subject: strconv.Itoa(i), Event: audit.EdgeKilled})
 		r.processes[i].stop(syscall.SIGKILL, time.Second)
 		r.auditLog.Add(audit.Entry{Observer: "script", Subject: strconv.Itoa(i), Event: audit.EdgeKilled})
 	}
 	return func() {
-		for _, i := range which {
+		for _, i := range indexes {
 			_ = r.processes[i].start()
 			r.auditLog.Add(audit.Entry{Observer: "script", Subject: strconv.Itoa(i), Event: audit.EdgeStarted})
 		}
 	}
 }
 
-func (r *Run) applyBoxFault(f Fault, which []int) func() {
-	each := func(do func(*standin.Box)) {
-		for _, i := range which {
+func (r *Run) applyBoxFault(f Fault, indexes []int) func() {
+	forEach := func(do func(*standin.Box)) {
+		for _, i := range indexes {
 			do(r.fleet.Boxes[i])
 		}
 	}
-	set := func(on, off func(*standin.Faults)) func() {
-		each(func(b *standin.Box) { b.SetFaults(on) })
-		return func() { each(func(b *standin.Box) { b.SetFaults(off) }) }
+	setFaults := func(on, off func(*standin.Faults)) func() {
+		forEach(func(b *standin.Box) { b.SetFaults(on) })
+		return func() { forEach(func(b *standin.Box) { b.SetFaults(off) }) }
 	}
 	switch f.Kind {
 	case "drain":
-		each(func(b *standin.Box) { b.Drain(true) })
-		return func() { each(func(b *standin.Box) { b.Drain(false) }) }
+		forEach(func(b *standin.Box) { b.Drain(true) })
+		return func() { forEach(func(b *standin.Box) { b.Drain(false) }) }
 	case "crash":
-		each((*standin.Box).Crash)
-		return func() { each(func(b *standin.Box) { _ = b.Restart() }) }
+		forEach((*standin.Box).Crash)
+		return func() { forEach(func(b *standin.Box) { _ = b.Restart() }) }
 	case "vanish":
-		each(func(b *standin.Box) { b.SetFaults(func(x *standin.Faults) { x.Hang = true }) })
+		forEach(func(b *standin.Box) { b.SetFaults(func(faults *standin.Faults) { faults.Hang = true }) })
 		return func() {
-			each(func(b *standin.Box) {
+			forEach(func(b *standin.Box) {
 				b.Crash()
 				_ = b.Restart()
 			})
 		}
 	case "reset":
-		return set(func(x *standin.Faults) { x.ResetShare = f.Magnitude }, func(x *standin.Faults) { x.ResetShare = 0 })
+		return setFaults(func(faults *standin.Faults) { faults.ResetShare = f.Magnitude }, func(faults *standin.Faults) { faults.ResetShare = 0 })
 	case "false_health":
-		return set(func(x *standin.Faults) { x.Hang, x.FalseHealth = true, true }, func(x *standin.Faults) { x.Hang, x.FalseHealth = false, false })
+		return setFaults(func(faults *standin.Faults) { faults.Hang, faults.FalseHealth = true, true }, func(faults *standin.Faults) { faults.Hang, faults.FalseHealth = false, false })
 	case "hang":
-		return set(func(x *standin.Faults) { x.Hang = true }, func(x *standin.Faults) { x.Hang = false })
+		return setFaults(func(faults *standin.Faults) { faults.Hang = true }, func(faults *standin.Faults) { faults.Hang = false })
 	case "answer_lost":
-		return set(func(x *standin.Faults) { x.LostAnswerShare = f.Magnitude }, func(x *standin.Faults) { x.LostAnswerShare = 0 })
+		return setFaults(func(faults *standin.Faults) { faults.LostAnswerShare = f.Magnitude }, func(faults *standin.Faults) { faults.LostAnswerShare = 0 })
 	case "full_disk":
-		return set(func(x *standin.Faults) { x.FullDisk = true }, func(x *standin.Faults) { x.FullDisk = false })
+		return setFaults(func(faults *standin.Faults) { faults.FullDisk = true }, func(faults *standin.Faults) { faults.FullDisk = false })
 	case "refuse":
-		return set(func(x *standin.Faults) { x.Refuse = true }, func(x *standin.Faults) { x.Refuse = false })
+		return setFaults(func(faults *standin.Faults) { faults.Refuse = true }, func(faults *standin.Faults) { faults.Refuse = false })
 	case "slow":
-		return set(func(x *standin.Faults) { x.LinkDivisor = f.Magnitude }, func(x *standin.Faults) { x.LinkDivisor = 0 })
+		return setFaults(func(faults *standin.Faults) { faults.LinkDivisor = f.Magnitude }, func(faults *standin.Faults) { faults.LinkDivisor = 0 })
 	case "late_notes":
-		d := time.Duration(f.Magnitude * float64(time.Second) / r.Speed)
-		return set(func(x *standin.Faults) { x.NoteDelay = d }, func(x *standin.Faults) { x.NoteDelay = 0 })
+		delay := time.Duration(f.Magnitude * float64(time.Second) / r.Speed)
+		return setFaults(func(faults *standin.Faults) { faults.NoteDelay = delay }, func(faults *standin.Faults) { faults.NoteDelay = 0 })
 	case "frozen_notes":
-		return set(func(x *standin.Faults) { x.FrozenNotes = true }, func(x *standin.Faults) { x.FrozenNotes = false })
+		return setFaults(func(faults *standin.Faults) { faults.FrozenNotes = true }, func(faults *standin.Faults) { faults.FrozenNotes = false })
 	}
 	return func() {}
 }
--- a/internal/scenario/paced.go
+++ b/internal/scenario/paced.go
@@ -57,56 +57,56 @@
 
 // PacedAhead is the same where those playing step down ahead of peaks, so that half of each holder's link is free
 // when they begin.
-func (r *Run) PacedShareWithLead(spread bool, ahead time.Duration) float64 {
-	return r.simulatePaced(spread, ahead)
+func (r *Run) PacedShareWithLead(spread bool, leadTime time.Duration) float64 {
+	return r.simulatePaced(spread, leadTime)
 }
 
-func (r *Run) simulatePaced(spread bool, ahead time.Duration) float64 {
+func (r *Run) simulatePaced(spread bool, leadTime time.Duration) float64 {
 	r.mu.Lock()
-	wants := slices.Clone(r.arrivals)
+	arrivals := slices.Clone(r.arrivals)
 	r.mu.Unlock()
-	f := r.fleet.ActualFleet()
-	p := &pacedSimulation{run: r, usedUplinkRates: make([]float64, len(f.Uplinks)), holders: map[string][]*pacedBox{}, seatsTaken: map[[2]string]int{}, leadTime: ahead}
-	for _, u := range f.Uplinks { // True divides by what plans fill to
-		p.uplinkRates = append(p.uplinkRates, u*peaks.MaxUtilization)
+	fleet := r.fleet.ActualFleet()
+	sim := &pacedSimulation{run: r, usedUplinkRates: make([]float64, len(fleet.Uplinks)), holders: map[string][]*pacedBox{}, seatsTaken: map[[2]string]int{}, leadTime: leadTime}
+	for _, uplink := range fleet.Uplinks { // True divides by what plans fill to
+		sim.uplinkRates = append(sim.uplinkRates, uplink*peaks.MaxUtilization)
 	}
-	for i := range f.Boxes {
-		b := &pacedBox{id: f.Boxes[i].ID, rack: f.Boxes[i].Rack, linkRate: f.Boxes[i].LinkCapacity * peaks.MaxUtilization, streamSlots: f.Boxes[i].MaxStreams}
-		p.boxes = append(p.boxes, b)
-		for _, t := range r.Site.Titles {
-			if n := f.Cells; spread && r.isPeakTitle(t.Name) || ((f.Boxes[i].Cell-t.Home)%n+n)%n < t.Span {
-				p.holders[t.Name] = append(p.holders[t.Name], b)
+	for i := range fleet.Boxes {
+		b := &pacedBox{id: fleet.Boxes[i].ID, rack: fleet.Boxes[i].Rack, linkRate: fleet.Boxes[i].LinkCapacity * peaks.MaxUtilization, streamSlots: fleet.Boxes[i].MaxStreams}
+		sim.boxes = append(sim.boxes, b)
+		for _, title := range r.Site.Titles {
+			if cells := fleet.Cells; spread && r.isPeakTitle(title.Name) || ((fleet.Boxes[i].Cell-title.Home)%cells+cells)%cells < title.Span {
+				sim.holders[title.Name] = append(sim.holders[title.Name], b)
 			}
 		}
 	}
-	slices.SortStableFunc(wants, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 	var waiting []*pacedSession
-	last := time.Duration(0)
-	for _, w := range wants {
-		waiting = append(waiting, &pacedSession{arrival: w, class: w.viewer.Class, nextTryAt: w.at, endAt: w.at + w.viewer.SessionLength})
-		last = max(last, w.at+w.viewer.SessionLength)
-		p.asked += w.viewer.SessionLength.Seconds() * p.worth(w.viewer.Class, w.viewer.BestRung)
+	lastEnd := time.Duration(0)
+	for _, arr := range arrivals {
+		waiting = append(waiting, &pacedSession{arrival: arr, class: arr.viewer.Class, nextTryAt: arr.at, endAt: arr.at + arr.viewer.SessionLength})
+		lastEnd = max(lastEnd, arr.at+arr.viewer.SessionLength)
+		sim.asked += arr.viewer.SessionLength.Seconds() * sim.worth(arr.viewer.Class, arr.viewer.BestRung)
 	}
-	every := max(r.Site.Notes.LinkEvery.D(), pacedTick)
-	for now, round := time.Duration(0), time.Duration(0); now <= last; now += pacedTick {
-		p.removeEnded(now)
-		waiting = p.admitArrivals(waiting, now)
-		if now >= round {
-			round = now + every
-			if !p.freeBeforePeaks(now) {
-				p.stepUp(now)
+	roundInterval := max(r.Site.Notes.LinkEvery.D(), pacedTick)
+	for now, nextRound := time.Duration(0), time.Duration(0); now <= lastEnd; now += pacedTick {
+		sim.removeEnded(now)
+		waiting = sim.admitArrivals(waiting, now)
+		if now >= nextRound {
+			nextRound = now + roundInterval
+			if !sim.freeBeforePeaks(now) {
+				sim.stepUp(now)
 			}
 		}
-		for _, b := range p.boxes {
-			for _, x := range b.sessions {
-				p.delivered += min(pacedTick, max(x.endAt-now, 0)).Seconds() * p.worth(x.class, x.rung)
+		for _, b := range sim.boxes {
+			for _, session := range b.sessions {
+				sim.delivered += min(pacedTick, max(session.endAt-now, 0)).Seconds() * sim.worth(session.class, session.rung)
 			}
 		}
 	}
-	if p.asked == 0 {
+	if sim.asked == 0 {
 		return 0
 	}
-	return round(p.delivered / p.asked)
+	return round(sim.delivered / sim.asked)
 }
 
 func (p *pacedSimulation) worth(class, rung int) float64 {
@@ -121,22 +121,22 @@
 	return min(pacedMaxUtilization*b.linkRate-b.usedRate, pacedMaxUtilization*p.uplinkRates[b.rack]-p.usedUplinkRates[b.rack])
 }
 
-func (p *pacedSimulation) addRate(b *pacedBox, kb float64) {
-	b.usedRate, p.usedUplinkRates[b.rack] = b.usedRate+kb, p.usedUplinkRates[b.rack]+kb
+func (p *pacedSimulation) addRate(b *pacedBox, delta float64) {
+	b.usedRate, p.usedUplinkRates[b.rack] = b.usedRate+delta, p.usedUplinkRates[b.rack]+delta
 }
 
-func (p *pacedSimulation) addSeats(x *pacedSession, n int) {
-	p.seatsTaken[[2]string{x.viewer.Title, p.run.Site.Classes[x.class].Name}] += n
+func (p *pacedSimulation) addSeats(session *pacedSession, n int) {
+	p.seatsTaken[[2]string{session.viewer.Title, p.run.Site.Classes[session.class].Name}] += n
 }
 
 func (p *pacedSimulation) removeEnded(now time.Duration) {
 	for _, b := range p.boxes {
-		b.sessions = slices.DeleteFunc(b.sessions, func(x *pacedSession) bool {
-			if x.endAt > now {
+		b.sessions = slices.DeleteFunc(b.sessions, func(session *pacedSession) bool {
+			if session.endAt > now {
 				return false
 			}
-			p.addRate(b, -p.rate(x.class, x.rung))
-			p.addSeats(x, -1)
+			p.addRate(b, -p.rate(session.class, session.rung))
+			p.addSeats(session, -1)
 			return true
 		})
 	}
@@ -144,97 +144,97 @@
 
 // arrive places those whose time has come; those that find no room wait for another try.
 func (p *pacedSimulation) admitArrivals(waiting []*pacedSession, now time.Duration) []*pacedSession {
-	return slices.DeleteFunc(waiting, func(x *pacedSession) bool {
-		if x.nextTryAt > now {
+	return slices.DeleteFunc(waiting, func(session *pacedSession) bool {
+		if session.nextTryAt > now {
 			return false
 		}
-		if p.admit(x) {
+		if p.admit(session) {
 			return true
 		}
-		x.tries++
-		x.nextTryAt = now + pacedRetryDelay
-		return x.tries >= pacedMaxTries || x.nextTryAt >= x.endAt
+		session.tries++
+		session.nextTryAt = now + pacedRetryDelay
+		return session.tries >= pacedMaxTries || session.nextTryAt >= session.endAt
 	})
 }
 
-func (p *pacedSimulation) admit(x *pacedSession) bool {
-	k := p.run.Site.Classes[x.class]
-	if k.Seats > 0 && p.seatsTaken[[2]string{x.viewer.Title, k.Name}] >= k.Seats*len(p.run.Site.Edges) {
+func (p *pacedSimulation) admit(session *pacedSession) bool {
+	class := p.run.Site.Classes[session.class]
+	if class.Seats > 0 && p.seatsTaken[[2]string{session.viewer.Title, class.Name}] >= class.Seats*len(p.run.Site.Edges) {
 		return false
 	}
-	low := p.rate(x.class, k.Floor)
+	floorRate := p.rate(session.class, class.Floor)
 	var best *pacedBox
-	for _, b := range p.holders[x.viewer.Title] {
-		if float64(len(b.sessions)) < b.streamSlots && p.headroom(b) >= low && (best == nil || b.usedRate/b.linkRate < best.usedRate/best.linkRate) {
+	for _, b := range p.holders[session.viewer.Title] {
+		if float64(len(b.sessions)) < b.streamSlots && p.headroom(b) >= floorRate && (best == nil || b.usedRate/b.linkRate < best.usedRate/best.linkRate) {
 			best = b
 		}
 	}
 	if best == nil { // where others can step down for it
-		for _, b := range p.holders[x.viewer.Title] {
-			if float64(len(b.sessions)) < b.streamSlots && p.headroom(b)+p.reclaimableRate(b) >= low && (best == nil || b.usedRate/b.linkRate < best.usedRate/best.linkRate) {
+		for _, b := range p.holders[session.viewer.Title] {
+			if float64(len(b.sessions)) < b.streamSlots && p.headroom(b)+p.reclaimableRate(b) >= floorRate && (best == nil || b.usedRate/b.linkRate < best.usedRate/best.linkRate) {
 				best = b
 			}
 		}
 		if best == nil {
 			return false
 		}
-		p.stepDown(best, low-p.headroom(best))
+		p.stepDown(best, floorRate-p.headroom(best))
 	}
-	x.box, x.rung = best, k.Floor
-	p.addRate(best, low)
-	for x.rung < x.viewer.BestRung {
-		step := p.rate(x.class, x.rung+1) - p.rate(x.class, x.rung)
+	session.box, session.rung = best, class.Floor
+	p.addRate(best, floorRate)
+	for session.rung < session.viewer.BestRung {
+		step := p.rate(session.class, session.rung+1) - p.rate(session.class, session.rung)
 		if step > pacedStartShare*p.headroom(best) {
 			break
 		}
 		p.addRate(best, step)
-		x.rung++
+		session.rung++
 	}
-	best.sessions = append(best.sessions, x)
-	p.addSeats(x, 1)
+	best.sessions = append(best.sessions, session)
+	p.addSeats(session, 1)
 	return true
 }
 
-func (p *pacedSimulation) reclaimableRate(b *pacedBox) (kb float64) {
-	for _, x := range b.sessions {
-		kb += p.rate(x.class, x.rung) - p.rate(x.class, p.run.Site.Classes[x.class].Floor)
+func (p *pacedSimulation) reclaimableRate(b *pacedBox) (rate float64) {
+	for _, session := range b.sessions {
+		rate += p.rate(session.class, session.rung) - p.rate(session.class, p.run.Site.Classes[session.class].Floor)
 	}
-	return kb
+	return rate
 }
 
 // stepDown frees a rate where it costs least for what it frees.
-func (p *pacedSimulation) stepDown(b *pacedBox, need float64) {
-	for need > 0 {
-		var least *pacedSession
-		loss := math.Inf(1)
-		for _, x := range b.sessions {
-			if x.rung <= p.run.Site.Classes[x.class].Floor {
+func (p *pacedSimulation) stepDown(b *pacedBox, needed float64) {
+	for needed > 0 {
+		var cheapest *pacedSession
+		lowestLoss := math.Inf(1)
+		for _, session := range b.sessions {
+			if session.rung <= p.run.Site.Classes[session.class].Floor {
 				continue
 			}
-			if l := (p.worth(x.class, x.rung) - p.worth(x.class, x.rung-1)) / (p.rate(x.class, x.rung) - p.rate(x.class, x.rung-1)); l < loss {
-				least, loss = x, l
+			if l := (p.worth(session.class, session.rung) - p.worth(session.class, session.rung-1)) / (p.rate(session.class, session.rung) - p.rate(session.class, session.rung-1)); l < lowestLoss {
+				cheapest, lowestLoss = session, l
 			}
 		}
-		if least == nil {
+		if cheapest == nil {
 			return
 		}
-		freed := p.rate(least.class, least.rung) - p.rate(least.class, least.rung-1)
+		freed := p.rate(cheapest.class, cheapest.rung) - p.rate(cheapest.class, cheapest.rung-1)
 		p.addRate(b, -freed)
-		need -= freed
-		least.rung--
-		p.delivered -= p.run.Site.Notes.SwitchCost.D().Seconds() * p.worth(least.class, least.rung)
+		needed -= freed
+		cheapest.rung--
+		p.delivered -= p.run.Site.Notes.SwitchCost.D().Seconds() * p.worth(cheapest.class, cheapest.rung)
 	}
 }
 
 // free makes room ahead of peaks; false where none is near.
 func (p *pacedSimulation) freeBeforePeaks(now time.Duration) bool {
-	for _, k := range p.run.Script.Peaks {
-		start := time.Duration(float64(k.Start.D()) / p.run.Speed)
+	for _, peak := range p.run.Script.Peaks {
+		start := time.Duration(float64(peak.Start.D()) / p.run.Speed)
 		if p.leadTime <= 0 || now < start-p.leadTime || now >= start {
 			continue
 		}
-		for i := range k.TitleCount {
-			for _, b := range p.holders[p.run.Site.Titles[k.FirstTitle+i].Name] {
+		for i := range peak.TitleCount {
+			for _, b := range p.holders[p.run.Site.Titles[peak.FirstTitle+i].Name] {
 				p.stepDown(b, b.linkRate/2-p.headroom(b))
 			}
 		}
@@ -252,15 +252,15 @@
 			gain, kb float64
 		}
 		var steps []step
-		for _, x := range b.sessions {
-			if x.rung >= x.viewer.BestRung {
+		for _, session := range b.sessions {
+			if session.rung >= session.viewer.BestRung {
 				continue
 			}
-			kb := p.rate(x.class, x.rung+1) - p.rate(x.class, x.rung)
-			cost := p.run.Site.Notes.SwitchCost.D().Seconds() * p.worth(x.class, x.rung+1)
-			gain := (x.endAt - now).Seconds() * (p.worth(x.class, x.rung+1) - p.worth(x.class, x.rung))
+			rate := p.rate(session.class, session.rung+1) - p.rate(session.class, session.rung)
+			cost := p.run.Site.Notes.SwitchCost.D().Seconds() * p.worth(session.class, session.rung+1)
+			gain := (session.endAt - now).Seconds() * (p.worth(session.class, session.rung+1) - p.worth(session.class, session.rung))
 			if gain > pacedMinGain*cost {
-				steps = append(steps, step{x, gain / kb, kb})
+				steps = append(steps, step{session, gain / rate, rate})
 			}
 		}
 		slices.SortStableFunc(steps, func(a, c step) int { return cmp.Compare(c.gain, a.gain) })
--- a/internal/scenario/paced_test.go
+++ b/internal/scenario/paced_test.go
@@ -12,24 +12,24 @@
 // wanted is a day of which nothing is played: what the oracles see of it.
 func newUnplayedRun(t *testing.T, load float64) *Run {
 	t.Helper()
-	s, err := Parse("x", `{ boxes: 12, rate: 1, length: '120s', peaks: [{ titles: 1, class: 'round-play', at: '60s', length: '30s', rate: 2 }] }`)
+	script, err := Parse("x", `{ boxes: 12, rate: 1, length: '120s', peaks: [{ titles: 1, class: 'round-play', at: '60s', length: '30s', rate: 2 }] }`)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.OfferedLoad = load
-	site, err := makeSite(s, 1, &standin.PortAllocator{})
+	script.OfferedLoad = load
+	site, err := makeSite(script, 1, &standin.PortAllocator{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Run{Options: Options{Script: s, Seed: 1, Speed: 1}, Site: site, rnd: rand.New(rand.NewPCG(1, 1)), fleet: standin.NewFleet(site, audit.NewLog(), 1)}
+	r := &Run{Options: Options{Script: script, Seed: 1, Speed: 1}, Site: site, rnd: rand.New(rand.NewPCG(1, 1)), fleet: standin.NewFleet(site, audit.NewLog(), 1)}
 	for i := range 180 {
 		at := time.Duration(i) * time.Second
-		v := r.newViewer()
+		viewer := r.newViewer()
 		if i >= 120 { // the peak's
 			at = time.Duration(60+(i-120)/2) * time.Second
-			v.Title, v.Class, v.BestRung = site.Titles[0].Name, 0, 4
+			viewer.Title, viewer.Class, viewer.BestRung = site.Titles[0].Name, 0, 4
 		}
-		r.arrivals = append(r.arrivals, arrival{at: at, viewer: v, forPeak: i >= 120})
+		r.arrivals = append(r.arrivals, arrival{at: at, viewer: viewer, forPeak: i >= 120})
 	}
 	return r
 }
@@ -37,22 +37,22 @@
 // The oracles stand in their order: what is reached at the design's pace lies below what is planned anew at every
 // moment, that below all links as one; the peak's titles on every box raise both. Where links are ample, all is
 // reached but the climb; where they are scarce, little.
-func TestOracles(t *testing.T) {
-	got := map[float64]float64{}
+func TestOracleOrder(t *testing.T) {
+	pacedByLoad := map[float64]float64{}
 	for _, load := range []float64{0.05, 0.8, 3} {
 		r := newUnplayedRun(t, load)
-		rest, spread, bound := r.PacedShare(false), r.PacedShare(true), r.UpperBound()
+		paced, pacedSpread, bound := r.PacedShare(false), r.PacedShare(true), r.UpperBound()
 		oracle, failed := r.OracleShare(false)
-		wide, _ := r.OracleShare(true)
-		if failed > 0 || rest > oracle+0.02 || oracle > bound+0.02 || spread < rest-0.02 || wide < oracle-0.005 {
-			t.Errorf("load %v: paced %v, spread %v, oracle %v (%d failed), spread %v, bound %v", load, rest, spread, oracle, failed, wide, bound)
+		oracleSpread, _ := r.OracleShare(true)
+		if failed > 0 || paced > oracle+0.02 || oracle > bound+0.02 || pacedSpread < paced-0.02 || oracleSpread < oracle-0.005 {
+			t.Errorf("load %v: paced %v, spread %v, oracle %v (%d failed), spread %v, bound %v", load, paced, pacedSpread, oracle, failed, oracleSpread, bound)
 		}
-		got[load] = rest
-		if r.PacedShare(false) != rest {
+		pacedByLoad[load] = paced
+		if r.PacedShare(false) != paced {
 			t.Error("another figure for the same day")
 		}
 	}
-	if got[0.05] < 0.9 || got[3] > got[0.8] || got[0.8] > got[0.05] {
-		t.Errorf("paced by load: %v", got)
+	if pacedByLoad[0.05] < 0.9 || pacedByLoad[3] > pacedByLoad[0.8] || pacedByLoad[0.8] > pacedByLoad[0.05] {
+		t.Errorf("paced by load: %v", pacedByLoad)
 	}
 }
--- a/internal/scenario/peak.go
+++ b/internal/scenario/peak.go
@@ -37,28 +37,28 @@
 		if rate <= 0 {
 			rate = p.ArrivalRate
 		}
-		a := peaks.Announcement{ID: fmt.Sprint("peak-", i), Version: 1, Class: p.Class, Rate: rate * r.Speed, SessionDuration: r.meanSessionMillis(p.Class),
+		announcement := peaks.Announcement{ID: fmt.Sprint("peak-", i), Version: 1, Class: p.Class, Rate: rate * r.Speed, SessionDuration: r.meanSessionMillis(p.Class),
 			Start: now.Add(time.Duration(float64(p.Start.D()+p.AnnouncementOffset.D()) / r.Speed)).UnixMilli(), Uncertainty: int64(float64(p.Uncertainty.D().Milliseconds()) / r.Speed),
 			Duration: int64(float64(p.Duration.D().Milliseconds()) / r.Speed)}
 		for k := range p.TitleCount {
-			a.Titles = append(a.Titles, r.Site.Titles[p.FirstTitle+k].Name)
+			announcement.Titles = append(announcement.Titles, r.Site.Titles[p.FirstTitle+k].Name)
 		}
-		b, err := json.Marshal(a)
+		body, err := json.Marshal(announcement)
 		if err != nil {
 			return err
 		}
-		q, err := http.NewRequest("PUT", "http://"+r.Site.Planner.Listen+"/v1/peaks/"+a.ID, bytes.NewReader(b))
+		request, err := http.NewRequest("PUT", "http://"+r.Site.Planner.Listen+"/v1/peaks/"+announcement.ID, bytes.NewReader(body))
 		if err != nil {
 			return err
 		}
-		resp, err := http.DefaultClient.Do(q)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			return fmt.Errorf("scenario: announce: %w", err)
 		}
-		text, _ := io.ReadAll(resp.Body)
-		_ = resp.Body.Close()
-		if resp.StatusCode/100 != 2 {
-			return fmt.Errorf("scenario: announce: %d %s", resp.StatusCode, text)
+		text, _ := io.ReadAll(response.Body)
+		_ = response.Body.Close()
+		if response.StatusCode/100 != 2 {
+			return fmt.Errorf("scenario: announce: %d %s", response.StatusCode, text)
 		}
 	}
 	return nil
@@ -71,31 +71,31 @@
 }
 
 // peak lets a peak's viewers come.
-func (r *Run) runPeak(ctx context.Context, number int, p Peak, rnd *rand.Rand) {
+func (r *Run) runPeak(ctx context.Context, index int, p Peak, rnd *rand.Rand) {
 	if !r.sleep(ctx, p.Start.D()) || p.ArrivalRate <= 0 {
 		return
 	}
-	over := time.After(time.Duration(float64(p.Duration.D()) / r.Speed))
+	ended := time.After(time.Duration(float64(p.Duration.D()) / r.Speed))
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-over:
+		case <-ended:
 			return
 		case <-time.After(time.Duration(rnd.ExpFloat64() / (p.ArrivalRate * r.Speed) * float64(time.Second))):
 		}
-		v := r.newViewer()
-		v.Class = r.Site.Class(p.Class)
+		viewer := r.newViewer()
+		viewer.Class = r.Site.Class(p.Class)
 		r.mu.Lock()
-		r.drawSessionLength(v)
+		r.drawSessionLength(viewer)
 		r.mu.Unlock()
-		v.BestRung = len(r.Site.Ladder) - 1
-		if t := r.Site.Classes[v.Class].Top; t != nil {
-			v.BestRung = *t
+		viewer.BestRung = len(r.Site.Ladder) - 1
+		if t := r.Site.Classes[viewer.Class].Top; t != nil {
+			viewer.BestRung = *t
 		}
-		v.GiveUpAfter = 0
-		v.Title = r.Site.Titles[p.FirstTitle+rnd.IntN(p.TitleCount)].Name
-		r.startViewer(ctx, v, true)
+		viewer.GiveUpAfter = 0
+		viewer.Title = r.Site.Titles[p.FirstTitle+rnd.IntN(p.TitleCount)].Name
+		r.startViewer(ctx, viewer, true)
 	}
 }
 
@@ -104,17 +104,17 @@
 	if len(r.Script.Peaks) == 0 {
 		return 0
 	}
-	p, most, best := r.Script.Peaks[0], -1, 0
+	peak, mostTitles, best := r.Script.Peaks[0], -1, 0
 	for i, b := range r.Site.Boxes {
-		n := 0
-		for k := range p.TitleCount {
-			t := r.Site.Titles[p.FirstTitle+k]
-			if ((b.Cell-t.Home)%r.Site.Cells+r.Site.Cells)%r.Site.Cells < t.Span {
-				n++
+		titles := 0
+		for k := range peak.TitleCount {
+			title := r.Site.Titles[peak.FirstTitle+k]
+			if ((b.Cell-title.Home)%r.Site.Cells+r.Site.Cells)%r.Site.Cells < title.Span {
+				titles++
 			}
 		}
-		if n > most {
-			most, best = n, i
+		if titles > mostTitles {
+			mostTitles, best = titles, i
 		}
 	}
 	return best
@@ -127,33 +127,33 @@
 func (r *Run) UpperBound() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	capacity, asked, got := r.fleet.TotalLinkRate(), 0.0, 0.0
+	capacity, asked, delivered := r.fleet.TotalLinkRate(), 0.0, 0.0
 	const step = 0.25 // seconds
-	last := 0.0
-	for _, w := range r.arrivals {
-		last = max(last, (w.at + w.viewer.SessionLength).Seconds())
+	lastEnd := 0.0
+	for _, arr := range r.arrivals {
+		lastEnd = max(lastEnd, (arr.at + arr.viewer.SessionLength).Seconds())
 	}
 	type gain struct{ worth, kb float64 }
-	for t := step / 2; t < last; t += step {
+	for t := step / 2; t < lastEnd; t += step {
 		var gains []gain
-		for _, w := range r.arrivals {
-			if t < w.at.Seconds() || t >= (w.at+w.viewer.SessionLength).Seconds() {
+		for _, arr := range r.arrivals {
+			if t < arr.at.Seconds() || t >= (arr.at+arr.viewer.SessionLength).Seconds() {
 				continue
 			}
-			k := r.Site.Classes[w.viewer.Class]
-			worth, kb := 0.0, 0.0
-			for _, g := range worthHull(r, w.viewer.Class, k.Floor, w.viewer.BestRung) {
-				gains = append(gains, gain{g[0] - worth, g[1] - kb})
-				worth, kb = g[0], g[1]
+			class := r.Site.Classes[arr.viewer.Class]
+			worth, rate := 0.0, 0.0
+			for _, g := range worthHull(r, arr.viewer.Class, class.Floor, arr.viewer.BestRung) {
+				gains = append(gains, gain{g[0] - worth, g[1] - rate})
+				worth, rate = g[0], g[1]
 			}
-			asked += step * k.Worth * r.Site.Ladder[w.viewer.BestRung].Worth
+			asked += step * class.Worth * r.Site.Ladder[arr.viewer.BestRung].Worth
 		}
 		slices.SortFunc(gains, func(a, b gain) int { return int(math.Copysign(1, b.worth*a.kb-a.worth*b.kb)) })
-		room := capacity
+		headroom := capacity
 		for _, g := range gains {
-			part := min(room/g.kb, 1)
-			got, room = got+step*part*g.worth, room-part*g.kb
-			if room <= 0 {
+			share := min(headroom/g.kb, 1)
+			delivered, headroom = delivered+step*share*g.worth, headroom-share*g.kb
+			if headroom <= 0 {
 				break
 			}
 		}
@@ -161,7 +161,7 @@
 	if asked == 0 {
 		return 0
 	}
-	return round(got / asked)
+	return round(delivered / asked)
 }
 
 // Oracle is the share that a plan reaches which knows who comes when, and moves every viewer for nothing
@@ -169,43 +169,43 @@
 // sixty times a day, or as many as are solved in forty seconds. With spread, the titles of peaks lie on every box. Samples that the solver's arithmetic fails on are left out; the second result counts them.
 func (r *Run) OracleShare(spread bool) (share float64, failed int) {
 	r.mu.Lock()
-	wants := slices.Clone(r.arrivals)
+	arrivals := slices.Clone(r.arrivals)
 	r.mu.Unlock()
-	last := 0.0
-	for _, w := range wants {
-		last = max(last, (w.at + w.viewer.SessionLength).Seconds())
+	lastEnd := 0.0
+	for _, arr := range arrivals {
+		lastEnd = max(lastEnd, (arr.at + arr.viewer.SessionLength).Seconds())
 	}
 	var mu sync.Mutex
-	var work sync.WaitGroup
-	asked, got := 0.0, 0.0
-	slots := make(chan struct{}, runtime.NumCPU())
-	begin := time.Now()
+	var workers sync.WaitGroup
+	asked, delivered := 0.0, 0.0
+	semaphore := make(chan struct{}, runtime.NumCPU())
+	startedAt := time.Now()
 	for i := range oracleSamples { // in an order that covers the day at any end: large fleets take seconds for each
-		t := last * math.Mod(0.5+float64(i)*0.6180339887, 1)
-		work.Add(1)
-		slots <- struct{}{}
+		t := lastEnd * math.Mod(0.5+float64(i)*0.6180339887, 1)
+		workers.Add(1)
+		semaphore <- struct{}{}
 		go func() {
-			defer work.Done()
-			defer func() { <-slots }()
-			if time.Since(begin) > oracleTimeLimit {
+			defer workers.Done()
+			defer func() { <-semaphore }()
+			if time.Since(startedAt) > oracleTimeLimit {
 				return
 			}
-			f, demands, all := r.demandAt(wants, t, spread)
-			p, err := peaks.SolveLP(f, demands)
+			fleet, demands, fullWorth := r.demandAt(arrivals, t, spread)
+			plan, err := peaks.SolveLP(fleet, demands)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				failed++
 				return
 			}
-			asked, got = asked+all, got+p.Value
+			asked, delivered = asked+fullWorth, delivered+plan.Value
 		}()
 	}
-	work.Wait()
+	workers.Wait()
 	if asked == 0 {
 		return 0, failed
 	}
-	return round(got / asked), failed
+	return round(delivered / asked), failed
 }
 
 const (
@@ -214,39 +214,39 @@
 )
 
 // wanted is what is wanted at a moment, as a plan sees it, and what it is worth in full.
-func (r *Run) demandAt(wants []arrival, t float64, spread bool) (*peaks.Fleet, []peaks.Demand, float64) {
-	f := r.fleet.ActualFleet()
-	for _, g := range r.Site.Ladder {
-		f.Ladder, f.RungWorths = append(f.Ladder, float64(g.Rate)), append(f.RungWorths, g.Worth)
+func (r *Run) demandAt(arrivals []arrival, t float64, spread bool) (*peaks.Fleet, []peaks.Demand, float64) {
+	fleet := r.fleet.ActualFleet()
+	for _, rung := range r.Site.Ladder {
+		fleet.Ladder, fleet.RungWorths = append(fleet.Ladder, float64(rung.Rate)), append(fleet.RungWorths, rung.Worth)
 	}
 	type group struct {
 		title       string
 		class, best int
 	}
-	n, asked := map[group]float64{}, 0.0
-	for _, w := range wants {
-		if t >= w.at.Seconds() && t < (w.at+w.viewer.SessionLength).Seconds() {
-			n[group{w.viewer.Title, w.viewer.Class, w.viewer.BestRung}]++
-			asked += r.Site.Classes[w.viewer.Class].Worth * r.Site.Ladder[w.viewer.BestRung].Worth
+	counts, asked := map[group]float64{}, 0.0
+	for _, arr := range arrivals {
+		if t >= arr.at.Seconds() && t < (arr.at+arr.viewer.SessionLength).Seconds() {
+			counts[group{arr.viewer.Title, arr.viewer.Class, arr.viewer.BestRung}]++
+			asked += r.Site.Classes[arr.viewer.Class].Worth * r.Site.Ladder[arr.viewer.BestRung].Worth
 		}
 	}
 	var demands []peaks.Demand
 	for _, title := range r.Site.Titles {
-		for class, k := range r.Site.Classes {
+		for class, classConfig := range r.Site.Classes {
 			for best := range r.Site.Ladder {
-				if c := n[group{title.Name, class, best}]; c > 0 {
-					f.Classes = append(f.Classes, peaks.Class{RateFactor: k.RateFactor, FloorRung: k.Floor, TopRung: best, Worth: k.Worth})
-					d := peaks.Demand{Peak: "all", Title: fmt.Sprint(title.Name, class, best), Class: len(f.Classes) - 1,
-						HomeCell: title.Home, CellSpan: title.Span, Sessions: c, Worth: k.Worth}
+				if count := counts[group{title.Name, class, best}]; count > 0 {
+					fleet.Classes = append(fleet.Classes, peaks.Class{RateFactor: classConfig.RateFactor, FloorRung: classConfig.Floor, TopRung: best, Worth: classConfig.Worth})
+					demand := peaks.Demand{Peak: "all", Title: fmt.Sprint(title.Name, class, best), Class: len(fleet.Classes) - 1,
+						HomeCell: title.Home, CellSpan: title.Span, Sessions: count, Worth: classConfig.Worth}
 					if spread && r.isPeakTitle(title.Name) {
-						d.CellSpan = f.Cells
+						demand.CellSpan = fleet.Cells
 					}
-					demands = append(demands, d)
+					demands = append(demands, demand)
 				}
 			}
 		}
 	}
-	return f, demands, asked
+	return fleet, demands, asked
 }
 
 func (r *Run) isPeakTitle(title string) bool {
@@ -261,38 +261,38 @@
 }
 
 // hull is the upper hull of worth over kB/s from nothing to the best rung: what mixing rungs could earn.
-func worthHull(r *Run, class, floor, best int) (out [][2]float64) {
-	k := r.Site.Classes[class]
-	for i := floor; i <= best; i++ {
-		p := [2]float64{k.Worth * r.Site.Ladder[i].Worth, float64(r.Site.Ladder[i].Rate) * k.RateFactor}
+func worthHull(run *Run, class, floor, best int) (out [][2]float64) {
+	classConfig := run.Site.Classes[class]
+	for rung := floor; rung <= best; rung++ {
+		point := [2]float64{classConfig.Worth * run.Site.Ladder[rung].Worth, float64(run.Site.Ladder[rung].Rate) * classConfig.RateFactor}
 		for len(out) > 0 {
 			from := [2]float64{}
 			if len(out) > 1 {
 				from = out[len(out)-2]
 			}
 			mid := out[len(out)-1]
-			if (mid[0]-from[0])*(p[1]-from[1]) > (p[0]-from[0])*(mid[1]-from[1]) {
+			if (mid[0]-from[0])*(point[1]-from[1]) > (point[0]-from[0])*(mid[1]-from[1]) {
 				break
 			}
 			out = out[:len(out)-1]
 		}
-		out = append(out, p)
+		out = append(out, point)
 	}
 	return out
 }
 
 // PeakShare is the share of worth delivered of asked by viewers of peaks, and by the others.
-func (r *Run) PeakAndOtherShares() (in, outside float64) {
+func (r *Run) PeakAndOtherShares() (atPeak, others float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var asked, got [2]float64
-	for _, w := range r.arrivals {
-		i := 0
-		if w.forPeak {
-			i = 1
+	var asked, delivered [2]float64
+	for _, arr := range r.arrivals {
+		group := 0
+		if arr.forPeak {
+			group = 1
 		}
-		asked[i] += r.reports[w.reportIndex].WorthAsked
-		got[i] += r.reports[w.reportIndex].WorthDelivered
+		asked[group] += r.reports[arr.reportIndex].WorthAsked
+		delivered[group] += r.reports[arr.reportIndex].WorthDelivered
 	}
-	return round(got[1] / max(asked[1], 1e-9)), round(got[0] / max(asked[0], 1e-9))
+	return round(delivered[1] / max(asked[1], 1e-9)), round(delivered[0] / max(asked[0], 1e-9))
 }
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -105,63 +105,63 @@
 // Result works out what the day came to.
 func (r *Run) Result() *Result {
 	entries := r.Entries()
-	v := audit.Judge(r.Site, entries)
-	out := &Result{Scenario: r.Script.Name, Policy: r.Policy, Seed: r.Seed, Outcomes: map[string]int{"played": 0, "late": 0, "refused": 0, "failed": 0},
-		DoubleOutcomes: v.DuplicateOutcomes, OverlappingAttempts: v.OverlappingAttempts, BrokenRules: v.BrokenRules(), Edges: len(r.Site.Edges), Boxes: len(r.Site.Boxes),
-		Faults: r.faultCount, Verdict: v, PlayerErrors: []string{}}
-	hist := hdrhistogram.New(1, 60_000_000, 3)
+	verdict := audit.Judge(r.Site, entries)
+	result := &Result{Scenario: r.Script.Name, Policy: r.Policy, Seed: r.Seed, Outcomes: map[string]int{"played": 0, "late": 0, "refused": 0, "failed": 0},
+		DoubleOutcomes: verdict.DuplicateOutcomes, OverlappingAttempts: verdict.OverlappingAttempts, BrokenRules: verdict.BrokenRules(), Edges: len(r.Site.Edges), Boxes: len(r.Site.Boxes),
+		Faults: r.faultCount, Verdict: verdict, PlayerErrors: []string{}}
+	firstPlaylistTimes := hdrhistogram.New(1, 60_000_000, 3)
 	for _, c := range r.Site.Classes {
-		out.Classes = append(out.Classes, ClassResult{Name: c.Name})
+		result.Classes = append(result.Classes, ClassResult{Name: c.Name})
 	}
 	parts := regret.LossByCause{}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out.PlayerErrors = append(out.PlayerErrors, r.plannerErrors...)
-	for _, p := range r.reports {
-		parts.Add(regret.SplitLoss(p.Account))
-		out.Sessions++
-		out.Outcomes[p.Outcome]++
-		out.WorthAsked, out.WorthDelivered = out.WorthAsked+p.WorthAsked, out.WorthDelivered+p.WorthDelivered
-		out.Requests, out.Retries, out.Breaks = out.Requests+p.Requests, out.Retries+max(p.Requests-1, 0), out.Breaks+p.Breaks
-		out.Segments, out.StalledSeconds = out.Segments+p.Segments, out.StalledSeconds+p.Stalled.Seconds()
-		out.PlayerErrors = append(out.PlayerErrors, p.PlayerErrors...)
-		if p.FirstPlaylist > 0 {
-			_ = hist.RecordValue(p.FirstPlaylist.Microseconds())
+	result.PlayerErrors = append(result.PlayerErrors, r.plannerErrors...)
+	for _, report := range r.reports {
+		parts.Add(regret.SplitLoss(report.Account))
+		result.Sessions++
+		result.Outcomes[report.Outcome]++
+		result.WorthAsked, result.WorthDelivered = result.WorthAsked+report.WorthAsked, result.WorthDelivered+report.WorthDelivered
+		result.Requests, result.Retries, result.Breaks = result.Requests+report.Requests, result.Retries+max(report.Requests-1, 0), result.Breaks+report.Breaks
+		result.Segments, result.StalledSeconds = result.Segments+report.Segments, result.StalledSeconds+report.Stalled.Seconds()
+		result.PlayerErrors = append(result.PlayerErrors, report.PlayerErrors...)
+		if report.FirstPlaylist > 0 {
+			_ = firstPlaylistTimes.RecordValue(report.FirstPlaylist.Microseconds())
 		}
-		k := &out.Classes[p.Class]
-		k.Sessions++
-		k.WorthAsked, k.WorthDelivered = k.WorthAsked+p.WorthAsked, k.WorthDelivered+p.WorthDelivered
-		*map[string]*int{"played": &k.Played, "late": &k.Late, "refused": &k.Refused, "failed": &k.Failed}[p.Outcome]++
+		class := &result.Classes[report.Class]
+		class.Sessions++
+		class.WorthAsked, class.WorthDelivered = class.WorthAsked+report.WorthAsked, class.WorthDelivered+report.WorthDelivered
+		*map[string]*int{"played": &class.Played, "late": &class.Late, "refused": &class.Refused, "failed": &class.Failed}[report.Outcome]++
 	}
-	out.FirstPlaylist = Percentiles{float64(hist.ValueAtQuantile(50)) / 1000, float64(hist.ValueAtQuantile(99)) / 1000, hist.TotalCount()}
-	if out.WorthAsked > 0 {
-		out.WorthShare = round(out.WorthDelivered / out.WorthAsked)
-		out.LostByCause = map[regret.Cause]float64{}
+	result.FirstPlaylist = Percentiles{float64(firstPlaylistTimes.ValueAtQuantile(50)) / 1000, float64(firstPlaylistTimes.ValueAtQuantile(99)) / 1000, firstPlaylistTimes.TotalCount()}
+	if result.WorthAsked > 0 {
+		result.WorthShare = round(result.WorthDelivered / result.WorthAsked)
+		result.LostByCause = map[regret.Cause]float64{}
 		for _, c := range regret.Causes() {
-			out.LostByCause[c] = parts[c] / out.WorthAsked
+			result.LostByCause[c] = parts[c] / result.WorthAsked
 		}
 	}
 	for _, e := range entries {
 		switch e.Event {
 		case audit.CopyCompleted:
-			out.CopiesMade++
+			result.CopiesMade++
 		case audit.TitleDropped:
-			out.TitlesDropped++
+			result.TitlesDropped++
 		}
 	}
-	out.WorthAsked, out.WorthDelivered, out.StalledSeconds = round(out.WorthAsked), round(out.WorthDelivered), round(out.StalledSeconds)
-	return out
+	result.WorthAsked, result.WorthDelivered, result.StalledSeconds = round(result.WorthAsked), round(result.WorthDelivered), round(result.StalledSeconds)
+	return result
 }
 
 // Judge sets the oracles beside a result. They take some seconds.
-func (r *Run) AddOracles(out *Result, oracle bool) {
-	out.PacedShare = r.PacedShare(false)
+func (r *Run) AddOracles(result *Result, oracle bool) {
+	result.PacedShare = r.PacedShare(false)
 	if !oracle {
 		return
 	}
-	out.OracleShare, out.OracleSamplesFailed = r.OracleShare(false)
-	parts := regret.LossByCause(out.LostByCause)
-	out.RegretByCause = parts.ScaleToGap(1, out.WorthShare, out.OracleShare)
+	result.OracleShare, result.OracleSamplesFailed = r.OracleShare(false)
+	parts := regret.LossByCause(result.LostByCause)
+	result.RegretByCause = parts.ScaleToGap(1, result.WorthShare, result.OracleShare)
 }
 
 func round(x float64) float64 { return math.Round(x*1000) / 1000 }
@@ -185,15 +185,15 @@
 		fmt.Fprintln(w)
 	}
 	for _, rule := range audit.Rules() {
-		word, n := "kept", 0
+		status, breaches := "kept", 0
 		for _, b := range o.Verdict.Breaches {
 			if b.Rule == rule {
-				word, n = "BROKEN", n+1
+				status, breaches = "BROKEN", breaches+1
 			}
 		}
-		fmt.Fprintf(w, "%-26s %-7s checked %d times", rule, word, o.Verdict.Checks[rule])
-		if n > 0 {
-			fmt.Fprintf(w, ", broken %d times", n)
+		fmt.Fprintf(w, "%-26s %-7s checked %d times", rule, status, o.Verdict.Checks[rule])
+		if breaches > 0 {
+			fmt.Fprintf(w, ", broken %d times", breaches)
 		}
 		fmt.Fprintln(w)
 	}
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -75,48 +75,48 @@
 		return fmt.Errorf("scenario: %s: %w", p.name, err)
 	}
 	p.exited = make(chan struct{})
-	go func(c *exec.Cmd, done chan struct{}) { _ = c.Wait(); close(done) }(p.cmd, p.exited)
+	go func(cmd *exec.Cmd, exited chan struct{}) { _ = cmd.Wait(); close(exited) }(p.cmd, p.exited)
 	return nil
 }
 
 // end sends a signal and waits; what does not end by then is killed.
-func (p *process) stop(sig syscall.Signal, within time.Duration) {
+func (p *process) stop(signal syscall.Signal, timeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil || p.cmd.Process == nil {
 		return
 	}
-	_ = p.cmd.Process.Signal(sig)
+	_ = p.cmd.Process.Signal(signal)
 	select {
 	case <-p.exited:
-	case <-time.After(within):
+	case <-time.After(timeout):
 		_ = p.cmd.Process.Kill()
 		<-p.exited
 	}
 }
 
 // Start brings up boxes, relays, planner and edges, and waits until every edge has its view.
-func Start(ctx context.Context, o Options) (*Run, error) {
-	if o.Ports == nil {
-		o.Ports = &standin.PortAllocator{}
+func Start(ctx context.Context, options Options) (*Run, error) {
+	if options.Ports == nil {
+		options.Ports = &standin.PortAllocator{}
 	}
-	if o.Speed <= 0 {
-		o.Speed = o.Script.Speed
+	if options.Speed <= 0 {
+		options.Speed = options.Script.Speed
 	}
-	site, err := makeSite(o.Script, o.Speed, o.Ports)
+	site, err := makeSite(options.Script, options.Speed, options.Ports)
 	if err != nil {
 		return nil, err
 	}
-	r := &Run{Options: o, Site: site, auditLog: audit.NewLog(), rnd: rand.New(rand.NewPCG(o.Seed, 11)), arrivalFactor: 1}
-	r.fleet = standin.NewFleet(site, r.auditLog, o.Seed)
-	r.fleet.DiskFactor = o.Script.DiskFactor
-	if err := r.fleet.Start(ctx); err != nil {
+	run := &Run{Options: options, Site: site, auditLog: audit.NewLog(), rnd: rand.New(rand.NewPCG(options.Seed, 11)), arrivalFactor: 1}
+	run.fleet = standin.NewFleet(site, run.auditLog, options.Seed)
+	run.fleet.DiskFactor = options.Script.DiskFactor
+	if err := run.fleet.Start(ctx); err != nil {
 		return nil, err
 	}
-	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
+	if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
-	if r.sitePath, err = writeSite(o.Dir, site); err != nil {
+	if run.sitePath, err = writeSite(options.Dir, site); err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	for i := range site.Edges {
@@ -124,27 +124,27 @@
 		if err != nil {
 			return nil, fmt.Errorf("scenario: %w", err)
 		}
-		relay := &standin.Relay{Edge: i, Target: site.Planner.Listen, Log: r.auditLog}
-		r.plannerRelays = append(r.plannerRelays, relay)
+		relay := &standin.Relay{Edge: i, Target: site.Planner.Listen, Log: run.auditLog}
+		run.plannerRelays = append(run.plannerRelays, relay)
 		go relay.Serve(ctx, ln)
-		if err := r.addProcess("edge-"+strconv.Itoa(i), "edge", "--site", r.sitePath, "--position", strconv.Itoa(i), "--planner", ln.Addr().String(),
-			"--state", filepath.Join(o.Dir, "state"), "--seed", strconv.FormatUint(o.Seed+uint64(i), 10), "--policy", o.Policy, "--grace", "6s"); err != nil {
-			return r, err
+		if err := run.addProcess("edge-"+strconv.Itoa(i), "edge", "--site", run.sitePath, "--position", strconv.Itoa(i), "--planner", ln.Addr().String(),
+			"--state", filepath.Join(options.Dir, "state"), "--seed", strconv.FormatUint(options.Seed+uint64(i), 10), "--policy", options.Policy, "--grace", "6s"); err != nil {
+			return run, err
 		}
 	}
-	r.Holds, r.Copies = cmp.Or(r.Holds, "lp"), cmp.Or(r.Copies, "lp")
-	if err := r.addProcess("planner", "planner", "--site", r.sitePath, "--state", filepath.Join(o.Dir, "state"), "--holds", r.Holds, "--copies", r.Copies); err != nil {
-		return r, err
+	run.Holds, run.Copies = cmp.Or(run.Holds, "lp"), cmp.Or(run.Copies, "lp")
+	if err := run.addProcess("planner", "planner", "--site", run.sitePath, "--state", filepath.Join(options.Dir, "state"), "--holds", run.Holds, "--copies", run.Copies); err != nil {
+		return run, err
 	}
-	for _, p := range r.processes {
+	for _, p := range run.processes {
 		if err := p.start(); err != nil {
-			return r, err
+			return run, err
 		}
 	}
-	if err := r.waitReady(ctx); err != nil {
-		return r, err
+	if err := run.waitReady(ctx); err != nil {
+		return run, err
 	}
-	return r, r.announcePeaks()
+	return run, run.announcePeaks()
 }
 
 func (r *Run) addProcess(name string, args ...string) error {
@@ -157,20 +157,20 @@
 }
 
 func (r *Run) waitReady(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, 20*time.Second)
+	waitCtx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
-	for i, e := range r.Site.Edges {
+	for i, edge := range r.Site.Edges {
 		for {
-			var s struct{ Boxes int }
-			if p, err := http.Get("http://" + e.Listen + "/status"); err == nil {
-				_ = json.NewDecoder(p.Body).Decode(&s)
-				_ = p.Body.Close()
+			var status struct{ Boxes int }
+			if response, err := http.Get("http://" + edge.Listen + "/status"); err == nil {
+				_ = json.NewDecoder(response.Body).Decode(&status)
+				_ = response.Body.Close()
 			}
-			if s.Boxes == len(r.Site.Boxes) {
+			if status.Boxes == len(r.Site.Boxes) {
 				break
 			}
 			select {
-			case <-limited.Done():
+			case <-waitCtx.Done():
 				return fmt.Errorf("scenario: edge %d has no view; its log is in %s", i, r.Dir)
 			case <-time.After(50 * time.Millisecond):
 			}
@@ -183,7 +183,7 @@
 func (r *Run) Play(ctx context.Context) {
 	length := time.Duration(float64(r.Script.Length.D()) / r.Speed)
 	r.startedAt = time.Now()
-	day, cancel := context.WithTimeout(ctx, length)
+	dayCtx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	var work sync.WaitGroup
 	for _, f := range r.Script.Faults {
@@ -197,7 +197,7 @@
 		work.Add(1)
 		go func() { defer work.Done(); r.runPeak(ctx, i, p, rand.New(rand.NewPCG(seed, 5))) }()
 	}
-	r.generateArrivals(day, ctx)
+	r.generateArrivals(dayCtx, ctx)
 	work.Wait()
 	r.activeViewers.Wait()
 }
@@ -206,7 +206,7 @@
 const quietArrivalFactor = 0.25
 
 // arrivals start viewers at random distances, as the rate asks.
-func (r *Run) generateArrivals(day, ctx context.Context) {
+func (r *Run) generateArrivals(dayCtx, ctx context.Context) {
 	for {
 		r.mu.Lock()
 		rate := r.Script.ArrivalRate * r.arrivalFactor * r.Speed
@@ -215,7 +215,7 @@
 		}
 		r.mu.Unlock()
 		select {
-		case <-day.Done():
+		case <-dayCtx.Done():
 			return
 		case <-time.After(time.Duration(r.rnd.ExpFloat64() / rate * float64(time.Second))):
 		}
@@ -224,15 +224,15 @@
 }
 
 // come lets a viewer go through its session.
-func (r *Run) startViewer(ctx context.Context, v *standin.Viewer, peak bool) {
+func (r *Run) startViewer(ctx context.Context, viewer *standin.Viewer, forPeak bool) {
 	at := time.Since(r.startedAt)
 	r.activeViewers.Add(1)
 	go func() {
 		defer r.activeViewers.Done()
-		rep := v.Run(ctx)
+		report := viewer.Run(ctx)
 		r.mu.Lock()
-		r.reports = append(r.reports, rep)
-		r.arrivals = append(r.arrivals, arrival{at, v, peak, len(r.reports) - 1})
+		r.reports = append(r.reports, report)
+		r.arrivals = append(r.arrivals, arrival{at, viewer, forPeak, len(r.reports) - 1})
 		r.mu.Unlock()
 	}()
 }
@@ -240,39 +240,39 @@
 func (r *Run) newViewer() *standin.Viewer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := &standin.Viewer{Site: r.Site, Log: r.auditLog, Key: "k" + strconv.FormatUint(r.rnd.Uint64(), 36), Retries: 4, RefusalCause: r.fleet.RefusalCause}
-	v.Class = r.drawClass()
-	class := r.Site.Classes[v.Class]
-	v.BestRung = len(r.Site.Ladder) - 1
+	viewer := &standin.Viewer{Site: r.Site, Log: r.auditLog, Key: "k" + strconv.FormatUint(r.rnd.Uint64(), 36), Retries: 4, RefusalCause: r.fleet.RefusalCause}
+	viewer.Class = r.drawClass()
+	class := r.Site.Classes[viewer.Class]
+	viewer.BestRung = len(r.Site.Ladder) - 1
 	if class.Top != nil {
-		v.BestRung = *class.Top
+		viewer.BestRung = *class.Top
 	}
 	if r.rnd.Float64() < 0.25 {
-		v.BestRung = max(v.BestRung-1-r.rnd.IntN(2), class.Floor)
+		viewer.BestRung = max(viewer.BestRung-1-r.rnd.IntN(2), class.Floor)
 	}
 	title := int(math.Pow(float64(len(r.Site.Titles)), r.rnd.Float64())) - 1 // about Zipf's law
 	if r.rnd.Float64() < r.hotTitleShare {
 		title = len(r.Site.Titles) - 1
 	}
-	v.Title = r.Site.Titles[title].Name
-	r.drawSessionLength(v)
+	viewer.Title = r.Site.Titles[title].Name
+	r.drawSessionLength(viewer)
 	first := r.rnd.IntN(len(r.Site.Edges))
 	for i := range r.Site.Edges {
-		n := (first + i) % len(r.Site.Edges)
-		v.Edges, v.EdgePositions = append(v.Edges, r.Site.Edges[n].Listen), append(v.EdgePositions, n)
+		edge := (first + i) % len(r.Site.Edges)
+		viewer.Edges, viewer.EdgePositions = append(viewer.Edges, r.Site.Edges[edge].Listen), append(viewer.EdgePositions, edge)
 	}
 	if r.rnd.Float64() < 0.02 { // gives up at once, in a race with the answer
-		v.GiveUpAfter = time.Duration(5+r.rnd.IntN(60)) * time.Millisecond
+		viewer.GiveUpAfter = time.Duration(5+r.rnd.IntN(60)) * time.Millisecond
 	}
-	v.Rand = rand.New(rand.NewPCG(r.rnd.Uint64(), 3))
-	return v
+	viewer.Rand = rand.New(rand.NewPCG(r.rnd.Uint64(), 3))
+	return viewer
 }
 
 // class draws one by its share.
 func (r *Run) drawClass() int {
-	x := r.rnd.Float64()
-	for i, part := range classShares {
-		if x -= part; x < 0 {
+	remaining := r.rnd.Float64()
+	for i, share := range classShares {
+		if remaining -= share; remaining < 0 {
 			return i
 		}
 	}
@@ -280,9 +280,9 @@
 }
 
 // lasts draws how long a viewer's session lasts.
-func (r *Run) drawSessionLength(v *standin.Viewer) {
-	mean, spread := r.Script.sessionLength(r.Site.Classes[v.Class].Name)
-	v.SessionLength = time.Duration((mean + spread*(2*r.rnd.Float64()-1)) * float64(time.Second) / r.Speed)
+func (r *Run) drawSessionLength(viewer *standin.Viewer) {
+	mean, spread := r.Script.sessionLength(r.Site.Classes[viewer.Class].Name)
+	viewer.SessionLength = time.Duration((mean + spread*(2*r.rnd.Float64()-1)) * float64(time.Second) / r.Speed)
 }
 
 // Stop ends the programs in order. Kept logs are in Dir.
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -36,59 +36,59 @@
 // day plays a short script through real processes, and wants every rule kept.
 func playDay(t *testing.T, text string) *Result {
 	t.Helper()
-	s, err := Parse(t.Name(), text)
+	script, err := Parse(t.Name(), text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	r, err := Start(ctx, Options{Script: s, Seed: 3, Policy: "module", Command: []string{os.Args[0]}, Dir: t.TempDir()})
+	run, err := Start(ctx, Options{Script: script, Seed: 3, Policy: "module", Command: []string{os.Args[0]}, Dir: t.TempDir()})
 	if err != nil {
-		if r != nil {
-			r.Stop()
+		if run != nil {
+			run.Stop()
 		}
 		t.Fatal(err)
 	}
-	r.Play(ctx)
-	r.Stop()
-	out := r.Result()
-	if len(out.BrokenRules) > 0 || out.DoubleOutcomes > 0 || out.OverlappingAttempts > 0 || len(out.PlayerErrors) > 0 {
-		t.Errorf("%+v, players %v", out.Verdict, out.PlayerErrors)
+	run.Play(ctx)
+	run.Stop()
+	result := run.Result()
+	if len(result.BrokenRules) > 0 || result.DoubleOutcomes > 0 || result.OverlappingAttempts > 0 || len(result.PlayerErrors) > 0 {
+		t.Errorf("%+v, players %v", result.Verdict, result.PlayerErrors)
 	}
-	if out.Sessions < 20 || out.WorthDelivered <= 0 || out.Verdict.Checks["no session lost"] < out.Sessions {
-		t.Errorf("%d sessions, %.0f worth, checks %v", out.Sessions, out.WorthDelivered, out.Verdict.Checks)
+	if result.Sessions < 20 || result.WorthDelivered <= 0 || result.Verdict.Checks["no session lost"] < result.Sessions {
+		t.Errorf("%d sessions, %.0f worth, checks %v", result.Sessions, result.WorthDelivered, result.Verdict.Checks)
 	}
-	return out
+	return result
 }
 
 // A short bad day with kill -9 of edges and planner keeps every rule.
-func TestShortBadDay(t *testing.T) {
-	out := playDay(t, `{ length: '48s', rate: 2, speed: 6, boxes: 8, edges: 2, faults: [
+func TestShortBadDayKeepsAuditRules(t *testing.T) {
+	result := playDay(t, `{ length: '48s', rate: 2, speed: 6, boxes: 8, edges: 2, faults: [
 		{ kind: 'crash', at: '6s', 'for': '12s', part: 0.2 }, { kind: 'answer_lost', at: '6s', 'for': '24s', part: 0.3, size: 0.6 },
 		{ kind: 'kill_edge', at: '12s', 'for': '6s', part: 0.5 }, { kind: 'kill_planner', at: '18s', 'for': '12s' },
 		{ kind: 'drain', at: '18s', 'for': '18s', part: 0.2 }, { kind: 'false_health', at: '24s', 'for': '12s', part: 0.2 },
 		{ kind: 'reset', at: '30s', 'for': '12s', part: 0.2, size: 0.5 }, { kind: 'cut_zone', at: '30s', 'for': '12s' }] }`)
-	if out.Faults != 8 || out.Verdict.Checks["drains kept"] == 0 {
-		t.Errorf("%d faults, checks %v", out.Faults, out.Verdict.Checks)
+	if result.Faults != 8 || result.Verdict.Checks["drains kept"] == 0 {
+		t.Errorf("%d faults, checks %v", result.Faults, result.Verdict.Checks)
 	}
 }
 
 // Every script that comes with the program can be read, and every kind of fault has a way to be caused.
-func TestScripts(t *testing.T) {
+func TestScriptsAndFaultKinds(t *testing.T) {
 	used := map[string]bool{}
-	for _, n := range Names() {
-		s, err := Load(n)
-		if err != nil || s.Description == "" {
-			t.Errorf("%s: %v", n, err)
+	for _, name := range Names() {
+		script, err := Load(name)
+		if err != nil || script.Description == "" {
+			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		for _, f := range s.Faults {
+		for _, f := range script.Faults {
 			used[f.Kind] = true
 		}
 	}
-	for k := range faultKinds {
-		if !used[k] {
-			t.Errorf("no script has %s", k)
+	for kind := range faultKinds {
+		if !used[kind] {
+			t.Errorf("no script has %s", kind)
 		}
 	}
 	for _, c := range []struct{ text, want string }{
@@ -102,7 +102,7 @@
 }
 
 // The site that a run makes is one that the programs take, and reads back the same.
-func TestSite(t *testing.T) {
+func TestSiteFileIsValid(t *testing.T) {
 	s, err := Load("quiet")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -48,28 +48,28 @@
 
 // life of a class's sessions, in seconds of the script's clock: the mean, and how far they lie apart.
 func (s *Script) sessionLength(class string) (mean, spread float64) {
-	if l, ok := s.SessionsByClass[class]; ok {
-		return l.Mean.D().Seconds(), l.Spread.D().Seconds()
+	if length, ok := s.SessionsByClass[class]; ok {
+		return length.Mean.D().Seconds(), length.Spread.D().Seconds()
 	}
 	return s.SessionMean.D().Seconds(), s.SessionSpread.D().Seconds()
 }
 
 // meanLife is that of all classes, by their share of the viewers.
 func (s *Script) meanSessionLength() (sum float64) {
-	for i, c := range classNames {
-		mean, _ := s.sessionLength(c)
+	for i, class := range classNames {
+		mean, _ := s.sessionLength(class)
 		sum += classShares[i] * mean
 	}
 	return sum
 }
 
 // longest is the longest session there may be.
-func (s *Script) maxSessionLength() (most float64) {
-	for _, c := range classNames {
-		mean, spread := s.sessionLength(c)
-		most = max(most, mean+spread)
+func (s *Script) maxSessionLength() (longest float64) {
+	for _, class := range classNames {
+		mean, spread := s.sessionLength(class)
+		longest = max(longest, mean+spread)
 	}
-	return most
+	return longest
 }
 
 // Peak is an hour at which viewers come together. It is announced to the planner when the day begins,
@@ -168,38 +168,38 @@
 		s.Name = name
 	}
 	var errs []error
-	bad := func(ok bool, format string, a ...any) {
+	require := func(ok bool, format string, a ...any) {
 		if !ok {
 			errs = append(errs, fmt.Errorf("scenario: %s: "+format, append([]any{name}, a...)...))
 		}
 	}
-	bad(s.Length > 0 && s.Length.D() <= time.Hour, "length: above 0, an hour at most")
-	bad(s.Boxes >= 3 && s.Boxes <= 400, "boxes: 3 to 400")
-	bad(s.Edges >= 1 && s.Edges <= 32, "edges: 1 to 32")
-	bad(s.ArrivalRate > 0 && s.ArrivalRate <= 1000, "rate: above 0, 1000 at most")
-	bad(s.OfferedLoad > 0, "load: above 0")
-	bad(s.Speed > 0 && s.Speed <= 100, "speed: above 0, 100 at most")
-	bad(s.QuietTime >= 0 && s.NoteDelay >= 0 && s.LinkNoteInterval > 0 && s.RampTime >= 0 && s.CopyLeadTime >= 0, "quiet, late, every, ramp and ahead: not negative, every above 0")
-	bad(s.DiskFactor >= 1, "disk: 1 at least")
-	for _, c := range classNames {
-		mean, spread := s.sessionLength(c)
-		bad(mean > spread && spread >= 0 && mean <= 3600, "life of %s: %v s, %v s apart: above 0 whatever the spread", c, mean, spread)
+	require(s.Length > 0 && s.Length.D() <= time.Hour, "length: above 0, an hour at most")
+	require(s.Boxes >= 3 && s.Boxes <= 400, "boxes: 3 to 400")
+	require(s.Edges >= 1 && s.Edges <= 32, "edges: 1 to 32")
+	require(s.ArrivalRate > 0 && s.ArrivalRate <= 1000, "rate: above 0, 1000 at most")
+	require(s.OfferedLoad > 0, "load: above 0")
+	require(s.Speed > 0 && s.Speed <= 100, "speed: above 0, 100 at most")
+	require(s.QuietTime >= 0 && s.NoteDelay >= 0 && s.LinkNoteInterval > 0 && s.RampTime >= 0 && s.CopyLeadTime >= 0, "quiet, late, every, ramp and ahead: not negative, every above 0")
+	require(s.DiskFactor >= 1, "disk: 1 at least")
+	for _, class := range classNames {
+		mean, spread := s.sessionLength(class)
+		require(mean > spread && spread >= 0 && mean <= 3600, "life of %s: %v s, %v s apart: above 0 whatever the spread", class, mean, spread)
 	}
-	for c := range s.SessionsByClass {
-		bad(slices.Contains(classNames, c), "lives: %q is none of %v", c, classNames)
+	for class := range s.SessionsByClass {
+		require(slices.Contains(classNames, class), "lives: %q is none of %v", class, classNames)
 	}
-	bad(s.Titles >= 1 && s.Titles <= 10000, "titles: 1 to 10000")
+	require(s.Titles >= 1 && s.Titles <= 10000, "titles: 1 to 10000")
 	for i, f := range s.Faults {
 		_, ok := faultKinds[f.Kind]
-		bad(ok, "faults[%d].kind: %q is not known", i, f.Kind)
-		bad(f.Start >= 0 && f.Duration >= 0 && f.Start <= s.Length, "faults[%d]: at and for must lie in the day", i)
-		bad(f.Share >= 0 && f.Share <= 1 && f.Magnitude >= 0, "faults[%d]: part is a share, size not negative", i)
+		require(ok, "faults[%d].kind: %q is not known", i, f.Kind)
+		require(f.Start >= 0 && f.Duration >= 0 && f.Start <= s.Length, "faults[%d]: at and for must lie in the day", i)
+		require(f.Share >= 0 && f.Share <= 1 && f.Magnitude >= 0, "faults[%d]: part is a share, size not negative", i)
 	}
 	for i, p := range s.Peaks {
-		bad(p.TitleCount > 0 && p.FirstTitle >= 0 && p.FirstTitle+p.TitleCount <= s.Titles, "peaks[%d].titles: some of %d", i, s.Titles)
-		bad(p.ArrivalRate >= 0 && p.ArrivalRate <= 1000 && p.AnnouncedRate >= 0, "peaks[%d].rate: 0 to 1000", i)
-		bad(p.Start >= 0 && p.Duration > 0 && p.Start+p.Duration <= s.Length, "peaks[%d]: must lie in the day", i)
-		bad(slices.Contains(classNames, p.Class), "peaks[%d].class: %q is none of %v", i, p.Class, classNames)
+		require(p.TitleCount > 0 && p.FirstTitle >= 0 && p.FirstTitle+p.TitleCount <= s.Titles, "peaks[%d].titles: some of %d", i, s.Titles)
+		require(p.ArrivalRate >= 0 && p.ArrivalRate <= 1000 && p.AnnouncedRate >= 0, "peaks[%d].rate: 0 to 1000", i)
+		require(p.Start >= 0 && p.Duration > 0 && p.Start+p.Duration <= s.Length, "peaks[%d]: must lie in the day", i)
+		require(slices.Contains(classNames, p.Class), "peaks[%d].class: %q is none of %v", i, p.Class, classNames)
 	}
 	return s, errors.Join(errs...)
 }
--- a/internal/scenario/site.go
+++ b/internal/scenario/site.go
@@ -17,8 +17,8 @@
 // notes' times, and how a copy's size follows from a title's length, go by the script's clock; deadlines, graces,
 // ramps and spans of the rules by the real one, as they judge programs and sockets that run no faster.
 func makeSite(s *Script, speed float64, ports *standin.PortAllocator) (*config.Site, error) {
-	quick := func(d config.Duration) config.Duration { return config.Duration(float64(d) / speed) }
-	out := &config.Site{
+	scaled := func(d config.Duration) config.Duration { return config.Duration(float64(d) / speed) }
+	site := &config.Site{
 		Zones: []string{"east", "west", "north"}, Cells: max(s.Boxes, 3), Racks: max(s.Boxes/4, 1), Peers: true,
 		Kinds: []config.Kind{{Name: "two-core", Streams: 0}, {Name: "three-core", Streams: 0}},
 		Ladder: []config.Rung{{Rate: 260, Worth: 0.17}, {Rate: 460, Worth: 0.41}, {Rate: 810, Worth: 0.61},
@@ -26,29 +26,29 @@
 		Rules: config.Rules{DrainGrace: seconds(1), Ramp: s.RampTime, StartShare: 0.4, FallFactor: 2.5, FallSpan: seconds(1.5),
 			AnswerSlack: seconds(0.04), BudgetSpan: seconds(10), BudgetFree: 4, BudgetShare: 0.2},
 		Attempts: config.Attempts{Most: 5, ConnectTimeout: seconds(0.25), Cancel: true},
-		Notes:    config.Notes{Delay: quick(s.NoteDelay), LinkEvery: quick(s.LinkNoteInterval), SwitchCost: quick(seconds(0.5)), Reports: "answers"},
+		Notes:    config.Notes{Delay: scaled(s.NoteDelay), LinkEvery: scaled(s.LinkNoteInterval), SwitchCost: scaled(seconds(0.5)), Reports: "answers"},
 		Prices:   config.Prices{Move: 0.05, Zone: 0.04, Probe: 0.01}, RetryAfter: seconds(0.5),
 		Planner:  config.Planner{CheckEvery: seconds(0.25), CheckFor: seconds(0.5), GoneAfter: 3},
 		Playback: config.Playback{Ahead: seconds(3), Behind: seconds(6), Silence: seconds(6)},
 		Limits:   config.Limits{Connections: 20000, Sessions: 20000, Queue: 1024},
 		Copies: config.Copies{Managed: true, Least: 2, AtOnce: 1, Share: 0.8, Most: 64, Grace: seconds(6), Patience: seconds(10),
-			Backoff: seconds(1), Ahead: quick(s.CopyLeadTime)},
+			Backoff: seconds(1), Ahead: scaled(s.CopyLeadTime)},
 	}
-	top := 3
-	out.Classes = []config.Class{
+	maxRung := 3
+	site.Classes = []config.Class{
 		{Name: "round-play", Effect: "repeatable", Aim: seconds(1), Deadline: seconds(4), Worth: 2, RateFactor: 1.2, Seats: seatQuota(s)},
-		{Name: "replay", Effect: "repeatable", Aim: seconds(1.5), Deadline: seconds(4), Worth: 1, RateFactor: 0.7, Top: &top},
+		{Name: "replay", Effect: "repeatable", Aim: seconds(1.5), Deadline: seconds(4), Worth: 1, RateFactor: 0.7, Top: &maxRung},
 		{Name: "live-round", Effect: "paid", Aim: seconds(1), Deadline: seconds(5), Worth: 2, RateFactor: 1, Floor: 1},
 	}
 	playing := s.ArrivalRate * s.meanSessionLength()
-	perBox := playing * 810 * 0.95 / s.OfferedLoad / float64(s.Boxes)
-	out.Links = config.Links{PerWeight: config.Rate(perBox / 2.36), Uplink: config.Rate(perBox * float64(s.Boxes) / float64(out.Racks) * 0.9)}
-	for i := range out.Kinds {
-		out.Kinds[i].Streams = max(int(2.4*float64(2+i)/2.36*playing/s.OfferedLoad/float64(s.Boxes)), 4)
+	linkPerBox := playing * 810 * 0.95 / s.OfferedLoad / float64(s.Boxes)
+	site.Links = config.Links{PerWeight: config.Rate(linkPerBox / 2.36), Uplink: config.Rate(linkPerBox * float64(s.Boxes) / float64(site.Racks) * 0.9)}
+	for i := range site.Kinds {
+		site.Kinds[i].Streams = max(int(2.4*float64(2+i)/2.36*playing/s.OfferedLoad/float64(s.Boxes)), 4)
 	}
 	for i := range s.Titles {
-		span := min(3+2*(s.Titles-i)/s.Titles, out.Cells) // the wanted ones lie on more boxes
-		out.Titles = append(out.Titles, config.Title{Name: fmt.Sprintf("clip-%02d", i), Home: i * 5 % out.Cells, Span: span,
+		span := min(3+2*(s.Titles-i)/s.Titles, site.Cells) // the wanted ones lie on more boxes
+		site.Titles = append(site.Titles, config.Title{Name: fmt.Sprintf("clip-%02d", i), Home: i * 5 % site.Cells, Span: span,
 			Length: seconds(s.maxSessionLength()/speed + 1)})
 	}
 	for i := range s.Boxes {
@@ -60,7 +60,7 @@
 		if i%25 >= 16 {
 			kind, weight = "three-core", 3
 		}
-		out.Boxes = append(out.Boxes, config.Box{Addr: addr, Zone: out.Zones[i%3], Kind: kind, Cell: i % out.Cells, Weight: weight})
+		site.Boxes = append(site.Boxes, config.Box{Addr: addr, Zone: site.Zones[i%3], Kind: kind, Cell: i % site.Cells, Weight: weight})
 	}
 	for i := range s.Edges {
 		listen, err := ports.Allocate()
@@ -71,20 +71,20 @@
 		if err != nil {
 			return nil, err
 		}
-		out.Edges = append(out.Edges, config.Edge{Zone: out.Zones[i%3], Listen: listen, Peer: peer})
+		site.Edges = append(site.Edges, config.Edge{Zone: site.Zones[i%3], Listen: listen, Peer: peer})
 	}
 	var err error
-	out.Planner.Listen, err = ports.Allocate()
-	return out, err
+	site.Planner.Listen, err = ports.Allocate()
+	return site, err
 }
 
 // seats: about twice what an edge usually has of the most wanted title.
 func seatQuota(s *Script) int {
-	most := 3
-	for _, p := range s.Peaks { // an announced hour has seats enough for itself
-		most = max(most, int(1.5*p.ArrivalRate/float64(p.TitleCount)*s.meanSessionLength()/float64(s.Edges)))
+	quota := 3
+	for _, peak := range s.Peaks { // an announced hour has seats enough for itself
+		quota = max(quota, int(1.5*peak.ArrivalRate/float64(peak.TitleCount)*s.meanSessionLength()/float64(s.Edges)))
 	}
-	return max(int(2*0.35*s.ArrivalRate*s.meanSessionLength()/float64(s.Edges)*0.22), most)
+	return max(int(2*0.35*s.ArrivalRate*s.meanSessionLength()/float64(s.Edges)*0.22), quota)
 }
 
 // writeSite puts the site where the programs read it. JSON is Jsonnet.
--- a/internal/scenario/titles.go
+++ b/internal/scenario/titles.go
@@ -11,54 +11,54 @@
 
 // tellPlanner calls the planner's API and returns the status; 0 where it is not there.
 func (r *Run) callPlanner(method, path, body string) int {
-	q, err := http.NewRequest(method, "http://"+r.Site.Planner.Listen+path, strings.NewReader(body))
+	request, err := http.NewRequest(method, "http://"+r.Site.Planner.Listen+path, strings.NewReader(body))
 	if err != nil {
 		return 0
 	}
-	p, err := (&http.Client{Timeout: 2 * time.Second}).Do(q)
+	response, err := (&http.Client{Timeout: 2 * time.Second}).Do(request)
 	if err != nil {
 		return 0
 	}
-	_, _ = io.Copy(io.Discard, p.Body)
-	_ = p.Body.Close()
-	return p.StatusCode
+	_, _ = io.Copy(io.Discard, response.Body)
+	_ = response.Body.Close()
+	return response.StatusCode
 }
 
 // titleFault changes the catalogue while viewers come. An update that is not answered as it should be is an
 // error of the day.
 func (r *Run) applyTitleFault(f Fault, rnd *rand.Rand) func() {
-	want := func(status int, method, path, body string) {
+	expect := func(status int, method, path, body string) {
 		if got := r.callPlanner(method, path, body); got != status {
 			r.mu.Lock()
 			r.plannerErrors = append(r.plannerErrors, fmt.Sprintf("%s %s %s: answered %d, want %d", method, path, body, got, status))
 			r.mu.Unlock()
 		}
 	}
-	which := sampleIndexes(rnd, len(r.Site.Titles), f.Share)
-	put := func(i, further int) string {
-		t := r.Site.Titles[i]
-		return fmt.Sprintf(`{"name":%q,"home":%d,"span":%d,"length_ms":%d}`, t.Name, (t.Home+further)%r.Site.Cells, t.Span, t.Length.D().Milliseconds())
+	indexes := sampleIndexes(rnd, len(r.Site.Titles), f.Share)
+	titleBody := func(i, cellOffset int) string {
+		title := r.Site.Titles[i]
+		return fmt.Sprintf(`{"name":%q,"home":%d,"span":%d,"length_ms":%d}`, title.Name, (title.Home+cellOffset)%r.Site.Cells, title.Span, title.Length.D().Milliseconds())
 	}
 	path := func(i int) string { return "/v1/titles/" + r.Site.Titles[i].Name }
-	each := func(do func(i int)) func() {
+	forEach := func(do func(i int)) func() {
 		return func() {
-			for _, i := range which {
+			for _, i := range indexes {
 				do(i)
 			}
 		}
 	}
 	switch f.Kind {
 	case "move_titles":
-		each(func(i int) { want(204, "PUT", path(i), put(i, int(f.Magnitude))) })()
+		forEach(func(i int) { expect(204, "PUT", path(i), titleBody(i, int(f.Magnitude))) })()
 		return func() {}
 	case "remove_titles":
-		each(func(i int) { want(204, "DELETE", path(i), "") })()
-		return each(func(i int) { want(204, "PUT", path(i), put(i, 0)) })
+		forEach(func(i int) { expect(204, "DELETE", path(i), "") })()
+		return forEach(func(i int) { expect(204, "PUT", path(i), titleBody(i, 0)) })
 	}
-	each(func(i int) {
-		whole := put(i, 1)
-		for _, cut := range []int{0, len(whole) / 3, len(whole) / 2, len(whole) - 1} {
-			want(400, "PUT", path(i), whole[:cut])
+	forEach(func(i int) {
+		fullBody := titleBody(i, 1)
+		for _, length := range []int{0, len(fullBody) / 3, len(fullBody) / 2, len(fullBody) - 1} {
+			expect(400, "PUT", path(i), fullBody[:length])
 		}
 	})()
 	return func() {}
