--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -22,13 +22,13 @@
 }
 
 // play causes a fault at its time and mends it after.
-func (r *Run) runFault(ctx context.Context, f Fault, rnd *rand.Rand) {
-	if !r.sleep(ctx, f.Start.D()) {
+func (r *Run) runFault(ctx context.Context, fault Fault, rnd *rand.Rand) {
+	if !r.sleep(ctx, fault.Start.D()) {
 		return
 	}
-	r.auditLog.Add(audit.Entry{Observer: "script", Subject: f.Kind, Event: audit.FaultApplied, Value: f.Magnitude})
-	revert := r.applyFault(f, rnd)
-	r.sleep(ctx, f.Duration.D())
+	r.auditLog.Add(audit.Entry{Observer: "script", Subject: fault.Kind, Event: audit.FaultApplied, Value: fault.Magnitude})
+	revert := r.applyFault(fault, rnd)
+	r.sleep(ctx, fault.Duration.D())
 	revert()
 }
 
--- a/internal/scenario/paced.go
+++ b/internal/scenario/paced.go
@@ -79,13 +79,13 @@
 			}
 		}
 	}
-	slices.SortStableFunc(arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(arrivals, func(a, b arrival) int { return cmp.Compare(a.arrivedAt, b.arrivedAt) })
 	var waiting []*pacedSession
 	lastEnd := time.Duration(0)
-	for _, arr := range arrivals {
-		waiting = append(waiting, &pacedSession{arrival: arr, class: arr.viewer.Class, nextTryAt: arr.at, endAt: arr.at + arr.viewer.SessionLength})
-		lastEnd = max(lastEnd, arr.at+arr.viewer.SessionLength)
-		sim.asked += arr.viewer.SessionLength.Seconds() * sim.worth(arr.viewer.Class, arr.viewer.BestRung)
+	for _, a := range arrivals {
+		waiting = append(waiting, &pacedSession{arrival: a, class: a.viewer.Class, nextTryAt: a.arrivedAt, endAt: a.arrivedAt + a.viewer.SessionLength})
+		lastEnd = max(lastEnd, a.arrivedAt+a.viewer.SessionLength)
+		sim.asked += a.viewer.SessionLength.Seconds() * sim.worth(a.viewer.Class, a.viewer.BestRung)
 	}
 	roundInterval := max(r.Site.Notes.LinkEvery.D(), pacedTick)
 	for now, nextRound := time.Duration(0), time.Duration(0); now <= lastEnd; now += pacedTick {
@@ -163,34 +163,34 @@
 		return false
 	}
 	floorRate := p.rate(session.class, class.Floor)
-	var best *pacedBox
+	var target *pacedBox
 	for _, b := range p.holders[session.viewer.Title] {
-		if float64(len(b.sessions)) < b.streamSlots && p.headroom(b) >= floorRate && (best == nil || b.usedRate/b.linkRate < best.usedRate/best.linkRate) {
-			best = b
+		if float64(len(b.sessions)) < b.streamSlots && p.headroom(b) >= floorRate && (target == nil || b.usedRate/b.linkRate < target.usedRate/target.linkRate) {
+			target = b
 		}
 	}
-	if best == nil { // where others can step down for it
+	if target == nil { // where others can step down for it
 		for _, b := range p.holders[session.viewer.Title] {
-			if float64(len(b.sessions)) < b.streamSlots && p.headroom(b)+p.reclaimableRate(b) >= floorRate && (best == nil || b.usedRate/b.linkRate < best.usedRate/best.linkRate) {
-				best = b
+			if float64(len(b.sessions)) < b.streamSlots && p.headroom(b)+p.reclaimableRate(b) >= floorRate && (target == nil || b.usedRate/b.linkRate < target.usedRate/target.linkRate) {
+				target = b
 			}
 		}
-		if best == nil {
+		if target == nil {
 			return false
 		}
-		p.stepDown(best, floorRate-p.headroom(best))
+		p.stepDown(target, floorRate-p.headroom(target))
 	}
-	session.box, session.rung = best, class.Floor
-	p.addRate(best, floorRate)
+	session.box, session.rung = target, class.Floor
+	p.addRate(target, floorRate)
 	for session.rung < session.viewer.BestRung {
 		step := p.rate(session.class, session.rung+1) - p.rate(session.class, session.rung)
-		if step > pacedStartShare*p.headroom(best) {
+		if step > pacedStartShare*p.headroom(target) {
 			break
 		}
-		p.addRate(best, step)
+		p.addRate(target, step)
 		session.rung++
 	}
-	best.sessions = append(best.sessions, session)
+	target.sessions = append(target.sessions, session)
 	p.addSeats(session, 1)
 	return true
 }
@@ -211,8 +211,8 @@
 			if session.rung <= p.run.Site.Classes[session.class].Floor {
 				continue
 			}
-			if l := (p.worth(session.class, session.rung) - p.worth(session.class, session.rung-1)) / (p.rate(session.class, session.rung) - p.rate(session.class, session.rung-1)); l < lowestLoss {
-				cheapest, lowestLoss = session, l
+			if loss := (p.worth(session.class, session.rung) - p.worth(session.class, session.rung-1)) / (p.rate(session.class, session.rung) - p.rate(session.class, session.rung-1)); loss < lowestLoss {
+				cheapest, lowestLoss = session, loss
 			}
 		}
 		if cheapest == nil {
--- a/internal/scenario/paced_test.go
+++ b/internal/scenario/paced_test.go
@@ -29,7 +29,7 @@
 			at = time.Duration(60+(i-120)/2) * time.Second
 			viewer.Title, viewer.Class, viewer.BestRung = site.Titles[0].Name, 0, 4
 		}
-		r.arrivals = append(r.arrivals, arrival{at: at, viewer: viewer, forPeak: i >= 120})
+		r.arrivals = append(r.arrivals, arrival{arrivedAt: at, viewer: viewer, forPeak: i >= 120})
 	}
 	return r
 }
--- a/internal/scenario/peak.go
+++ b/internal/scenario/peak.go
@@ -20,7 +20,7 @@
 
 // want is what a viewer wanted, for the bound.
 type arrival struct {
-	at          time.Duration
+	arrivedAt   time.Duration
 	viewer      *standin.Viewer
 	forPeak     bool
 	reportIndex int
@@ -40,8 +40,8 @@
 		announcement := peaks.Announcement{ID: fmt.Sprint("peak-", i), Version: 1, Class: p.Class, Rate: rate * r.Speed, SessionDuration: r.meanSessionMillis(p.Class),
 			Start: now.Add(time.Duration(float64(p.Start.D()+p.AnnouncementOffset.D()) / r.Speed)).UnixMilli(), Uncertainty: int64(float64(p.Uncertainty.D().Milliseconds()) / r.Speed),
 			Duration: int64(float64(p.Duration.D().Milliseconds()) / r.Speed)}
-		for k := range p.TitleCount {
-			announcement.Titles = append(announcement.Titles, r.Site.Titles[p.FirstTitle+k].Name)
+		for offset := range p.TitleCount {
+			announcement.Titles = append(announcement.Titles, r.Site.Titles[p.FirstTitle+offset].Name)
 		}
 		body, err := json.Marshal(announcement)
 		if err != nil {
@@ -90,8 +90,8 @@
 		r.drawSessionLength(viewer)
 		r.mu.Unlock()
 		viewer.BestRung = len(r.Site.Ladder) - 1
-		if t := r.Site.Classes[viewer.Class].Top; t != nil {
-			viewer.BestRung = *t
+		if top := r.Site.Classes[viewer.Class].Top; top != nil {
+			viewer.BestRung = *top
 		}
 		viewer.GiveUpAfter = 0
 		viewer.Title = r.Site.Titles[p.FirstTitle+rnd.IntN(p.TitleCount)].Name
@@ -104,20 +104,20 @@
 	if len(r.Script.Peaks) == 0 {
 		return 0
 	}
-	peak, mostTitles, best := r.Script.Peaks[0], -1, 0
+	peak, mostTitles, bestBox := r.Script.Peaks[0], -1, 0
 	for i, b := range r.Site.Boxes {
 		titles := 0
-		for k := range peak.TitleCount {
-			title := r.Site.Titles[peak.FirstTitle+k]
+		for offset := range peak.TitleCount {
+			title := r.Site.Titles[peak.FirstTitle+offset]
 			if ((b.Cell-title.Home)%r.Site.Cells+r.Site.Cells)%r.Site.Cells < title.Span {
 				titles++
 			}
 		}
 		if titles > mostTitles {
-			mostTitles, best = titles, i
+			mostTitles, bestBox = titles, i
 		}
 	}
-	return best
+	return bestBox
 }
 
 // Bound is the share of the worth asked that no policy can beat, even one that knows who comes when: in
@@ -130,23 +130,23 @@
 	capacity, asked, delivered := r.fleet.TotalLinkRate(), 0.0, 0.0
 	const step = 0.25 // seconds
 	lastEnd := 0.0
-	for _, arr := range r.arrivals {
-		lastEnd = max(lastEnd, (arr.at + arr.viewer.SessionLength).Seconds())
+	for _, a := range r.arrivals {
+		lastEnd = max(lastEnd, (a.arrivedAt + a.viewer.SessionLength).Seconds())
 	}
 	type gain struct{ worth, kb float64 }
 	for t := step / 2; t < lastEnd; t += step {
 		var gains []gain
-		for _, arr := range r.arrivals {
-			if t < arr.at.Seconds() || t >= (arr.at+arr.viewer.SessionLength).Seconds() {
+		for _, a := range r.arrivals {
+			if t < a.arrivedAt.Seconds() || t >= (a.arrivedAt+a.viewer.SessionLength).Seconds() {
 				continue
 			}
-			class := r.Site.Classes[arr.viewer.Class]
+			class := r.Site.Classes[a.viewer.Class]
 			worth, rate := 0.0, 0.0
-			for _, g := range worthHull(r, arr.viewer.Class, class.Floor, arr.viewer.BestRung) {
+			for _, g := range worthHull(r, a.viewer.Class, class.Floor, a.viewer.BestRung) {
 				gains = append(gains, gain{g[0] - worth, g[1] - rate})
 				worth, rate = g[0], g[1]
 			}
-			asked += step * class.Worth * r.Site.Ladder[arr.viewer.BestRung].Worth
+			asked += step * class.Worth * r.Site.Ladder[a.viewer.BestRung].Worth
 		}
 		slices.SortFunc(gains, func(a, b gain) int { return int(math.Copysign(1, b.worth*a.kb-a.worth*b.kb)) })
 		headroom := capacity
@@ -172,8 +172,8 @@
 	arrivals := slices.Clone(r.arrivals)
 	r.mu.Unlock()
 	lastEnd := 0.0
-	for _, arr := range arrivals {
-		lastEnd = max(lastEnd, (arr.at + arr.viewer.SessionLength).Seconds())
+	for _, a := range arrivals {
+		lastEnd = max(lastEnd, (a.arrivedAt + a.viewer.SessionLength).Seconds())
 	}
 	var mu sync.Mutex
 	var workers sync.WaitGroup
@@ -224,10 +224,10 @@
 		class, best int
 	}
 	counts, asked := map[group]float64{}, 0.0
-	for _, arr := range arrivals {
-		if t >= arr.at.Seconds() && t < (arr.at+arr.viewer.SessionLength).Seconds() {
-			counts[group{arr.viewer.Title, arr.viewer.Class, arr.viewer.BestRung}]++
-			asked += r.Site.Classes[arr.viewer.Class].Worth * r.Site.Ladder[arr.viewer.BestRung].Worth
+	for _, a := range arrivals {
+		if t >= a.arrivedAt.Seconds() && t < (a.arrivedAt+a.viewer.SessionLength).Seconds() {
+			counts[group{a.viewer.Title, a.viewer.Class, a.viewer.BestRung}]++
+			asked += r.Site.Classes[a.viewer.Class].Worth * r.Site.Ladder[a.viewer.BestRung].Worth
 		}
 	}
 	var demands []peaks.Demand
@@ -266,12 +266,12 @@
 	for rung := floor; rung <= best; rung++ {
 		point := [2]float64{classConfig.Worth * run.Site.Ladder[rung].Worth, float64(run.Site.Ladder[rung].Rate) * classConfig.RateFactor}
 		for len(out) > 0 {
-			from := [2]float64{}
+			previous := [2]float64{}
 			if len(out) > 1 {
-				from = out[len(out)-2]
+				previous = out[len(out)-2]
 			}
-			mid := out[len(out)-1]
-			if (mid[0]-from[0])*(point[1]-from[1]) > (point[0]-from[0])*(mid[1]-from[1]) {
+			last := out[len(out)-1]
+			if (last[0]-previous[0])*(point[1]-previous[1]) > (point[0]-previous[0])*(last[1]-previous[1]) {
 				break
 			}
 			out = out[:len(out)-1]
@@ -286,13 +286,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var asked, delivered [2]float64
-	for _, arr := range r.arrivals {
+	for _, a := range r.arrivals {
 		group := 0
-		if arr.forPeak {
+		if a.forPeak {
 			group = 1
 		}
-		asked[group] += r.reports[arr.reportIndex].WorthAsked
-		delivered[group] += r.reports[arr.reportIndex].WorthDelivered
+		asked[group] += r.reports[a.reportIndex].WorthAsked
+		delivered[group] += r.reports[a.reportIndex].WorthDelivered
 	}
 	return round(delivered[1] / max(asked[1], 1e-9)), round(delivered[0] / max(asked[0], 1e-9))
 }
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -113,12 +113,12 @@
 	for _, c := range r.Site.Classes {
 		result.Classes = append(result.Classes, ClassResult{Name: c.Name})
 	}
-	parts := regret.LossByCause{}
+	losses := regret.LossByCause{}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	result.PlayerErrors = append(result.PlayerErrors, r.plannerErrors...)
 	for _, report := range r.reports {
-		parts.Add(regret.SplitLoss(report.Account))
+		losses.Add(regret.SplitLoss(report.Account))
 		result.Sessions++
 		result.Outcomes[report.Outcome]++
 		result.WorthAsked, result.WorthDelivered = result.WorthAsked+report.WorthAsked, result.WorthDelivered+report.WorthDelivered
@@ -138,7 +138,7 @@
 		result.WorthShare = round(result.WorthDelivered / result.WorthAsked)
 		result.LostByCause = map[regret.Cause]float64{}
 		for _, c := range regret.Causes() {
-			result.LostByCause[c] = parts[c] / result.WorthAsked
+			result.LostByCause[c] = losses[c] / result.WorthAsked
 		}
 	}
 	for _, e := range entries {
@@ -154,14 +154,14 @@
 }
 
 // Judge sets the oracles beside a result. They take some seconds.
-func (r *Run) AddOracles(result *Result, oracle bool) {
+func (r *Run) AddOracles(result *Result, withOracle bool) {
 	result.PacedShare = r.PacedShare(false)
-	if !oracle {
+	if !withOracle {
 		return
 	}
 	result.OracleShare, result.OracleSamplesFailed = r.OracleShare(false)
-	parts := regret.LossByCause(result.LostByCause)
-	result.RegretByCause = parts.ScaleToGap(1, result.WorthShare, result.OracleShare)
+	losses := regret.LossByCause(result.LostByCause)
+	result.RegretByCause = losses.ScaleToGap(1, result.WorthShare, result.OracleShare)
 }
 
 func round(x float64) float64 { return math.Round(x*1000) / 1000 }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -185,20 +185,20 @@
 	r.startedAt = time.Now()
 	dayCtx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	var work sync.WaitGroup
-	for _, f := range r.Script.Faults {
+	var background sync.WaitGroup
+	for _, fault := range r.Script.Faults {
 		r.faultCount++
 		seed := r.rnd.Uint64()
-		work.Add(1)
-		go func() { defer work.Done(); r.runFault(ctx, f, rand.New(rand.NewPCG(seed, 1))) }()
+		background.Add(1)
+		go func() { defer background.Done(); r.runFault(ctx, fault, rand.New(rand.NewPCG(seed, 1))) }()
 	}
-	for i, p := range r.Script.Peaks {
+	for i, peak := range r.Script.Peaks {
 		seed := r.rnd.Uint64()
-		work.Add(1)
-		go func() { defer work.Done(); r.runPeak(ctx, i, p, rand.New(rand.NewPCG(seed, 5))) }()
+		background.Add(1)
+		go func() { defer background.Done(); r.runPeak(ctx, i, peak, rand.New(rand.NewPCG(seed, 5))) }()
 	}
 	r.generateArrivals(dayCtx, ctx)
-	work.Wait()
+	background.Wait()
 	r.activeViewers.Wait()
 }
 
@@ -225,14 +225,14 @@
 
 // come lets a viewer go through its session.
 func (r *Run) startViewer(ctx context.Context, viewer *standin.Viewer, forPeak bool) {
-	at := time.Since(r.startedAt)
+	arrivedAt := time.Since(r.startedAt)
 	r.activeViewers.Add(1)
 	go func() {
 		defer r.activeViewers.Done()
 		report := viewer.Run(ctx)
 		r.mu.Lock()
 		r.reports = append(r.reports, report)
-		r.arrivals = append(r.arrivals, arrival{at, viewer, forPeak, len(r.reports) - 1})
+		r.arrivals = append(r.arrivals, arrival{arrivedAt, viewer, forPeak, len(r.reports) - 1})
 		r.mu.Unlock()
 	}()
 }
@@ -287,16 +287,16 @@
 
 // Stop ends the programs in order. Kept logs are in Dir.
 func (r *Run) Stop() {
-	var work sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, p := range r.processes {
-		work.Add(1)
+		stopping.Add(1)
 		go func() {
-			defer work.Done()
+			defer stopping.Done()
 			p.stop(syscall.SIGTERM, 8*time.Second)
 			_ = p.logFile.Close()
 		}()
 	}
-	work.Wait()
+	stopping.Wait()
 }
 
 // Entries is what passed on the sockets.
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -103,11 +103,11 @@
 
 // The site that a run makes is one that the programs take, and reads back the same.
 func TestSiteFileIsValid(t *testing.T) {
-	s, err := Load("quiet")
+	script, err := Load("quiet")
 	if err != nil {
 		t.Fatal(err)
 	}
-	site, err := makeSite(s, s.Speed, &standin.PortAllocator{})
+	site, err := makeSite(script, script.Speed, &standin.PortAllocator{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -189,17 +189,17 @@
 		require(slices.Contains(classNames, class), "lives: %q is none of %v", class, classNames)
 	}
 	require(s.Titles >= 1 && s.Titles <= 10000, "titles: 1 to 10000")
-	for i, f := range s.Faults {
-		_, ok := faultKinds[f.Kind]
-		require(ok, "faults[%d].kind: %q is not known", i, f.Kind)
-		require(f.Start >= 0 && f.Duration >= 0 && f.Start <= s.Length, "faults[%d]: at and for must lie in the day", i)
-		require(f.Share >= 0 && f.Share <= 1 && f.Magnitude >= 0, "faults[%d]: part is a share, size not negative", i)
+	for i, fault := range s.Faults {
+		_, ok := faultKinds[fault.Kind]
+		require(ok, "faults[%d].kind: %q is not known", i, fault.Kind)
+		require(fault.Start >= 0 && fault.Duration >= 0 && fault.Start <= s.Length, "faults[%d]: at and for must lie in the day", i)
+		require(fault.Share >= 0 && fault.Share <= 1 && fault.Magnitude >= 0, "faults[%d]: part is a share, size not negative", i)
 	}
-	for i, p := range s.Peaks {
-		require(p.TitleCount > 0 && p.FirstTitle >= 0 && p.FirstTitle+p.TitleCount <= s.Titles, "peaks[%d].titles: some of %d", i, s.Titles)
-		require(p.ArrivalRate >= 0 && p.ArrivalRate <= 1000 && p.AnnouncedRate >= 0, "peaks[%d].rate: 0 to 1000", i)
-		require(p.Start >= 0 && p.Duration > 0 && p.Start+p.Duration <= s.Length, "peaks[%d]: must lie in the day", i)
-		require(slices.Contains(classNames, p.Class), "peaks[%d].class: %q is none of %v", i, p.Class, classNames)
+	for i, peak := range s.Peaks {
+		require(peak.TitleCount > 0 && peak.FirstTitle >= 0 && peak.FirstTitle+peak.TitleCount <= s.Titles, "peaks[%d].titles: some of %d", i, s.Titles)
+		require(peak.ArrivalRate >= 0 && peak.ArrivalRate <= 1000 && peak.AnnouncedRate >= 0, "peaks[%d].rate: 0 to 1000", i)
+		require(peak.Start >= 0 && peak.Duration > 0 && peak.Start+peak.Duration <= s.Length, "peaks[%d]: must lie in the day", i)
+		require(slices.Contains(classNames, peak.Class), "peaks[%d].class: %q is none of %v", i, peak.Class, classNames)
 	}
 	return s, errors.Join(errs...)
 }
