--- a/cmd/rainpulley/boxes.go
+++ b/cmd/rainpulley/boxes.go
@@ -18,16 +18,16 @@
 
 // Run prints each box with its state, whose word that is, how old, and why.
 func (c *boxesCmd) Run() error {
-	p, err := (&http.Client{Timeout: 5 * time.Second}).Get("http://" + c.Planner + "/v1/boxes")
+	response, err := (&http.Client{Timeout: 5 * time.Second}).Get("http://" + c.Planner + "/v1/boxes")
 	if err != nil {
 		return err
 	}
-	defer p.Body.Close()
+	defer response.Body.Close()
 	var list struct {
 		Boxes []planner.BoxStatus `json:"boxes"`
 	}
-	if err := json.NewDecoder(p.Body).Decode(&list); err != nil || p.StatusCode != 200 {
-		return fmt.Errorf("planner answered %d: %w", p.StatusCode, err)
+	if err := json.NewDecoder(response.Body).Decode(&list); err != nil || response.StatusCode != 200 {
+		return fmt.Errorf("planner answered %d: %w", response.StatusCode, err)
 	}
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(list)
--- a/cmd/rainpulley/main.go
+++ b/cmd/rainpulley/main.go
@@ -26,8 +26,8 @@
 )
 
 type tool struct {
-	Demo    demo        `cmd:"" help:"Start a whole fleet on free loopback ports and play a scripted day."`
-	Replay  replay      `cmd:"" help:"Play a script file, at its own pace or compressed."`
+	Demo    demoCmd     `cmd:"" help:"Start a whole fleet on free loopback ports and play a scripted day."`
+	Replay  replayCmd   `cmd:"" help:"Play a script file, at its own pace or compressed."`
 	Audit   auditCmd    `cmd:"" help:"Judge a recorded run by the six rules."`
 	Config  configCmd   `cmd:"" help:"Configuration."`
 	Peak    peakCmd     `cmd:"" help:"Announce hours to a planner."`
@@ -113,7 +113,7 @@
 }
 
 // size is what demo and replay share.
-type size struct {
+type playFlags struct {
 	Seed     uint64   `help:"Seed of arrivals, faults and modules." default:"1"`
 	Boxes    int      `help:"Stand-in boxes; by default the script's."`
 	Edges    int      `help:"Edges; by default the script's."`
@@ -125,15 +125,15 @@
 	Baseline bool     `help:"Play the day beside it with a random holder at the lowest rung." default:"true" negatable:""`
 }
 
-type demo struct {
-	size
+type demoCmd struct {
+	playFlags
 	Scenario string `help:"Which day is played." default:"bad-day"`
 	List     bool   `help:"Name the scenarios."`
 	Serve    bool   `help:"Leave it running and print an address to open in a player."`
 }
 
 // Run plays.
-func (c *demo) Run() error {
+func (c *demoCmd) Run() error {
 	if c.List {
 		for _, n := range scenario.Names() {
 			s, err := scenario.Load(n)
@@ -151,13 +151,13 @@
 	return c.play(s, c.Serve)
 }
 
-type replay struct {
-	size
+type replayCmd struct {
+	playFlags
 	Script string `arg:"" help:"Script file, or a scenario's name."`
 }
 
 // Run plays.
-func (c *replay) Run() error {
+func (c *replayCmd) Run() error {
 	s, err := scenario.Load(c.Script)
 	if err != nil {
 		return err
@@ -165,7 +165,7 @@
 	return c.play(s, false)
 }
 
-func (c *size) play(s *scenario.Script, serve bool) error {
+func (c *playFlags) play(s *scenario.Script, serve bool) error {
 	if c.Boxes > 0 {
 		s.Boxes = c.Boxes
 	}
@@ -194,45 +194,45 @@
 		return err
 	}
 	ports := &standin.PortAllocator{}
-	runs := plays(s, c.Baseline && !serve, serve)
+	variants := selectVariants(s, c.Baseline && !serve, serve)
 	if len(c.Ways) > 0 {
-		runs = slices.DeleteFunc(runs, func(k kind) bool { return !slices.Contains(c.Ways, k.name) })
+		variants = slices.DeleteFunc(variants, func(k variant) bool { return !slices.Contains(c.Ways, k.name) })
 	}
-	if len(runs) == 0 || runs[0].name != "module" {
+	if len(variants) == 0 || variants[0].name != "module" {
 		return errors.New("--ways must have module in it")
 	}
-	results, errs := make([]*scenario.Result, len(runs)), make([]error, len(runs))
-	days := make([]*scenario.Run, len(runs))
-	var work sync.WaitGroup
-	for i, p := range runs {
-		work.Add(1)
+	results, errs := make([]*scenario.Result, len(variants)), make([]error, len(variants))
+	scenarioRuns := make([]*scenario.Run, len(variants))
+	var running sync.WaitGroup
+	for i, p := range variants {
+		running.Add(1)
 		go func() {
-			defer work.Done()
+			defer running.Done()
 			o := scenario.Options{Script: s, Seed: c.Seed, Policy: p.policy, Holds: p.holds, Copies: p.copies, Command: []string{self}, Ports: ports,
 				Dir: filepath.Join(dir, p.name), Speed: c.Speed}
-			results[i], days[i], errs[i] = one(ctx, o, serve)
+			results[i], scenarioRuns[i], errs[i] = playVariant(ctx, o, serve)
 		}()
 	}
-	over := make(chan struct{})
-	go func() { work.Wait(); close(over) }()
-	progress(over, s, c.Speed, serve)
+	done := make(chan struct{})
+	go func() { running.Wait(); close(done) }()
+	printProgress(done, s, c.Speed, serve)
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
 	r := results[0]
 	for i, x := range results { // before the oracles, which take their time
-		fmt.Fprintf(os.Stderr, "%s: %.3f of worth asked, broken rules %v\n", runs[i].name, x.WorthShare, x.BrokenRules)
+		fmt.Fprintf(os.Stderr, "%s: %.3f of worth asked, broken rules %v\n", variants[i].name, x.WorthShare, x.BrokenRules)
 	}
 	if !serve {
-		days[0].AddOracles(r, c.Oracle)
+		scenarioRuns[0].AddOracles(r, c.Oracle)
 	}
-	for i, p := range runs {
+	for i, p := range variants {
 		if b := results[i]; p.policy == "random" {
 			r.Baseline = &scenario.BaselineResult{Policy: b.Policy, Sessions: b.Sessions, WorthShare: b.WorthShare, WorthDelivered: b.WorthDelivered, WorthAsked: b.WorthAsked, BrokenRules: b.BrokenRules}
 		}
 	}
 	if len(s.Peaks) > 0 && !serve {
-		r.PeakResult = beside(results, days, runs, c.Oracle)
+		r.PeakResult = comparePeakPlans(results, scenarioRuns, variants, c.Oracle)
 	}
 	r.WriteTable(os.Stdout)
 	if r.Baseline != nil {
@@ -250,47 +250,47 @@
 	}
 	fmt.Printf("%s\n", line)
 	for i, x := range results {
-		if runs[i].policy == "module" && len(x.BrokenRules) > 0 {
-			return fmt.Errorf("rules broken (%s): %v", runs[i].name, x.BrokenRules)
+		if variants[i].policy == "module" && len(x.BrokenRules) > 0 {
+			return fmt.Errorf("rules broken (%s): %v", variants[i].name, x.BrokenRules)
 		}
 	}
 	return nil
 }
 
 // kind is one way in which the day is played.
-type kind struct{ name, policy, holds, copies string }
+type variant struct{ name, policy, holds, copies string }
 
 // plays are the ways in which a day is played beside itself.
-func plays(s *scenario.Script, random, serve bool) []kind {
-	out := []kind{{"module", "module", "lp", "lp"}}
+func selectVariants(s *scenario.Script, random, serve bool) []variant {
+	out := []variant{{"module", "module", "lp", "lp"}}
 	if len(s.Peaks) > 0 && !serve {
-		return append(out, kind{"without", "module", "none", "none"}, kind{"holds", "module", "all", "none"}, kind{"greedy", "module", "greedy", "greedy"})
+		return append(out, variant{"without", "module", "none", "none"}, variant{"holds", "module", "all", "none"}, variant{"greedy", "module", "greedy", "greedy"})
 	}
 	if random {
-		out = append(out, kind{"random", "random", "none", "none"})
+		out = append(out, variant{"random", "random", "none", "none"})
 	}
 	return out
 }
 
 // beside sets the ways of planning a peak beside each other.
-func beside(results []*scenario.Result, days []*scenario.Run, runs []kind, oracle bool) *scenario.PeakResult {
-	p := &scenario.PeakResult{ShareUpperBound: days[0].UpperBound(), ShareOracle: results[0].OracleShare, SharePacedAtRest: results[0].PacedShare}
+func comparePeakPlans(results []*scenario.Result, scenarioRuns []*scenario.Run, variants []variant, oracle bool) *scenario.PeakResult {
+	p := &scenario.PeakResult{ShareUpperBound: scenarioRuns[0].UpperBound(), ShareOracle: results[0].OracleShare, SharePacedAtRest: results[0].PacedShare}
 	if oracle {
-		p.ShareOracleSpread, _ = days[0].OracleShare(true)
+		p.ShareOracleSpread, _ = scenarioRuns[0].OracleShare(true)
 	}
-	p.SharePaced = days[0].PacedShare(true)
-	p.SharePacedWithLead = days[0].PacedShareWithLead(true, time.Duration(10*float64(time.Second)/days[0].Speed))
-	for i, k := range runs {
-		in, out := days[i].PeakAndOtherShares()
+	p.SharePaced = scenarioRuns[0].PacedShare(true)
+	p.SharePacedWithLead = scenarioRuns[0].PacedShareWithLead(true, time.Duration(10*float64(time.Second)/scenarioRuns[0].Speed))
+	for i, k := range variants {
+		inside, outside := scenarioRuns[i].PeakAndOtherShares()
 		switch k.holds {
 		case "lp":
-			p.ShareWith, p.PeakShareWith, p.OthersShareWith = results[i].WorthShare, in, out
+			p.ShareWith, p.PeakShareWith, p.OthersShareWith = results[i].WorthShare, inside, outside
 		case "all":
-			p.ShareHolds, p.PeakShareHolds, p.OthersShareHolds = results[i].WorthShare, in, out
+			p.ShareHolds, p.PeakShareHolds, p.OthersShareHolds = results[i].WorthShare, inside, outside
 		case "greedy":
-			p.ShareGreedy, p.PeakShareGreedy, p.OthersShareGreedy = results[i].WorthShare, in, out
+			p.ShareGreedy, p.PeakShareGreedy, p.OthersShareGreedy = results[i].WorthShare, inside, outside
 		case "none":
-			p.ShareWithout, p.PeakShareWithout, p.OthersShareWithout = results[i].WorthShare, in, out
+			p.ShareWithout, p.PeakShareWithout, p.OthersShareWithout = results[i].WorthShare, inside, outside
 		}
 	}
 	if d := p.SharePaced - p.ShareWithout; d > 0 {
@@ -300,10 +300,10 @@
 }
 
 // one plays a day with one policy.
-func one(ctx context.Context, o scenario.Options, serve bool) (*scenario.Result, *scenario.Run, error) {
-	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
+func playVariant(ctx context.Context, o scenario.Options, serve bool) (*scenario.Result, *scenario.Run, error) {
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	r, err := scenario.Start(inner, o)
+	r, err := scenario.Start(runCtx, o)
 	if err != nil {
 		if r != nil {
 			r.Stop()
@@ -319,30 +319,30 @@
 		<-ctx.Done()
 	}
 	r.Stop()
-	res := r.Result()
+	result := r.Result()
 	f, err := os.Create(filepath.Join(o.Dir, "entries.jsonl"))
 	if err != nil {
 		return nil, nil, err
 	}
 	defer f.Close()
-	return res, r, audit.Write(f, r.Entries())
+	return result, r, audit.Write(f, r.Entries())
 }
 
 // progress writes one line on standard error while the day goes on.
-func progress(over <-chan struct{}, s *scenario.Script, speed float64, serve bool) {
+func printProgress(done <-chan struct{}, s *scenario.Script, speed float64, serve bool) {
 	begin := time.Now()
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	var w io.Writer = os.Stderr
 	for {
 		select {
-		case <-over:
+		case <-done:
 			fmt.Fprintln(w)
 			return
 		case <-t.C:
-			at := time.Duration(float64(time.Since(begin)) * speed).Round(time.Second)
-			if !serve || at < s.Length.D() {
-				fmt.Fprintf(w, "\r%s: %v of %v and the last viewers ", s.Name, min(at, s.Length.D()), s.Length.D())
+			elapsed := time.Duration(float64(time.Since(begin)) * speed).Round(time.Second)
+			if !serve || elapsed < s.Length.Std() {
+				fmt.Fprintf(w, "\r%s: %v of %v and the last viewers ", s.Name, min(elapsed, s.Length.Std()), s.Length.Std())
 			}
 		}
 	}
--- a/cmd/rainpulley/peak.go
+++ b/cmd/rainpulley/peak.go
@@ -27,21 +27,21 @@
 
 // call sends a request to the planner; an answer other than 2xx is an error with the planner's words.
 func (c *peakCmd) call(method, path string, body []byte) (int, []byte, error) {
-	q, err := http.NewRequest(method, "http://"+c.Planner+path, bytes.NewReader(body))
+	request, err := http.NewRequest(method, "http://"+c.Planner+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
 	client := &http.Client{Timeout: 5 * time.Second}
-	r, err := client.Do(q)
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer r.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(r.Body, 64<<20))
-	if err == nil && r.StatusCode/100 != 2 {
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, 64<<20))
+	if err == nil && response.StatusCode/100 != 2 {
 		err = fmt.Errorf("planner: %s", strings.TrimSpace(string(text)))
 	}
-	return r.StatusCode, text, err
+	return response.StatusCode, text, err
 }
 
 type peakAdd struct {
@@ -78,17 +78,17 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", p.ID, err)
 		}
-		word := "announced"
+		status := "announced"
 		if code == http.StatusNoContent {
-			word = "nothing new"
+			status = "nothing new"
 		}
-		fmt.Printf("%s version %d: %s\n", p.ID, p.Version, word)
+		fmt.Printf("%s version %d: %s\n", p.ID, p.Version, status)
 	}
 	return nil
 }
 
 // board is what the planner tells of peaks.
-type board struct {
+type peakStatus struct {
 	Peaks []peaks.Announcement
 	Holds []peaks.Hold
 	Plan  struct {
@@ -98,7 +98,7 @@
 	}
 }
 
-func (c *peakCmd) board() (b board, err error) {
+func (c *peakCmd) fetchStatus() (b peakStatus, err error) {
 	_, text, err := c.call("GET", "/v1/peaks", nil)
 	if err == nil {
 		err = json.Unmarshal(text, &b)
@@ -110,15 +110,15 @@
 
 // Run lists.
 func (*peakList) Run(c *tool) error {
-	b, err := c.Peak.board()
+	b, err := c.Peak.fetchStatus()
 	if err != nil {
 		return err
 	}
 	held := map[string]peaks.Hold{}
 	for _, h := range b.Holds {
-		s := held[h.Peak]
-		s.Rate, s.Streams = s.Rate+h.Rate, s.Streams+h.Streams
-		held[h.Peak] = s
+		total := held[h.Peak]
+		total.Rate, total.Streams = total.Rate+h.Rate, total.Streams+h.Streams
+		held[h.Peak] = total
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "peak\tversion\tclass\ttitles\tstart\trate/s\tlength\theld kB/s\theld sessions")
@@ -139,7 +139,7 @@
 
 // Run shows one.
 func (s *peakShow) Run(c *tool) error {
-	b, err := c.Peak.board()
+	b, err := c.Peak.fetchStatus()
 	if err != nil {
 		return err
 	}
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -125,7 +125,7 @@
 			}
 			delete(openRequests, e.Session)
 			c.countCheck(NoSessionLost)
-			lateness := e.TimeMicros - req.TimeMicros - int64(req.Value*1e6) - c.site.Rules.AnswerSlack.D().Microseconds() - answerSlack
+			lateness := e.TimeMicros - req.TimeMicros - int64(req.Value*1e6) - c.site.Rules.AnswerSlack.Std().Microseconds() - answerSlack
 			killed := slices.ContainsFunc(killTimes[edgePosition(req.Edge)], func(t int64) bool { return t >= req.TimeMicros-orderSlack && t <= e.TimeMicros+orderSlack })
 			switch {
 			case e.Event == Unanswered && !killed:
@@ -197,7 +197,7 @@
 }
 
 func (c *checker) classEffect(class string) string {
-	if index := c.site.Class(class); index >= 0 {
+	if index := c.site.ClassIndex(class); index >= 0 {
 		return c.site.Classes[index].Effect
 	}
 	return ""
@@ -205,7 +205,7 @@
 
 // drains: nothing new to a box later than the grace after the edge was told that it drains or is gone.
 func (c *checker) checkDrains(entries []Entry) {
-	grace := c.site.Rules.DrainGrace.D().Microseconds() + publishSlack
+	grace := c.site.Rules.DrainGrace.Std().Microseconds() + publishSlack
 	type key struct{ edge, box string }
 	notReadySince := map[key]int64{}
 	for _, e := range entries {
@@ -260,18 +260,18 @@
 			}
 		case SetUpReceived:
 			b := boxes[e.Subject]
-			if b == nil || e.TimeMicros-b.started > r.Ramp.D().Microseconds() {
+			if b == nil || e.TimeMicros-b.started > r.Ramp.Std().Microseconds() {
 				continue
 			}
 			c.countCheck(ColdBoxesProtected)
 			b.window = append(b.window, e.TimeMicros)
-			for b.window[0] <= e.TimeMicros-r.FallSpan.D().Microseconds() {
+			for b.window[0] <= e.TimeMicros-r.FallSpan.Std().Microseconds() {
 				b.window = b.window[1:]
 			}
-			rampShare := float64(e.TimeMicros-b.started) / float64(r.Ramp.D().Microseconds())
-			rampRate := b.streams / r.Ramp.D().Seconds() * (r.StartShare + (1-r.StartShare)*rampShare)
-			if allowed := r.FallFactor*rampRate*r.FallSpan.D().Seconds() + coldSetUpSlack; float64(len(b.window)) > allowed {
-				c.addBreach(ColdBoxesProtected, e, "%d set-ups in %v, %.1f allowed", len(b.window), r.FallSpan.D(), allowed)
+			rampShare := float64(e.TimeMicros-b.started) / float64(r.Ramp.Std().Microseconds())
+			rampRate := b.streams / r.Ramp.Std().Seconds() * (r.StartShare + (1-r.StartShare)*rampShare)
+			if allowed := r.FallFactor*rampRate*r.FallSpan.Std().Seconds() + coldSetUpSlack; float64(len(b.window)) > allowed {
+				c.addBreach(ColdBoxesProtected, e, "%d set-ups in %v, %.1f allowed", len(b.window), r.FallSpan.Std(), allowed)
 			}
 		}
 	}
@@ -286,7 +286,7 @@
 			continue
 		}
 		k := seatKey{e.Edge, e.Title, e.Class}
-		index := c.site.Class(e.Class)
+		index := c.site.ClassIndex(e.Class)
 		if index < 0 {
 			continue
 		}
@@ -327,7 +327,7 @@
 	if r.BudgetSpan <= 0 {
 		return
 	}
-	span := r.BudgetSpan.D().Microseconds()
+	span := r.BudgetSpan.Std().Microseconds()
 	requests, retries := map[string][]int64{}, map[string][]int64{}
 	for _, e := range entries {
 		position := edgePosition(e.Edge)
@@ -339,7 +339,7 @@
 			retries[position] = append(dropBefore(retries[position], e.TimeMicros-span+budgetSlack), e.TimeMicros)
 			allowed := r.BudgetFree + r.BudgetShare*float64(len(dropBefore(requests[position], e.TimeMicros-span-budgetSlack)))
 			if float64(len(retries[position])) > allowed {
-				c.addBreach(AttemptBudgetRespected, e, "%d further attempts of edge %s in %v, %.1f allowed", len(retries[position]), position, r.BudgetSpan.D(), allowed)
+				c.addBreach(AttemptBudgetRespected, e, "%d further attempts of edge %s in %v, %.1f allowed", len(retries[position]), position, r.BudgetSpan.Std(), allowed)
 			}
 		}
 	}
--- a/internal/cli/programs.go
+++ b/internal/cli/programs.go
@@ -43,28 +43,28 @@
 
 // onHangup reads the site again at each SIGHUP, until the function that it returns is called. A file that
 // cannot be read, or holds what cannot be, changes nothing.
-func (s SiteFile) onHangup(log *slog.Logger, take func(*config.Site)) (end func()) {
-	hangup, over := make(chan os.Signal, 1), make(chan struct{})
+func (s SiteFile) reloadOnHangup(log *slog.Logger, apply func(*config.Site)) (stop func()) {
+	hangup, done := make(chan os.Signal, 1), make(chan struct{})
 	signal.Notify(hangup, syscall.SIGHUP)
 	go func() {
 		for {
 			select {
-			case <-over:
+			case <-done:
 				return
 			case <-hangup:
 			}
 			if site, err := s.Load(); err != nil {
 				log.Error("site not reloaded, the one before stays", "error", err)
 			} else {
-				take(site)
+				apply(site)
 			}
 		}
 	}()
-	return func() { signal.Stop(hangup); close(over) }
+	return func() { signal.Stop(hangup); close(done) }
 }
 
 // untilSignal ends at SIGTERM or interrupt; a second one ends the process.
-func untilSignal() (context.Context, context.CancelFunc) {
+func signalContext() (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	context.AfterFunc(ctx, stop)
 	return ctx, stop
@@ -108,9 +108,9 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
-	defer c.onHangup(o.Log, e.Reload)()
+	defer c.reloadOnHangup(o.Log, e.Reload)()
 	return e.Run(ctx)
 }
 
@@ -158,9 +158,9 @@
 			return fmt.Errorf("state folder: %w", err)
 		}
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	p := planner.New(planner.Options{Site: site, Log: c.Logger("planner"), State: c.State, Announcements: c.Peaks, Holds: c.Holds, Copies: c.Copies})
-	defer c.onHangup(p.Log, p.Reload)()
+	defer c.reloadOnHangup(p.Log, p.Reload)()
 	return p.Run(ctx)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,7 +23,7 @@
 type Duration time.Duration
 
 // D is the standard library's form.
-func (d Duration) D() time.Duration { return time.Duration(d) }
+func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // MarshalJSON writes it as it is read.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
@@ -216,7 +216,7 @@
 	Queue       int `json:"queue"` // requests waiting for the decision
 }
 
-func defaults() Site {
+func defaultSite() Site {
 	return Site{
 		Cells: 1, Racks: 1, Peers: true,
 		Rules: Rules{DrainGrace: Duration(time.Second), AnswerSlack: Duration(40 * time.Millisecond)},
@@ -243,18 +243,18 @@
 
 // Parse reads a site from Jsonnet text; vars are its external variables.
 func Parse(name, text string, vars map[string]string) (*Site, error) {
-	s := defaults()
+	s := defaultSite()
 	if err := Evaluate(name, text, vars, &s); err != nil {
 		return nil, err
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("config: %s: %w", name, err)
 	}
 	return &s, nil
 }
 
 // Evaluate reads Jsonnet text into a struct, by its json tags. Unknown fields are errors.
-func Evaluate(name, text string, vars map[string]string, into any) error {
+func Evaluate(name, text string, vars map[string]string, target any) error {
 	vm := jsonnet.MakeVM()
 	for k, v := range vars {
 		vm.ExtVar(k, v)
@@ -267,21 +267,21 @@
 	if err := json.Unmarshal([]byte(out), &tree); err != nil {
 		return fmt.Errorf("config: %s: %w", name, err)
 	}
-	d, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{
-		Result: into, TagName: "json", ErrorUnused: true, DecodeHook: units,
+	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{
+		Result: target, TagName: "json", ErrorUnused: true, DecodeHook: decodeUnits,
 		MatchName: func(key, field string) bool { return key == field },
 	})
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	if err := d.Decode(tree); err != nil {
+	if err := decoder.Decode(tree); err != nil {
 		return fmt.Errorf("config: %s: %w", name, err)
 	}
 	return nil
 }
 
 // units reads durations and rates, and whole numbers that are whole.
-func units(from, to reflect.Type, v any) (any, error) {
+func decodeUnits(from, to reflect.Type, v any) (any, error) {
 	switch to {
 	case reflect.TypeFor[Duration]():
 		text, ok := v.(string)
@@ -295,7 +295,7 @@
 		if !ok {
 			return nil, fmt.Errorf("a rate is text with its unit, such as \"700kB/s\", not %v", v)
 		}
-		return rate(text)
+		return parseRate(text)
 	}
 	if f, ok := v.(float64); ok && (to.Kind() == reflect.Int || to.Kind() == reflect.Int64 || to.Kind() == reflect.Uint64) {
 		if f != float64(int64(f)) {
@@ -305,10 +305,10 @@
 	return v, nil
 }
 
-var rateForm = regexp.MustCompile(`^([0-9]+(?:\.[0-9]+)?) ?(B|kB|MB|kbit|Mbit)/s$`)
+var ratePattern = regexp.MustCompile(`^([0-9]+(?:\.[0-9]+)?) ?(B|kB|MB|kbit|Mbit)/s$`)
 
-func rate(text string) (Rate, error) {
-	m := rateForm.FindStringSubmatch(text)
+func parseRate(text string) (Rate, error) {
+	m := ratePattern.FindStringSubmatch(text)
 	if m == nil {
 		return 0, fmt.Errorf("rate %q: want a number with B/s, kB/s, MB/s, kbit/s or Mbit/s", text)
 	}
@@ -321,15 +321,15 @@
 }
 
 // checker collects what is wrong.
-type checker struct{ errs []error }
+type validator struct{ errs []error }
 
-func (c *checker) that(ok bool, field, format string, a ...any) {
+func (c *validator) require(ok bool, field, format string, a ...any) {
 	if !ok {
 		c.errs = append(c.errs, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, a...)))
 	}
 }
 
-func index(list []string, s string) int {
+func indexOf(list []string, s string) int {
 	for i, x := range list {
 		if x == s {
 			return i
@@ -338,136 +338,136 @@
 	return -1
 }
 
-func (s *Site) kinds() (names []string) {
+func (s *Site) kindNames() (names []string) {
 	for _, k := range s.Kinds {
 		names = append(names, k.Name)
 	}
 	return names
 }
 
-func (s *Site) check() error {
-	c := &checker{}
-	c.that(len(s.Zones) > 0, "zones", "one at least")
-	c.that(s.Cells > 0, "cells", "%d: must be above 0", s.Cells)
-	c.that(s.Racks > 0, "racks", "%d: must be above 0", s.Racks)
-	c.that(len(s.Kinds) > 0, "kinds", "one at least")
+func (s *Site) validate() error {
+	c := &validator{}
+	c.require(len(s.Zones) > 0, "zones", "one at least")
+	c.require(s.Cells > 0, "cells", "%d: must be above 0", s.Cells)
+	c.require(s.Racks > 0, "racks", "%d: must be above 0", s.Racks)
+	c.require(len(s.Kinds) > 0, "kinds", "one at least")
 	for i, k := range s.Kinds {
-		c.that(k.Name != "" && k.Streams > 0, fmt.Sprintf("kinds[%d]", i), "needs a name and streams above 0")
+		c.require(k.Name != "" && k.Streams > 0, fmt.Sprintf("kinds[%d]", i), "needs a name and streams above 0")
 	}
-	c.that(len(s.Ladder) > 0, "ladder", "one rung at least")
+	c.require(len(s.Ladder) > 0, "ladder", "one rung at least")
 	for i, r := range s.Ladder {
 		rising := i == 0 || r.Rate > s.Ladder[i-1].Rate
-		c.that(r.Rate > 0 && rising && r.Worth >= 0, fmt.Sprintf("ladder[%d]", i), "rates must rise, worths not be negative")
+		c.require(r.Rate > 0 && rising && r.Worth >= 0, fmt.Sprintf("ladder[%d]", i), "rates must rise, worths not be negative")
 	}
-	c.that(s.Links.PerWeight > 0, "links.per_weight", "must be above 0")
-	c.that(s.Links.Uplink >= 0 && s.Links.FullFrom >= 0, "links", "negative")
-	s.checkClasses(c)
-	s.checkRules(c)
-	s.checkCopies(c)
-	s.checkConsul(c)
-	s.checkPlaces(c)
-	c.that(s.Playback.Ahead > 0 && s.Playback.Behind > 0, "playback", "ahead and behind must be above 0")
-	c.that(s.Playback.Silence >= s.Playback.Ahead, "playback.silence", "shorter than what is published ahead")
-	c.that(s.Limits.Connections > 0 && s.Limits.Sessions > 0 && s.Limits.Queue > 0, "limits", "must be above 0")
+	c.require(s.Links.PerWeight > 0, "links.per_weight", "must be above 0")
+	c.require(s.Links.Uplink >= 0 && s.Links.FullFrom >= 0, "links", "negative")
+	s.validateClasses(c)
+	s.validateRules(c)
+	s.validateCopies(c)
+	s.validateConsul(c)
+	s.validatePlacement(c)
+	c.require(s.Playback.Ahead > 0 && s.Playback.Behind > 0, "playback", "ahead and behind must be above 0")
+	c.require(s.Playback.Silence >= s.Playback.Ahead, "playback.silence", "shorter than what is published ahead")
+	c.require(s.Limits.Connections > 0 && s.Limits.Sessions > 0 && s.Limits.Queue > 0, "limits", "must be above 0")
 	return errors.Join(c.errs...)
 }
 
-func (s *Site) checkClasses(c *checker) {
-	c.that(len(s.Classes) > 0, "classes", "one at least")
+func (s *Site) validateClasses(c *validator) {
+	c.require(len(s.Classes) > 0, "classes", "one at least")
 	seen := map[string]bool{}
 	for i, k := range s.Classes {
 		at := fmt.Sprintf("classes[%d]", i)
-		c.that(k.Name != "" && !seen[k.Name] && Segment(k.Name), at+".name", "%q: empty, twice, or not fit for a URL", k.Name)
+		c.require(k.Name != "" && !seen[k.Name] && IsPathSegment(k.Name), at+".name", "%q: empty, twice, or not fit for a URL", k.Name)
 		seen[k.Name] = true
-		c.that(index([]string{"repeatable", "keyed", "paid"}, k.Effect) >= 0, at+".effect",
+		c.require(indexOf([]string{"repeatable", "keyed", "paid"}, k.Effect) >= 0, at+".effect",
 			"%q is none of repeatable, keyed, paid", k.Effect)
-		c.that(k.Scope == "" || index([]string{"all", "zone", "cell"}, k.Scope) >= 0, at+".scope",
+		c.require(k.Scope == "" || indexOf([]string{"all", "zone", "cell"}, k.Scope) >= 0, at+".scope",
 			"%q is none of all, zone, cell", k.Scope)
-		c.that(k.Aim > 0 && k.Deadline >= k.Aim, at+".deadline", "must be at least the aim, and the aim above 0")
-		c.that(k.Worth >= 0 && k.RateFactor >= 0 && k.Seats >= 0, at, "negative worth, rate_factor or seats")
+		c.require(k.Aim > 0 && k.Deadline >= k.Aim, at+".deadline", "must be at least the aim, and the aim above 0")
+		c.require(k.Worth >= 0 && k.RateFactor >= 0 && k.Seats >= 0, at, "negative worth, rate_factor or seats")
 		top := len(s.Ladder) - 1
 		if k.Top != nil {
 			top = *k.Top
 		}
-		c.that(k.Floor >= 0 && k.Floor <= top && top < len(s.Ladder), at, "floor %d and top %d do not fit the ladder", k.Floor, top)
+		c.require(k.Floor >= 0 && k.Floor <= top && top < len(s.Ladder), at, "floor %d and top %d do not fit the ladder", k.Floor, top)
 	}
 }
 
-func (s *Site) checkRules(c *checker) {
+func (s *Site) validateRules(c *validator) {
 	r := s.Rules
 	for name, d := range map[string]Duration{"drain_grace": r.DrainGrace, "ramp": r.Ramp, "fall_span": r.FallSpan,
 		"answer_slack": r.AnswerSlack, "budget_span": r.BudgetSpan} {
-		c.that(d >= 0, "rules."+name, "negative")
+		c.require(d >= 0, "rules."+name, "negative")
 	}
-	c.that(r.StartShare >= 0 && r.StartShare <= 1, "rules.start_share", "%v is no share", r.StartShare)
-	c.that(r.FallFactor >= 0 && r.BudgetFree >= 0 && r.BudgetShare >= 0, "rules", "negative")
-	c.that(s.Attempts.Most >= 0 && s.Attempts.ConnectTimeout > 0, "attempts", "most negative, or connect_timeout not above 0")
-	c.that(index([]string{"answers", "probes", "none"}, s.Notes.Reports) >= 0, "notes.reports",
+	c.require(r.StartShare >= 0 && r.StartShare <= 1, "rules.start_share", "%v is no share", r.StartShare)
+	c.require(r.FallFactor >= 0 && r.BudgetFree >= 0 && r.BudgetShare >= 0, "rules", "negative")
+	c.require(s.Attempts.Most >= 0 && s.Attempts.ConnectTimeout > 0, "attempts", "most negative, or connect_timeout not above 0")
+	c.require(indexOf([]string{"answers", "probes", "none"}, s.Notes.Reports) >= 0, "notes.reports",
 		"%q is none of answers, probes, none", s.Notes.Reports)
-	c.that(s.Notes.Delay >= 0 && s.Notes.LinkEvery >= 0 && s.Notes.SwitchCost >= 0, "notes", "negative")
-	c.that(s.RetryAfter >= 0, "retry_after", "negative")
+	c.require(s.Notes.Delay >= 0 && s.Notes.LinkEvery >= 0 && s.Notes.SwitchCost >= 0, "notes", "negative")
+	c.require(s.RetryAfter >= 0, "retry_after", "negative")
 	p := s.Planner
-	c.that(p.CheckEvery > 0 && p.CheckFor > 0 && p.GoneAfter > 0, "planner", "check_every, check_for and gone_after must be above 0")
+	c.require(p.CheckEvery > 0 && p.CheckFor > 0 && p.GoneAfter > 0, "planner", "check_every, check_for and gone_after must be above 0")
 }
 
-func (s *Site) checkConsul(c *checker) {
+func (s *Site) validateConsul(c *validator) {
 	k := s.Consul
 	if k.Address == "" {
 		return
 	}
-	c.that(address(k.Address), "consul.address", "%q is no host:port", k.Address)
-	c.that(index([]string{"http", "https"}, k.Scheme) >= 0, "consul.scheme", "%q is none of http, https", k.Scheme)
-	c.that(k.Service != "", "consul.service", "empty")
-	c.that(index([]string{"default", "stale", "consistent"}, k.Consistency) >= 0, "consul.consistency", "%q is none of default, stale, consistent", k.Consistency)
-	c.that(k.Wait >= Duration(time.Second) && k.Wait <= Duration(10*time.Minute), "consul.wait", "1s to 10m")
-	c.that(k.TTL >= Duration(time.Second), "consul.ttl", "1s at least")
-	c.that((k.TLS.Cert == "") == (k.TLS.Key == ""), "consul.tls", "cert and key belong together")
+	c.require(isHostPort(k.Address), "consul.address", "%q is no host:port", k.Address)
+	c.require(indexOf([]string{"http", "https"}, k.Scheme) >= 0, "consul.scheme", "%q is none of http, https", k.Scheme)
+	c.require(k.Service != "", "consul.service", "empty")
+	c.require(indexOf([]string{"default", "stale", "consistent"}, k.Consistency) >= 0, "consul.consistency", "%q is none of default, stale, consistent", k.Consistency)
+	c.require(k.Wait >= Duration(time.Second) && k.Wait <= Duration(10*time.Minute), "consul.wait", "1s to 10m")
+	c.require(k.TTL >= Duration(time.Second), "consul.ttl", "1s at least")
+	c.require((k.TLS.Cert == "") == (k.TLS.Key == ""), "consul.tls", "cert and key belong together")
 }
 
-func (s *Site) checkCopies(c *checker) {
+func (s *Site) validateCopies(c *validator) {
 	k := s.Copies
-	c.that(k.Least >= 1 && k.AtOnce >= 1 && k.Most >= 0, "copies", "least and at_once must be above 0, most not negative")
-	c.that(k.Share > 0 && k.Share <= 1, "copies.share", "%v: above 0, 1 at most", k.Share)
-	c.that(k.Grace >= s.Rules.DrainGrace, "copies.grace", "shorter than rules.drain_grace: set-ups may still be on their way")
-	c.that(k.Patience > 0 && k.Backoff > 0 && k.Ahead >= 0, "copies", "patience and backoff must be above 0, ahead not negative")
+	c.require(k.Least >= 1 && k.AtOnce >= 1 && k.Most >= 0, "copies", "least and at_once must be above 0, most not negative")
+	c.require(k.Share > 0 && k.Share <= 1, "copies.share", "%v: above 0, 1 at most", k.Share)
+	c.require(k.Grace >= s.Rules.DrainGrace, "copies.grace", "shorter than rules.drain_grace: set-ups may still be on their way")
+	c.require(k.Patience > 0 && k.Backoff > 0 && k.Ahead >= 0, "copies", "patience and backoff must be above 0, ahead not negative")
 }
 
-func (s *Site) checkPlaces(c *checker) {
+func (s *Site) validatePlacement(c *validator) {
 	seen := map[string]bool{}
 	for i, t := range s.Titles {
 		at := fmt.Sprintf("titles[%d]", i)
-		c.that(Segment(t.Name) && !seen[t.Name], at+".name", "%q: empty, twice, or not fit for a URL", t.Name)
+		c.require(IsPathSegment(t.Name) && !seen[t.Name], at+".name", "%q: empty, twice, or not fit for a URL", t.Name)
 		seen[t.Name] = true
-		c.that(t.Home >= 0 && t.Home < s.Cells, at+".home", "%d is no cell of %d", t.Home, s.Cells)
-		c.that(t.Span >= 1 && t.Span <= s.Cells, at+".span", "%d: 1 to %d", t.Span, s.Cells)
-		c.that(t.Length >= 0, at+".length", "negative")
+		c.require(t.Home >= 0 && t.Home < s.Cells, at+".home", "%d is no cell of %d", t.Home, s.Cells)
+		c.require(t.Span >= 1 && t.Span <= s.Cells, at+".span", "%d: 1 to %d", t.Span, s.Cells)
+		c.require(t.Length >= 0, at+".length", "negative")
 	}
 	for i, b := range s.Boxes {
 		at := fmt.Sprintf("boxes[%d]", i)
-		c.that(address(b.Addr) && !seen[b.Addr], at+".addr", "%q is no host:port, or stands twice", b.Addr)
+		c.require(isHostPort(b.Addr) && !seen[b.Addr], at+".addr", "%q is no host:port, or stands twice", b.Addr)
 		seen[b.Addr] = true
-		c.that(index(s.Zones, b.Zone) >= 0, at+".zone", "%q is no zone", b.Zone)
-		c.that(index(s.kinds(), b.Kind) >= 0, at+".kind", "%q is no kind", b.Kind)
-		c.that(b.Cell >= 0 && b.Cell < s.Cells, at+".cell", "%d is no cell of %d", b.Cell, s.Cells)
-		c.that(b.Weight > 0, at+".weight", "must be above 0")
+		c.require(indexOf(s.Zones, b.Zone) >= 0, at+".zone", "%q is no zone", b.Zone)
+		c.require(indexOf(s.kindNames(), b.Kind) >= 0, at+".kind", "%q is no kind", b.Kind)
+		c.require(b.Cell >= 0 && b.Cell < s.Cells, at+".cell", "%d is no cell of %d", b.Cell, s.Cells)
+		c.require(b.Weight > 0, at+".weight", "must be above 0")
 	}
 	for i, e := range s.Edges {
 		at := fmt.Sprintf("edges[%d]", i)
-		c.that(index(s.Zones, e.Zone) >= 0, at+".zone", "%q is no zone", e.Zone)
-		c.that(address(e.Listen), at+".listen", "%q is no host:port", e.Listen)
-		c.that(e.Peer == "" || address(e.Peer), at+".peer", "%q is no host:port", e.Peer)
+		c.require(indexOf(s.Zones, e.Zone) >= 0, at+".zone", "%q is no zone", e.Zone)
+		c.require(isHostPort(e.Listen), at+".listen", "%q is no host:port", e.Listen)
+		c.require(e.Peer == "" || isHostPort(e.Peer), at+".peer", "%q is no host:port", e.Peer)
 	}
-	c.that(s.Planner.Listen == "" || address(s.Planner.Listen), "planner.listen", "%q is no host:port", s.Planner.Listen)
+	c.require(s.Planner.Listen == "" || isHostPort(s.Planner.Listen), "planner.listen", "%q is no host:port", s.Planner.Listen)
 }
 
-func address(a string) bool {
+func isHostPort(a string) bool {
 	host, port, err := net.SplitHostPort(a)
 	n, perr := strconv.Atoi(port)
 	return err == nil && perr == nil && host != "" && n >= 0 && n <= 65535
 }
 
 // Segment tells names that may stand in a URL's path as they are (RFC 3986, 2.3).
-func Segment(s string) bool {
+func IsPathSegment(s string) bool {
 	if s == "" || len(s) > 128 || s == "." || s == ".." {
 		return false
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,11 +11,11 @@
 	"rainpulley/control"
 )
 
-const example = "../../examples/site.jsonnet"
+const examplePath = "../../examples/site.jsonnet"
 
 // Each change to the example is refused, with the file's and the field's name.
-func TestErrorsNameTheField(t *testing.T) {
-	text, err := os.ReadFile(example)
+func TestErrorsNameFileAndField(t *testing.T) {
+	text, err := os.ReadFile(examplePath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,8 +48,8 @@
 }
 
 // The example is good, is what the module takes, and is the same after writing and reading.
-func TestExample(t *testing.T) {
-	s, err := Load(example, nil)
+func TestExampleSite(t *testing.T) {
+	s, err := Load(examplePath, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,17 +9,17 @@
 	out := control.Settings{
 		Position: position, Fronts: max(len(s.Edges), 1), Cells: s.Cells, Racks: s.Racks,
 		LinkRatePerWeight: float64(s.Links.PerWeight), RackUplinkRate: float64(s.Links.Uplink), RejectUtilization: s.Links.FullFrom,
-		WeightMode: control.WeightSize, NoteDelay: s.Notes.Delay.D(), LinkNoteInterval: s.Notes.LinkEvery.D(),
-		SwitchCost: s.Notes.SwitchCost.D(), AllowProbes: s.Attempts.Probes, AllowPeerMessages: s.Peers && len(s.Edges) > 1,
+		WeightMode: control.WeightSize, NoteDelay: s.Notes.Delay.Std(), LinkNoteInterval: s.Notes.LinkEvery.Std(),
+		SwitchCost: s.Notes.SwitchCost.Std(), AllowProbes: s.Attempts.Probes, AllowPeerMessages: s.Peers && len(s.Edges) > 1,
 		AllowCancel: s.Attempts.Cancel, AllowRetryAfter: s.RetryAfter > 0, MaxAttempts: s.Attempts.Most,
-		MaxRetryAfter: s.RetryAfter.D(), MovePrice: s.Prices.Move, ZonePrice: s.Prices.Zone, ProbePrice: s.Prices.Probe,
-		DrainGrace: s.Rules.DrainGrace.D(), Ramp: s.Rules.Ramp.D(), StartShare: s.Rules.StartShare,
-		BurstFactor: s.Rules.FallFactor, BurstSpan: s.Rules.FallSpan.D(),
-		BudgetSpan: s.Rules.BudgetSpan.D(), BudgetFree: s.Rules.BudgetFree, BudgetShare: s.Rules.BudgetShare,
+		MaxRetryAfter: s.RetryAfter.Std(), MovePrice: s.Prices.Move, ZonePrice: s.Prices.Zone, ProbePrice: s.Prices.Probe,
+		DrainGrace: s.Rules.DrainGrace.Std(), Ramp: s.Rules.Ramp.Std(), StartShare: s.Rules.StartShare,
+		BurstFactor: s.Rules.FallFactor, BurstSpan: s.Rules.FallSpan.Std(),
+		BudgetSpan: s.Rules.BudgetSpan.Std(), BudgetFree: s.Rules.BudgetFree, BudgetShare: s.Rules.BudgetShare,
 		JoinRateFactor: 1,
 	}
 	if position < len(s.Edges) {
-		out.Zone = index(s.Zones, s.Edges[position].Zone)
+		out.Zone = indexOf(s.Zones, s.Edges[position].Zone)
 	}
 	for _, r := range s.Ladder {
 		out.Ladder, out.RungWorth = append(out.Ladder, float64(r.Rate)), append(out.RungWorth, r.Worth)
@@ -37,13 +37,13 @@
 		out.ReportMode = control.ReportsByProbe
 	}
 	for _, k := range s.Classes {
-		out.Classes = append(out.Classes, k.class(len(s.Ladder)-1))
+		out.Classes = append(out.Classes, k.controlClass(len(s.Ladder)-1))
 	}
 	return out
 }
 
-func (k Class) class(top int) control.Class {
-	c := control.Class{Name: k.Name, DedupWindow: k.Window.D(), Aim: k.Aim.D(), Deadline: k.Deadline.D(),
+func (k Class) controlClass(top int) control.Class {
+	c := control.Class{Name: k.Name, DedupWindow: k.Window.Std(), Aim: k.Aim.Std(), Deadline: k.Deadline.Std(),
 		Worth: k.Worth, RateFactor: k.RateFactor, MinRung: k.Floor, MaxRung: top, Seats: k.Seats, Live: k.Live}
 	if k.Top != nil {
 		c.MaxRung = *k.Top
@@ -67,7 +67,7 @@
 }
 
 // Class is the number of a class by its name, or -1.
-func (s *Site) Class(name string) int {
+func (s *Site) ClassIndex(name string) int {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
 			return i
@@ -77,5 +77,5 @@
 }
 
 // Zone and Kind are the numbers of a zone and a kind by their names, or -1.
-func (s *Site) Zone(name string) int { return index(s.Zones, name) }
-func (s *Site) Kind(name string) int { return index(s.kinds(), name) }
+func (s *Site) ZoneIndex(name string) int { return indexOf(s.Zones, name) }
+func (s *Site) KindIndex(name string) int { return indexOf(s.kindNames(), name) }
--- a/internal/edge/adopt.go
+++ b/internal/edge/adopt.go
@@ -47,7 +47,7 @@
 // adoptSession takes over a session of an earlier instance of this edge. The session is released instead if its
 // viewer has a new one already.
 func (e *Edge) adoptSession(server string, held heldSession) {
-	class := e.Site.Class(held.Class)
+	class := e.Site.ClassIndex(held.Class)
 	title, ok := e.fleet.Load().titles[held.Title]
 	fromEarlierInstance := strings.HasPrefix(held.ID, e.requestIDPrefix()) &&
 		!strings.HasPrefix(held.ID, e.requestIDPrefix()+e.instanceID)
--- a/internal/edge/boxes.go
+++ b/internal/edge/boxes.go
@@ -55,7 +55,7 @@
 	limits := http1.DefaultLimits()
 	return &boxClient{edge: e, followers: map[string]*follower{}, outcomes: map[string]view.Outcome{},
 		releaseQueue: make(chan releaseRequest, releaseQueueSize),
-		http:         &http1.Client{Limits: limits, ConnectTimeout: e.Site.Attempts.ConnectTimeout.D()}}
+		http:         &http1.Client{Limits: limits, ConnectTimeout: e.Site.Attempts.ConnectTimeout.Std()}}
 }
 
 // SetUp asks a box to start a session: POST /sessions/<id>. Its outcome separates failures that prove that the
@@ -220,7 +220,7 @@
 // Probe checks the health of a box in the background and reports the result to the orchestrator.
 func (b *boxClient) Probe(server string) {
 	b.edge.spawn(func() {
-		ctx, cancel := context.WithTimeout(b.edge.ctx, b.edge.Site.Planner.CheckFor.D())
+		ctx, cancel := context.WithTimeout(b.edge.ctx, b.edge.Site.Planner.CheckFor.Std())
 		defer cancel()
 		resp, err := b.http.Do(ctx, server, "GET", "/health", nil, nil)
 		out := control.ProbeResult{Server: server}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -112,7 +112,7 @@
 	e.boxes = newBoxClient(e)
 	e.playlists = &playlistCache{edge: e, byPath: map[string]cachedPlaylist{}}
 	e.orchestrator = core.New(core.Options{QueueSize: o.Site.Limits.Queue, MaxAttempts: o.Site.Attempts.Most,
-		AnswerSlack: o.Site.Rules.AnswerSlack.D(),
+		AnswerSlack: o.Site.Rules.AnswerSlack.Std(),
 		Budget:      core.Budget{Span: e.settings.BudgetSpan, Share: e.settings.BudgetShare},
 		Log:         o.Log, Decider: decider, Executor: e.boxes, Now: e.now})
 	e.fleet.Store(&fleet{titles: map[string]view.Title{}})
@@ -125,7 +125,7 @@
 // are fixed at start or come from the planner. The log lists changed settings that need a restart.
 func (e *Edge) Reload(s *config.Site) {
 	e.playback.Store(&s.Playback)
-	needsRestart := config.Changed(e.Site, s, "playback", "boxes", "titles", "planner")
+	needsRestart := config.ChangedFields(e.Site, s, "playback", "boxes", "titles", "planner")
 	e.Log.Info("site reloaded", "playback", s.Playback, "needs_restart", needsRestart)
 }
 
@@ -257,7 +257,7 @@
 					finished = append(finished, s.request.id)
 				}
 			case s.state == admission.Playing:
-				if now-time.Duration(s.lastSeenAt.Load()) > e.playback.Load().Silence.D() {
+				if now-time.Duration(s.lastSeenAt.Load()) > e.playback.Load().Silence.Std() {
 					abandoned = append(abandoned, s.request)
 				}
 			case s.state == admission.Lost || s.state == admission.Ended || s.state == admission.Unsuccessful:
--- a/internal/edge/handle.go
+++ b/internal/edge/handle.go
@@ -99,7 +99,7 @@
 func (e *Edge) parsePlay(x *http1.Exchange, title string) (viewerRequest, error) {
 	req := viewerRequest{title: title}
 	if v := x.QueryParam("class"); v != nil {
-		req.class = e.Site.Class(string(v))
+		req.class = e.Site.ClassIndex(string(v))
 	}
 	if req.class < 0 {
 		return req, fmt.Errorf("no such class")
@@ -267,9 +267,9 @@
 		return
 	}
 	playback := e.playback.Load()
-	lead := playback.Ahead.D()
+	lead := playback.Ahead.Std()
 	segmentDuration := max(track.SegmentStart(1)-track.SegmentStart(0), 0.1)
-	keep := int(math.Ceil((lead+playback.Behind.D()).Seconds()/segmentDuration)) + 2
+	keep := int(math.Ceil((lead+playback.Behind.Std()).Seconds()/segmentDuration)) + 2
 	s.window.Publish(track.SegmentAt((now - s.contentStart + lead).Seconds()), keep)
 }
 
@@ -301,7 +301,7 @@
 func (e *Edge) parseReload(name, rest []byte) (viewerRequest, error) {
 	nameParts := strings.Split(string(name), "/")
 	restParts := strings.Split(string(rest), "/")
-	req := viewerRequest{sessionName: bytes.Clone(name), class: e.Site.Class(nameParts[0]), title: nameParts[1],
+	req := viewerRequest{sessionName: bytes.Clone(name), class: e.Site.ClassIndex(nameParts[0]), title: nameParts[1],
 		viewerKey: nameParts[2]}
 	if req.class < 0 || len(restParts) != 3 || !isURLSafe(req.viewerKey) {
 		return req, fmt.Errorf("no such class, or malformed path")
@@ -421,7 +421,7 @@
 // then abandoned.
 func (e *Edge) awaitAnswer(x *http1.Exchange, s *session, p *placementRequest, deadline time.Duration) bool {
 	disconnected, stop := x.WatchDisconnect()
-	timeout := time.NewTimer(deadline + e.Site.Rules.AnswerSlack.D() - e.now())
+	timeout := time.NewTimer(deadline + e.Site.Rules.AnswerSlack.Std() - e.now())
 	defer timeout.Stop()
 	answered, gone := false, false
 	select {
--- a/internal/edge/holds.go
+++ b/internal/edge/holds.go
@@ -43,7 +43,7 @@
 func (e *Edge) applyHolds(update *view.Holds) {
 	next := control.HoldsUpdate{}
 	for _, p := range update.Entries {
-		if class := e.Site.Class(p.Class); class >= 0 {
+		if class := e.Site.ClassIndex(p.Class); class >= 0 {
 			next.Holds = append(next.Holds, control.Hold{Server: p.Box, Class: class, Title: hash(p.Title),
 				Rate: p.Rate, Streams: p.Streams})
 		} else {
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -112,7 +112,7 @@
 		s.Rules.BudgetSpan, s.Rules.BudgetFree, s.Rules.BudgetShare = seconds(1.5), 3, 0.1
 	})
 	env.startEdge(0, 3)
-	time.Sleep(env.site.Rules.BudgetSpan.D() + 100*time.Millisecond) // an edge that has just started has no free attempts
+	time.Sleep(env.site.Rules.BudgetSpan.Std() + 100*time.Millisecond) // an edge that has just started has no free attempts
 	for _, b := range env.fleet.Boxes {
 		b.SetFaults(func(f *standin.Faults) { f.ResetShare = 2 })
 	}
--- a/internal/edge/rendition.go
+++ b/internal/edge/rendition.go
@@ -13,7 +13,7 @@
 // the session and up to the position that the main playlist has published. The caller holds s.mu; writeRendition
 // unlocks it.
 func (e *Edge) writeRendition(ctx context.Context, x *http1.Exchange, s *session, req viewerRequest) {
-	server, m, id, published := s.server, s.manifest, s.request.id, e.now()-s.contentStart+e.playback.Load().Ahead.D()
+	server, m, id, published := s.server, s.manifest, s.request.id, e.now()-s.contentStart+e.playback.Load().Ahead.Std()
 	s.mu.Unlock()
 	if req.playlist > len(m.parsed.Renditions) || m.parsed.Renditions[req.playlist-1].Attributes.Get("URI") == "" {
 		e.writeText(x, 404, "no such rendition")
--- a/internal/edge/restart_test.go
+++ b/internal/edge/restart_test.go
@@ -85,7 +85,7 @@
 	env.waitFor("the edge to have the second new site", func() bool {
 		return strings.Contains(env.status(0), `"boxes":3,"titles":2,`)
 	})
-	if got := config.Changed(env.site, &next2, "titles"); len(got) != 0 {
+	if got := config.ChangedFields(env.site, &next2, "titles"); len(got) != 0 {
 		t.Errorf("changed: %v", got)
 	}
 	if code, _ := env.play(0, ""); code != 200 {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -18,7 +18,7 @@
 // BenchmarkSetUp is a session from SETUP to its end through a node over loopback; server and viewer, scripted and in
 // the same process, are counted too.
 func BenchmarkSetUp(b *testing.B) {
-	serverEnd, viewerEnd := listen(b), listen(b)
+	serverEnd, viewerEnd := listenLoopback(b), listenLoopback(b)
 	go func() {
 		for {
 			c, err := serverEnd.Accept()
@@ -51,7 +51,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	n.follower = coordinator.New(listen(b).Addr().String(), 1, n.Config.Platform.ConnectTimeout, n.Log, n.handleUpdates)
+	n.follower = coordinator.New(listenLoopback(b).Addr().String(), 1, n.Config.Platform.ConnectTimeout, n.Log, n.handleUpdates)
 	n.Listener, n.ArrivalWindow = viewerEnd, -n.longestDeadline()
 	over := make(chan error, 1)
 	ctx, stop := context.WithCancel(context.Background())
@@ -68,13 +68,13 @@
 	for b.Loop() {
 		i++
 		id := fmt.Sprintf("%016x", i)
-		if _, err := io.WriteString(conn, setUp(id, "free", "")); err != nil {
+		if _, err := io.WriteString(conn, setUpRequest(id, "free", "")); err != nil {
 			b.Fatal(err)
 		}
 		if m, err := r.Next(); err != nil || m.Status != 200 {
 			b.Fatal(m, err)
 		}
-		if _, err := io.WriteString(conn, tearDown(id)); err != nil {
+		if _, err := io.WriteString(conn, tearDownRequest(id)); err != nil {
 			b.Fatal(err)
 		}
 		if _, err := r.Next(); err != nil {
@@ -83,7 +83,7 @@
 	}
 }
 
-func listen(b *testing.B) net.Listener {
+func listenLoopback(b *testing.B) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/node/capacity_test.go
+++ b/internal/node/capacity_test.go
@@ -23,7 +23,7 @@
 // TestThousandServersAndProcesses loads a list of 1,024 servers in a deployment of 1,024 processes at the start, as a
 // whole list, as changes and by a reload. The list must not add goroutines, and only little memory.
 func TestThousandServersAndProcesses(t *testing.T) {
-	b := newBox(t, "s-0", ready)
+	b := newBox(t, "s-0", answerReady)
 	list := []coordinator.Entry{b.entry("up")} // alone in its cell; the other addresses are not listened on
 	for i := range listedServers - 1 {
 		list = append(list, coordinator.Entry{ID: fmt.Sprintf("s-%d", i+1), Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Zone: "east", Kind: "std",
@@ -35,9 +35,9 @@
 		t.Fatal("the settings were not changed as intended")
 	}
 	goroutines, heap, begun := runtime.NumGoroutine(), heapInUse(), time.Now()
-	n := startSet(t, 256, settings, func(*Node) {}, list)
-	v := n.dial().say(optionsRequest)
-	v.want("", 200)
+	n := startNodeWithSettings(t, 256, settings, func(*Node) {}, list)
+	v := n.dial().send(optionsRequest)
+	v.wantAnswer("", 200)
 	ready := time.Since(begun)
 	t.Logf("ready after %v, %d goroutines more, %d kB of heap more", ready, runtime.NumGoroutine()-goroutines, (heapInUse()-heap)>>10)
 	if more := runtime.NumGoroutine() - goroutines; more > maxIdleGoroutines {
@@ -53,21 +53,21 @@
 		e.State = "draining"
 		changed = append(changed, e)
 	}
-	n.feed.push(changed...) // one update of 1,023 servers
+	n.coordinator.push(changed...) // one update of 1,023 servers
 	eventually(t, "the changes", func() bool { return n.drainingCount() == listedServers-1 })
 	for _, e := range changed[:100] { // and one hundred single updates
 		e.State = "removed"
-		n.feed.push(e)
+		n.coordinator.push(e)
 	}
 	eventually(t, "the single changes", func() bool { return n.drainingCount() == listedServers-101 })
 	n.wantServedBy(v, b, idB)
 
 	whole := coordinator.Update{Endpoints: &coordinator.Endpoints{Full: true, Servers: list}}
-	n.write(n.ConfigPath, n.feed, 256, coordinator.Updates{Index: n.feed.last() + 1, Updates: []coordinator.Update{whole}})
+	n.writeConfig(n.ConfigPath, n.coordinator, 256, coordinator.Updates{Index: n.coordinator.lastIndex() + 1, Updates: []coordinator.Update{whole}})
 	_ = syscall.Kill(syscall.Getpid(), syscall.SIGHUP)
 	eventually(t, "the reload", func() bool { return n.drainingCount() == 0 })
 	n.wantServedBy(v, b, idC)
-	n.agree(3)
+	n.wantSessionCount(3)
 }
 
 func heapInUse() int64 {
@@ -78,7 +78,7 @@
 }
 
 // drainingCount returns the number of listed servers that are draining.
-func (r *rig) drainingCount() (count int) {
+func (r *testNode) drainingCount() (count int) {
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
 	for _, s := range r.pool.servers {
@@ -90,9 +90,9 @@
 }
 
 // wantServedBy sets up a session of a title that only one server has and checks that this server gets the set-up.
-func (r *rig) wantServedBy(v *dialogue, b *box, id string) {
+func (r *testNode) wantServedBy(v *viewerClient, b *box, id string) {
 	r.t.Helper()
-	v.say(strings.Replace(setUp(id, "free", ""), "copies:4", "copies:1", 1)).want(id, 200)
+	v.send(strings.Replace(setUpRequest(id, "free", ""), "copies:4", "copies:1", 1)).wantAnswer(id, 200)
 	if m := b.next(r.t, "open"); m.ID != id {
 		r.t.Errorf("%+v", m.Message)
 	}
--- a/internal/node/descriptor_test.go
+++ b/internal/node/descriptor_test.go
@@ -18,7 +18,7 @@
 // Requests are still answered, the coordinator is followed as soon as it returns, and all descriptors are freed.
 func TestDescriptorExhaustion(t *testing.T) {
 	const sockets, idle = 96, 300
-	a, b := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
+	a, b := newBox(t, "s-1", answerReady), newBox(t, "s-2", answerReady)
 	spare, err := net.Listen("tcp", "127.0.0.1:0") // the coordinator's address: nothing answers there yet
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 	child := startChild(t, childOptions{sockets: sockets, settings: defaultSettings}, spare.Addr().String(),
 		[]coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: []coordinator.Entry{a.entry("up")}}}})
 	var all []net.Conn
-	dial := func() *dialogue {
+	dial := func() *viewerClient {
 		d := child.dial()
 		all = append(all, d.Conn)
 		return d
@@ -39,7 +39,7 @@
 		}
 		return len(all)
 	}
-	dial().say(setUp(idA, "free", "")).want(idA, 200)
+	dial().send(setUpRequest(idA, "free", "")).wantAnswer(idA, 200)
 	before := descriptors()
 	for i := range idle {
 		d := dial()
@@ -48,7 +48,7 @@
 		}
 		if i%20 == 0 {
 			id := fmt.Sprintf("%016x", i+1)
-			dial().say(setUp(id, "paid", "")).want(id, 200)
+			dial().send(setUpRequest(id, "paid", "")).wantAnswer(id, 200)
 		}
 	}
 	if count := descriptors(); count > sockets {
@@ -67,8 +67,8 @@
 	defer feed.Close()
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("%016x", 0x1000+i)
-		dial().say(setUp(id, "paid", "")).want(id, 200)
-		if len(b.heard) > 0 {
+		dial().send(setUpRequest(id, "paid", "")).wantAnswer(id, 200)
+		if len(b.received) > 0 {
 			break
 		}
 		if i == 500 {
@@ -95,15 +95,15 @@
 // TestStartDoesNotWaitForServers checks that a node serves as soon as it listens, even if hundreds of servers accept
 // no connection and the coordinator does not answer.
 func TestStartDoesNotWaitForServers(t *testing.T) {
-	b := newBox(t, "s-1", ready)
+	b := newBox(t, "s-1", answerReady)
 	list := []coordinator.Entry{b.entry("up")}
 	for i := range 400 {
 		list = append(list, coordinator.Entry{ID: fmt.Sprintf("s-%d", i+2), Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Zone: "east", Kind: "std", State: "draining"})
 	}
 	var dials []string
-	n := startListed(t, 256, func(n *Node) {
+	n := startNodeWithList(t, 256, func(n *Node) {
 		n.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
-			if addr != b.l.Addr().String() {
+			if addr != b.listener.Addr().String() {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
@@ -113,12 +113,12 @@
 			return dialTCP(ctx, addr, within)
 		}
 	}, list)
-	n.dial().say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n").want("", 200)
+	n.dial().send("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n").wantAnswer("", 200)
 	n.mu.Lock()
 	if len(dials) > 0 {
 		t.Errorf("connections dialed at start: %v", dials)
 	}
 	n.mu.Unlock()
-	n.dial().say(setUp(idA, "paid", "")).want(idA, 200)
-	n.agree(1)
+	n.dial().send(setUpRequest(idA, "paid", "")).wantAnswer(idA, 200)
+	n.wantSessionCount(1)
 }
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -17,24 +17,24 @@
 )
 
 // waitForEnd waits until the node has shut down.
-func (r *rig) waitForEnd() {
+func (r *testNode) waitForEnd() {
 	r.t.Helper()
 	select {
-	case err := <-r.over:
-		r.over <- err
-	case <-time.After(testFor):
+	case err := <-r.done:
+		r.done <- err
+	case <-time.After(testTimeout):
 		r.t.Fatal("the node did not shut down")
 	}
 }
 
 // answerThenEOF reads a final answer to a set-up and then the end of the connection, which must not be a reset.
-func (d *dialogue) answerThenEOF(id string) (status int) {
+func (d *viewerClient) answerThenEOF(id string) (status int) {
 	d.t.Helper()
 	m := d.next()
 	if m.Get("Session") != id || m.Status < 200 {
 		d.t.Errorf("answer %+v", m)
 	}
-	if more, err := d.r.Next(); !errors.Is(err, io.EOF) {
+	if more, err := d.reader.Next(); !errors.Is(err, io.EOF) {
 		d.t.Errorf("after the answer: %+v, %v", more, err)
 	}
 	return m.Status
@@ -45,13 +45,13 @@
 // yet written.
 func TestShutdownAnswersEveryRequest(t *testing.T) {
 	t.Run("in the accept backlog", func(t *testing.T) {
-		n := startNode(t, newBox(t, "s-1", ready))
-		first := n.dial().say(setUp(idB, "free", ""))
-		first.want(idB, 200)
+		n := startNode(t, newBox(t, "s-1", answerReady))
+		first := n.dial().send(setUpRequest(idB, "free", ""))
+		first.wantAnswer(idB, 200)
 		n.viewerConns.mu.Lock() // blocks the accept loop at one connection; two more wait in the backlog
 		a, b, c := n.dial(), n.dial(), n.dial()
-		b.say(setUp(idA, "free", ""))
-		c.say(setUp(idC, "paid", ""))
+		b.send(setUpRequest(idA, "free", ""))
+		c.send(setUpRequest(idC, "paid", ""))
 		n.stop()
 		eventually(t, "the node shutting down", n.viewerConns.shuttingDown.Load)
 		time.Sleep(2 * backlogIdleTimeout) // as on a busy core: the first accept times out
@@ -67,11 +67,11 @@
 	})
 	t.Run("in the backlog as the accept deadline expires", func(t *testing.T) {
 		g := newGate()
-		n := startGated(t, func(n *Node) {
+		n := startModifiedNode(t, func(n *Node) {
 			n.Listener = &gatedListener{TCPListener: n.Listener.(*net.TCPListener), gate: g}
-		}, newBox(t, "s-1", ready))
+		}, newBox(t, "s-1", answerReady))
 		g.wait(t) // accept is about to be called
-		v := n.dial().say(setUp(idA, "free", ""))
+		v := n.dial().send(setUpRequest(idA, "free", ""))
 		n.stop()
 		eventually(t, "the node shutting down", n.Listener.(*gatedListener).deadlineSet.Load)
 		close(g.open)
@@ -81,9 +81,9 @@
 		n.waitForEnd()
 	})
 	t.Run("partly read", func(t *testing.T) {
-		n := startNode(t, newBox(t, "s-1", ready))
-		unblock := n.holdOwner()
-		v := n.dial().say(setUp(idA, "free", "")[:70])
+		n := startNode(t, newBox(t, "s-1", answerReady))
+		unblock := n.blockOrchestrator()
+		v := n.dial().send(setUpRequest(idA, "free", "")[:70])
 		eventually(t, "the connection accepted", func() bool {
 			n.viewerConns.mu.Lock()
 			defer n.viewerConns.mu.Unlock()
@@ -91,7 +91,7 @@
 		})
 		n.stop()
 		eventually(t, "the node shutting down", n.viewerConns.shuttingDown.Load)
-		v.say(setUp(idA, "free", "")[70:])
+		v.send(setUpRequest(idA, "free", "")[70:])
 		if m := v.next(); m.Status != 503 || m.Get("Session") != idA {
 			t.Errorf("answer %+v", m)
 		}
@@ -100,8 +100,8 @@
 	})
 	t.Run("queued", func(t *testing.T) {
 		n := startNode(t, newBox(t, "s-1", nil))
-		unblock := n.holdOwner()
-		v := n.dial().say(setUp(idA, "paid", ""))
+		unblock := n.blockOrchestrator()
+		v := n.dial().send(setUpRequest(idA, "paid", ""))
 		eventually(t, "queued", func() bool { return n.orchestrator.QueueLen() == 1 })
 		n.stop()
 		eventually(t, "the node shutting down", n.viewerConns.shuttingDown.Load)
@@ -111,8 +111,8 @@
 	})
 	t.Run("waiting for a connection", func(t *testing.T) {
 		g := newGate()
-		n := startGated(t, func(n *Node) { n.Dial = gatedDial(g) }, newBox(t, "s-1", nil))
-		v := n.dial().say(setUp(idA, "paid", ""))
+		n := startModifiedNode(t, func(n *Node) { n.Dial = gatedDial(g) }, newBox(t, "s-1", nil))
+		v := n.dial().send(setUpRequest(idA, "paid", ""))
 		g.wait(t)
 		n.stop()
 		v.answerThenEOF(idA)
@@ -122,7 +122,7 @@
 	t.Run("pending at a server", func(t *testing.T) {
 		b := newBox(t, "s-1", nil)
 		n := startNode(t, b)
-		v := n.dial().say(setUp(idA, "paid", ""))
+		v := n.dial().send(setUpRequest(idA, "paid", ""))
 		m := b.next(t, "open")
 		n.stop()
 		if got := v.answerThenEOF(idA); got != 504 { // it may have run
@@ -136,12 +136,12 @@
 	t.Run("answered but not written", func(t *testing.T) {
 		b := newBox(t, "s-1", nil)
 		n := startNode(t, b)
-		v := n.dial().say(setUp(idA, "paid", ""))
+		v := n.dial().send(setUpRequest(idA, "paid", ""))
 		m := b.next(t, "open")
 		c := n.findSession(idA).conn
 		c.out.mu.Lock() // blocks the writer
 		answered := make(chan struct{})
-		go func() { defer close(answered); ready(m); v.say(setUp(idB, "free", "")[:50]) }()
+		go func() { defer close(answered); answerReady(m); v.send(setUpRequest(idB, "free", "")[:50]) }()
 		<-answered
 		n.stop()
 		eventually(t, "the node shutting down", n.viewerConns.shuttingDown.Load)
@@ -177,7 +177,7 @@
 	for range 20 {
 		b := newBox(t, "s-1", nil)
 		n := startNode(t, b)
-		v := n.dial().say(setUp(idA, "paid", ""))
+		v := n.dial().send(setUpRequest(idA, "paid", ""))
 		b.next(t, "open")
 		stop, over := make(chan struct{}), make(chan struct{})
 		go func() {
@@ -212,45 +212,45 @@
 	a, b := newBox(t, "s-1", nil), newBox(t, "s-2", nil)
 	n := startNode(t, a)
 	n.ArrivalWindow = shutdownMargin // the longest deadline, 1 s, is added
-	v := n.dial().say(setUp(idA, "paid", ""))
+	v := n.dial().send(setUpRequest(idA, "paid", ""))
 	m := a.next(t, "open")
 	n.stop() // as SIGTERM does
-	other := newFeed(t, n.feed.all)
-	known := coordinator.Updates{Index: 2, Updates: append(n.feed.all,
+	other := newScriptedCoordinator(t, n.coordinator.updates)
+	known := coordinator.Updates{Index: 2, Updates: append(n.coordinator.updates,
 		coordinator.Update{Endpoints: &coordinator.Endpoints{Servers: []coordinator.Entry{a.entry("draining"), b.entry("up")}}})}
 	_ = os.WriteFile(n.ConfigPath, []byte("{"), 0o600)
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	n.write(n.ConfigPath, other, 256, known)
+	n.writeConfig(n.ConfigPath, other, 256, known)
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
 		_ = syscall.Kill(os.Getpid(), s)
 	}
 	select {
-	case <-other.polls:
-	case <-time.After(testFor):
+	case <-other.queries:
+	case <-time.After(testTimeout):
 		t.Fatal("the new coordinator address was not used during shutdown")
 	}
-	late := n.dial().say(setUp(idB, "free", ""))
-	ready(b.next(t, "open")) // the reloaded configuration drains the other server
-	late.want(idB, 200)
-	ready(m)
-	v.want(idA, 200)
+	late := n.dial().send(setUpRequest(idB, "free", ""))
+	answerReady(b.next(t, "open")) // the reloaded configuration drains the other server
+	late.wantAnswer(idB, 200)
+	answerReady(m)
+	v.wantAnswer(idA, 200)
 	n.waitForEnd()
 }
 
 // TestRequestInPieces checks that an interrupted request delays nobody, and that a request sent byte by byte and two
 // requests in one segment are served.
 func TestRequestInPieces(t *testing.T) {
-	b := newBox(t, "s-1", ready)
+	b := newBox(t, "s-1", answerReady)
 	n := startNode(t, b)
-	whole := setUp(idA, "free", "")
-	held := n.dial().say(whole[:len(whole)/2])
+	whole := setUpRequest(idA, "free", "")
+	held := n.dial().send(whole[:len(whole)/2])
 	bytewise := n.dial()
 	_ = bytewise.Conn.(*net.TCPConn).SetNoDelay(true)
-	for _, c := range []byte(setUp(idB, "paid", "")) {
-		bytewise.say(string(c))
+	for _, c := range []byte(setUpRequest(idB, "paid", "")) {
+		bytewise.send(string(c))
 	}
-	bytewise.want(idB, 200)
-	two := n.dial().say(setUp(idC, "free", "") + setUp("9b1f03aa5c7e2d44", "free", ""))
+	bytewise.wantAnswer(idB, 200)
+	two := n.dial().send(setUpRequest(idC, "free", "") + setUpRequest("9b1f03aa5c7e2d44", "free", ""))
 	got := map[string]bool{}
 	for range 2 {
 		m := two.next()
@@ -259,8 +259,8 @@
 	if !got[idC+" 200"] || !got["9b1f03aa5c7e2d44 200"] {
 		t.Errorf("two in one segment: %v", got)
 	}
-	held.say(whole[len(whole)/2:]).want(idA, 200)
-	n.agree(4)
+	held.send(whole[len(whole)/2:]).wantAnswer(idA, 200)
+	n.wantSessionCount(4)
 }
 
 // TestCloseReadsUnreadBytesFirst checks that closing all connections first reads what viewers have sent: a close with
@@ -336,22 +336,22 @@
 func TestShutdownForwardsReleases(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	var l *lingeringListener
-	n := startGated(t, func(n *Node) {
+	n := startModifiedNode(t, func(n *Node) {
 		l = &lingeringListener{TCPListener: n.Listener.(*net.TCPListener),
 			blocked: make(chan struct{}), resume: make(chan struct{})}
 		n.Listener = l
 	}, b)
 	unblock := sync.OnceFunc(func() { close(l.resume) })
 	defer unblock()
-	v := n.dial().say(setUp(idA, "free", ""))
+	v := n.dial().send(setUpRequest(idA, "free", ""))
 	plays := b.next(t, "open")
-	ready(plays)
-	v.want(idA, 200)
-	v.say(setUp(idB, "paid", ""))
+	answerReady(plays)
+	v.wantAnswer(idA, 200)
+	v.send(setUpRequest(idB, "paid", ""))
 	b.next(t, "open")
 	n.stop()
 	<-l.blocked
-	v.want(idB, 504) // all requests are answered by now
+	v.wantAnswer(idB, 504) // all requests are answered by now
 	plays.endSession()
 	v.wantRelease(idA, "cause=16")
 	unblock()
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -10,19 +10,19 @@
 func TestEvictionSparesRequest(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
-	v := n.dial().say(optionsRequest)
-	v.want("", 200)
+	v := n.dial().send(optionsRequest)
+	v.wantAnswer("", 200)
 	var chosen *viewerConn // the answer is written before the connection counts as idle
 	eventually(t, "an idle connection", func() bool {
 		chosen = n.viewerConns.evictionCandidate(time.Now())
 		return chosen != nil
 	})
-	v.say(setUp(idA, "paid", ""))
+	v.send(setUpRequest(idA, "paid", ""))
 	m := b.next(t, "open")
 	if chosen.closeIfIdle(closedForCapacity) {
 		t.Error("closed with a pending request")
 	}
-	ready(m)
-	v.want(idA, statusOK)
-	n.agree(1)
+	answerReady(m)
+	v.wantAnswer(idA, statusOK)
+	n.wantSessionCount(1)
 }
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	select {
 	case <-g.reached:
-	case <-time.After(testFor):
+	case <-time.After(testTimeout):
 		t.Fatal("the gate was not reached")
 	}
 }
@@ -42,11 +42,11 @@
 }
 
 // holdOwner keeps the module's goroutine busy until let go: what a viewer does meanwhile is known to its reader only.
-func (r *rig) holdOwner() (letGo func()) {
-	held, hold := make(chan struct{}), make(chan struct{})
-	r.orchestrator.Inspect(func() { close(held); <-hold })
-	<-held
-	letGo = sync.OnceFunc(func() { close(hold) })
-	r.t.Cleanup(letGo) // a test that failed meanwhile ends
-	return letGo
+func (r *testNode) blockOrchestrator() (unblock func()) {
+	blocked, release := make(chan struct{}), make(chan struct{})
+	r.orchestrator.Inspect(func() { close(blocked); <-release })
+	<-blocked
+	unblock = sync.OnceFunc(func() { close(release) })
+	r.t.Cleanup(unblock) // a test that failed meanwhile ends
+	return unblock
 }
--- a/internal/node/giveup_test.go
+++ b/internal/node/giveup_test.go
@@ -16,26 +16,26 @@
 	var first sync.Once
 	tried := make(chan *box, 2)
 	reset := make(chan struct{})
-	answer := func(b **box) func(said) {
-		return func(m said) {
+	answer := func(b **box) func(receivedMessage) {
+		return func(m receivedMessage) {
 			silent := false
 			first.Do(func() { silent = true })
 			if !silent {
-				ready(m)
+				answerReady(m)
 				return
 			}
 			tried <- *b
 			<-reset // the server reads nothing more from this connection
-			_ = m.on.Conn.(*net.TCPConn).SetLinger(0)
-			_ = m.on.Close()
+			_ = m.conn.Conn.(*net.TCPConn).SetLinger(0)
+			_ = m.conn.Close()
 		}
 	}
 	var a, b *box
 	a, b = newBox(t, "s-1", answer(&a)), newBox(t, "s-2", answer(&b))
 	n := startNode(t, a, b)
-	v := n.dial().say(setUp(idA, "free", ""))
+	v := n.dial().send(setUpRequest(idA, "free", ""))
 	silent := <-tried
-	v.want(idA, 200) // from the other server
+	v.wantAnswer(idA, 200) // from the other server
 	close(reset)
 	if m := silent.next(t, jsonlines.TypeClose); m.ID != idA {
 		t.Errorf("given up: %+v", m.Message)
@@ -53,7 +53,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			var attempts atomic.Int64
-			b := newBox(t, "s-1", func(m said) {
+			b := newBox(t, "s-1", func(m receivedMessage) {
 				if m.Type == jsonlines.TypeClose && attempts.Load() > 1 {
 					t.Errorf("the active session was released: %+v", m.Message)
 				}
@@ -61,20 +61,20 @@
 					return
 				}
 				if attempts.Add(1) > 1 {
-					ready(m)
+					answerReady(m)
 					return
 				}
 				if !c.atOnce {
 					time.Sleep(500 * time.Millisecond) // the attempt times out after 405 ms; the next one is pending by now
 				}
-				_ = m.on.Conn.(*net.TCPConn).SetLinger(0)
-				_ = m.on.Close()
+				_ = m.conn.Conn.(*net.TCPConn).SetLinger(0)
+				_ = m.conn.Close()
 			})
 			n := startNode(t, b)
-			v := n.dial().say(setUp(idA, "free", ""))
-			v.want(idA, 200)
+			v := n.dial().send(setUpRequest(idA, "free", ""))
+			v.wantAnswer(idA, 200)
 			time.Sleep(2 * watchInterval)
-			n.agree(1)
+			n.wantSessionCount(1)
 		})
 	}
 }
@@ -84,22 +84,22 @@
 // give-up of the earlier attempt must not be sent again.
 func TestReleaseOfEarlierAttemptSparesSession(t *testing.T) {
 	var attempts atomic.Int64
-	b := newBox(t, "s-1", func(m said) {
+	b := newBox(t, "s-1", func(m receivedMessage) {
 		switch {
 		case m.Type == jsonlines.TypeClose && attempts.Load() > 1:
 			t.Errorf("the active session was released: %+v", m.Message)
 		case m.Type == jsonlines.TypeOpen && attempts.Add(1) > 1:
-			ready(m)
+			answerReady(m)
 		case m.Type == jsonlines.TypeOpen:
-			_ = m.on.Conn.(*net.TCPConn).SetLinger(0)
-			_ = m.on.Close()
+			_ = m.conn.Conn.(*net.TCPConn).SetLinger(0)
+			_ = m.conn.Close()
 		}
 	})
 	n := startNode(t, b)
-	v := n.dial().say(setUp(idA, "free", ""))
-	v.want(idA, 200)
+	v := n.dial().send(setUpRequest(idA, "free", ""))
+	v.wantAnswer(idA, 200)
 	stands := b.next(t, jsonlines.TypeOpen)
-	for stands.on == nil || attempts.Load() < 2 {
+	for stands.conn == nil || attempts.Load() < 2 {
 		stands = b.next(t, jsonlines.TypeOpen)
 	}
 	b.mu.Lock()
@@ -108,17 +108,17 @@
 	b.mu.Unlock()
 	_ = last.Conn.(*net.TCPConn).SetLinger(0)
 	_ = last.Close()
-	eventually(t, "another connection", func() bool { return b.accepted() > before })
+	eventually(t, "another connection", func() bool { return b.acceptedCount() > before })
 	time.Sleep(2 * watchInterval)
-	v.silent()
-	n.agree(1)
+	v.wantNoMessage()
+	n.wantSessionCount(1)
 }
 
 // TestLateEndSparesSession has a server end a set-up that was given up, on that set-up's connection, while a later
 // attempt of the same request has an active session there. That session continues, and its own end is forwarded.
 func TestLateEndSparesSession(t *testing.T) {
-	opened, done := make(chan said, 2), make(chan struct{})
-	b := newBox(t, "s-1", func(m said) {
+	opened, done := make(chan receivedMessage, 2), make(chan struct{})
+	b := newBox(t, "s-1", func(m receivedMessage) {
 		if m.Type != jsonlines.TypeOpen {
 			return
 		}
@@ -129,16 +129,16 @@
 	})
 	defer close(done)
 	n := startNode(t, b)
-	v := n.dial().say(setUp(idA, "free", ""))
+	v := n.dial().send(setUpRequest(idA, "free", ""))
 	eventually(t, "two attempts", func() bool { return len(opened) == 2 }) // the first one times out
 	first, second := <-opened, <-opened
-	ready(second)
-	v.want(idA, 200)
-	first.on.say(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, idA, jsonlines.CauseCancelled)
-	first.on.say(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, idA, jsonlines.CauseEnd)
-	v.silent()
-	n.agree(1)
+	answerReady(second)
+	v.wantAnswer(idA, 200)
+	first.conn.send(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, idA, jsonlines.CauseCancelled)
+	first.conn.send(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, idA, jsonlines.CauseEnd)
+	v.wantNoMessage()
+	n.wantSessionCount(1)
 	second.endSession()
 	v.wantRelease(idA, "cause=16")
-	n.agree(0)
+	n.wantSessionCount(0)
 }
--- a/internal/node/localerrors_test.go
+++ b/internal/node/localerrors_test.go
@@ -37,7 +37,7 @@
 			var failing atomic.Bool
 			var failures atomic.Int64
 			b := newBox(t, "s-1", nil)
-			n := startGated(t, func(n *Node) {
+			n := startModifiedNode(t, func(n *Node) {
 				n.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
 					if failing.Load() {
 						failures.Add(1)
@@ -46,23 +46,23 @@
 					return dialTCP(ctx, addr, within)
 				}
 			}, b)
-			v := n.dial().say(setUp(idA, "paid", ""))
+			v := n.dial().send(setUpRequest(idA, "paid", ""))
 			m := b.next(t, "open")
-			ready(m)
-			v.want(idA, 200)
+			answerReady(m)
+			v.wantAnswer(idA, 200)
 			failing.Store(true)
-			_ = m.on.Close()
+			_ = m.conn.Close()
 			time.Sleep(2 * time.Second)
 			if failures.Load() < 3 {
 				t.Fatalf("only %d dials failed, want at least 3", failures.Load())
 			}
-			v.say(setUp(idB, "paid", ""))
+			v.send(setUpRequest(idB, "paid", ""))
 			time.Sleep(50 * time.Millisecond)
 			failing.Store(false)
-			ready(b.next(t, "open"))
-			v.want(idB, 200)
-			v.silent()
-			n.agree(2)
+			answerReady(b.next(t, "open"))
+			v.wantAnswer(idB, 200)
+			v.wantNoMessage()
+			n.wantSessionCount(2)
 		})
 	}
 }
@@ -73,7 +73,7 @@
 	var paused atomic.Bool
 	var tries atomic.Int64
 	b := newBox(t, "s-1", nil)
-	n := startGated(t, func(n *Node) {
+	n := startModifiedNode(t, func(n *Node) {
 		n.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
 			if !paused.Load() {
 				return dialTCP(ctx, addr, within)
@@ -85,16 +85,16 @@
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 		}
 	}, b)
-	v := n.dial().say(setUp(idA, "paid", ""))
+	v := n.dial().send(setUpRequest(idA, "paid", ""))
 	m := b.next(t, "open")
-	ready(m)
-	v.want(idA, 200)
+	answerReady(m)
+	v.wantAnswer(idA, 200)
 	paused.Store(true)
-	_ = m.on.Close()
+	_ = m.conn.Close()
 	eventually(t, "several dials", func() bool { return tries.Load() >= 4 })
 	paused.Store(false)
-	v.silent()
-	n.agree(1)
+	v.wantNoMessage()
+	n.wantSessionCount(1)
 }
 
 // TestPauseShortensTimeLeft checks that the time left that a server receives with a set-up is reduced by the time for
@@ -102,12 +102,12 @@
 func TestPauseShortensTimeLeft(t *testing.T) {
 	t.Parallel()
 	const pause, timer, slack = time.Second, 3 * time.Second, 150 * time.Millisecond
-	b := newBox(t, "s-1", ready)
+	b := newBox(t, "s-1", answerReady)
 	p := startProcess(t, b)
 	v := p.dial()
-	v.say(optionsRequest).want("", 200)
-	p.pause(func() { v.say(setUp(idA, "paid", "")) }, pause)
-	v.want(idA, 200)
+	v.send(optionsRequest).wantAnswer("", 200)
+	p.pause(func() { v.send(setUpRequest(idA, "paid", "")) }, pause)
+	v.wantAnswer(idA, 200)
 	left, err := strconv.Atoi(b.next(t, "open").Attr("left"))
 	if limit := timer - pause + slack; err != nil || time.Duration(left)*time.Millisecond > limit {
 		t.Errorf("the server received %d ms of time left, want at most %v", left, limit)
@@ -119,7 +119,7 @@
 func TestAcceptErrorClosesNoConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EPROTO, syscall.EPERM} {
 		acceptErrors := make(chan error, 8)
-		n := startGated(t, func(n *Node) { n.Listener = &failingListener{n.Listener, acceptErrors} }, newBox(t, "s-1", ready))
+		n := startModifiedNode(t, func(n *Node) { n.Listener = &failingListener{n.Listener, acceptErrors} }, newBox(t, "s-1", answerReady))
 		silent := n.dial()
 		eventually(t, "the silent connection accepted", func() bool {
 			n.viewerConns.mu.Lock()
@@ -130,12 +130,12 @@
 		for range 3 {
 			acceptErrors <- &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
 		}
-		n.dial().say(setUp(idB, "free", "")).want(idB, 200)
-		n.dial().say(optionsRequest).want("", 200)
+		n.dial().send(setUpRequest(idB, "free", "")).wantAnswer(idB, 200)
+		n.dial().send(optionsRequest).wantAnswer("", 200)
 		if len(acceptErrors) > 0 {
 			t.Fatal("not all accept errors were returned")
 		}
-		silent.say(setUp(idA, "free", "")).want(idA, 200)
+		silent.send(setUpRequest(idA, "free", "")).wantAnswer(idA, 200)
 	}
 }
 
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -15,21 +15,21 @@
 func TestDuplicateSessionIDIsRefused(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
-	v := n.dial().say(setUp(idA, "paid", ""))
+	v := n.dial().send(setUpRequest(idA, "paid", ""))
 	m := b.next(t, "open")
-	n.dial().say(strings.Replace(setUp(idA, "free", ""), "audio", "video", 1)).want("", 400)
-	ready(m)
-	if a := v.want(idA, 200); string(a.Body) != "for "+idA+"\r\n\"x\"" {
+	n.dial().send(strings.Replace(setUpRequest(idA, "free", ""), "audio", "video", 1)).wantAnswer("", 400)
+	answerReady(m)
+	if a := v.wantAnswer(idA, 200); string(a.Body) != "for "+idA+"\r\n\"x\"" {
 		t.Errorf("description %q", a.Body)
 	}
-	n.agree(1)
+	n.wantSessionCount(1)
 }
 
 // TestMalformedRequestsAreRefused checks that each malformed request is refused or its connection closed in time, while
 // valid requests are served.
 func TestMalformedRequestsAreRefused(t *testing.T) {
-	n := startWith(t, 128, newBox(t, "s-1", ready))
-	good := setUp(idB, "free", "")
+	n := startNodeWithSockets(t, 128, newBox(t, "s-1", answerReady))
+	good := setUpRequest(idB, "free", "")
 	change := func(old, new string) string { return strings.Replace(good, old, new, 1) }
 	huge := change("Content-Length: ", "Content-Length: 6000000") + strings.Repeat("x", 8<<20)
 	for name, text := range map[string]string{
@@ -39,7 +39,7 @@
 		"hint": change("8200.0", "Inf"), "home": change("home:0", "home:99999999999"), "copies": change("copies:4", "copies:-1"), "top": change("top:2", "top:7"),
 		"viewer": change("viewer:00", "viewer:zz"), "no figures": change("home:0;", ""), "no id": change("Session: "+idB+"\r\n", ""), "id": change(idB, "12"),
 		"title": change("7f3a9c21e0b4d655", "nothing here"), "title's digits": change("7f3a9c21e0b4d655", "xyz"), "text": change("audio", "\xff"),
-		"method": change("SETUP", "PLAY"), "incomplete": good[:60], "lone teardown": tearDown(idC),
+		"method": change("SETUP", "PLAY"), "incomplete": good[:60], "lone teardown": tearDownRequest(idC),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -49,7 +49,7 @@
 			}
 			defer c.Close()
 			go func() { _, _ = io.WriteString(c, text) }()
-			_ = c.SetReadDeadline(time.Now().Add(testFor))
+			_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 			b := make([]byte, 4096)
 			k, _ := io.ReadAtLeast(c, b, 12)
 			if !bytes.HasPrefix(b[:k], []byte("RTSP/1.0 4")) && !bytes.HasPrefix(b[:k], []byte("RTSP/1.0 5")) {
@@ -59,7 +59,7 @@
 	}
 	t.Run("valid", func(t *testing.T) {
 		for i := range 20 {
-			n.dial().say(setUp(fmt.Sprintf("%016x", i+1), "free", "")).want(fmt.Sprintf("%016x", i+1), 200)
+			n.dial().send(setUpRequest(fmt.Sprintf("%016x", i+1), "free", "")).wantAnswer(fmt.Sprintf("%016x", i+1), 200)
 		}
 	})
 }
@@ -67,20 +67,20 @@
 // TestSilentConnectionsAreEvicted checks that connections without any message do not use up the descriptors that others
 // need.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
-	n := startWith(t, 128, newBox(t, "s-1", ready))
-	v := n.dial().say(setUp(idA, "free", ""))
-	v.want(idA, 200)
+	n := startNodeWithSockets(t, 128, newBox(t, "s-1", answerReady))
+	v := n.dial().send(setUpRequest(idA, "free", ""))
+	v.wantAnswer(idA, 200)
 	for range 300 {
 		n.dial()
 	}
-	n.dial().say(setUp(idB, "free", "")).want(idB, 200)
+	n.dial().send(setUpRequest(idB, "free", "")).wantAnswer(idB, 200)
 	n.viewerConns.mu.Lock()
 	open := len(n.viewerConns.conns)
 	n.viewerConns.mu.Unlock()
 	if open > n.viewerConns.maxConnections {
 		t.Errorf("%d connections open", open)
 	}
-	v.say(setUp(idC, "free", "")).want(idC, 200) // the first connection was not evicted
+	v.send(setUpRequest(idC, "free", "")).wantAnswer(idC, 200) // the first connection was not evicted
 	eventually(t, "the silent connections closed", func() bool {
 		n.viewerConns.mu.Lock()
 		defer n.viewerConns.mu.Unlock()
@@ -90,7 +90,7 @@
 
 // TestSlowReaderIsDisconnected checks that a viewer that does not read its answers is disconnected and delays nobody.
 func TestSlowReaderIsDisconnected(t *testing.T) {
-	n := startNode(t, newBox(t, "s-1", ready))
+	n := startNode(t, newBox(t, "s-1", answerReady))
 	slow := n.dial()
 	_ = slow.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	over := make(chan struct{})
@@ -106,7 +106,7 @@
 	}()
 	for i := range 20 {
 		id := fmt.Sprintf("%016x", i+1)
-		n.dial().say(setUp(id, "free", "")).want(id, 200)
+		n.dial().send(setUpRequest(id, "free", "")).wantAnswer(id, 200)
 	}
 	<-over
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -16,10 +16,10 @@
 )
 
 // TestPlaysAndEnds: what a server is sent, the description byte for byte, and who is told of the end.
-func TestPlaysAndEnds(t *testing.T) {
+func TestSetUpAndClose(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
-	v := n.dial().say(setUp(idA, "paid", ""))
+	v := n.dial().send(setUpRequest(idA, "paid", ""))
 	m := b.next(t, "open")
 	if m.ID != idA || m.Attr("class") != "paid" || m.Attr("key") != "7f3a9c21e0b4d655" || *m.Text != "line of "+idA+"\r\nm=audio \"1\"\r\n" {
 		t.Errorf("%+v", m.Message)
@@ -31,21 +31,21 @@
 		t.Errorf("rung %v", m.Attr("rung"))
 	}
 	// progress, a stray answer ahead, what stands under the id itself, and a copy behind
-	m.on.say(`{"msg":"trying","sid":%q}`, idA)
-	m.on.say(`{"msg":"ready","sid":%q,"text":"stray"}`, idB)
-	m.on.say(`{"msg":"ready","sid":%q,"attrs":{},"text":"tab\t \u00e9 \"q\"\r\n"}`+"\n"+`{"msg":"ready","sid":%q,"text":"copy"}`, idA, idA)
-	if a := v.want(idA, 200); string(a.Body) != "tab\t é \"q\"\r\n" {
+	m.conn.send(`{"msg":"trying","sid":%q}`, idA)
+	m.conn.send(`{"msg":"ready","sid":%q,"text":"stray"}`, idB)
+	m.conn.send(`{"msg":"ready","sid":%q,"attrs":{},"text":"tab\t \u00e9 \"q\"\r\n"}`+"\n"+`{"msg":"ready","sid":%q,"text":"copy"}`, idA, idA)
+	if a := v.wantAnswer(idA, 200); string(a.Body) != "tab\t é \"q\"\r\n" {
 		t.Errorf("%q", a.Body)
 	}
-	v.silent()
-	n.agree(1)
-	m.on.say(`{"msg":"close","sid":%q,"code":16}`, idA)
+	v.wantNoMessage()
+	n.wantSessionCount(1)
+	m.conn.send(`{"msg":"close","sid":%q,"code":16}`, idA)
 	v.wantRelease(idA, "cause=16")
-	n.agree(0)
+	n.wantSessionCount(0)
 }
 
 // TestCauses: how each end ahead of the answer is passed on, by class, and how many servers were tried.
-func TestCauses(t *testing.T) {
+func TestCloseCauseBeforeAnswer(t *testing.T) {
 	for _, c := range []struct {
 		class  string
 		close  string // code of the first server tried; the second answers
@@ -57,110 +57,110 @@
 	} {
 		t.Run(c.class+c.close, func(t *testing.T) {
 			tries := make(chan string, 10)
-			answer := func(m said) {
+			answer := func(m receivedMessage) {
 				if m.Type != jsonlines.TypeOpen {
 					return
 				}
 				if tries <- m.ID; len(tries) == 1 {
-					m.on.say(`{"msg":"close","sid":%q,"attrs":{"load":"rif:1;x0:0.1;x1:0.1"},"code":%s}`, m.ID, c.close)
+					m.conn.send(`{"msg":"close","sid":%q,"attrs":{"load":"rif:1;x0:0.1;x1:0.1"},"code":%s}`, m.ID, c.close)
 				} else {
-					ready(m)
+					answerReady(m)
 				}
 			}
 			n := startNode(t, newBox(t, "s-1", answer), newBox(t, "s-2", answer))
-			n.dial().say(setUp(idA, c.class, "")).want(idA, c.status)
+			n.dial().send(setUpRequest(idA, c.class, "")).wantAnswer(idA, c.status)
 			if len(tries) != c.tries {
 				t.Errorf("%d tries", len(tries))
 			}
-			n.agree(map[bool]int{true: 1}[c.status == 200])
+			n.wantSessionCount(map[bool]int{true: 1}[c.status == 200])
 		})
 	}
 }
 
 // TestSpoilt: an answer that cannot be read ends its set-up as one that may have run; what stands at that server
 // stays, is heard on any connection, and the set-up that may run is released there.
-func TestSpoilt(t *testing.T) {
-	for name, spoil := range map[string]func(said){
-		"noise": func(m said) { m.on.say("\x00\x01 noise") },
-		"half":  func(m said) { m.on.say(`{"msg":"ready","sid":%q,"text":"a`, m.ID) },
-		"endless": func(m said) {
-			m.on.say(`{"msg":"ready","sid":%q,"text":"%s`, m.ID, strings.Repeat("x", 3*jsonlines.MaxLineBytes))
+func TestUnreadableAnswer(t *testing.T) {
+	for name, spoil := range map[string]func(receivedMessage){
+		"noise": func(m receivedMessage) { m.conn.send("\x00\x01 noise") },
+		"half":  func(m receivedMessage) { m.conn.send(`{"msg":"ready","sid":%q,"text":"a`, m.ID) },
+		"endless": func(m receivedMessage) {
+			m.conn.send(`{"msg":"ready","sid":%q,"text":"%s`, m.ID, strings.Repeat("x", 3*jsonlines.MaxLineBytes))
 		},
-		"break":    func(m said) { _, _ = io.WriteString(m.on, `{"msg":"re`); _ = m.on.Close() },
-		"no text":  func(m said) { m.on.say(`{"msg":"ready","sid":%q}`, m.ID) },
-		"not text": func(m said) { m.on.say(`{"msg":"ready","sid":%q,"text":7}`, m.ID) },
+		"break":    func(m receivedMessage) { _, _ = io.WriteString(m.conn, `{"msg":"re`); _ = m.conn.Close() },
+		"no text":  func(m receivedMessage) { m.conn.send(`{"msg":"ready","sid":%q}`, m.ID) },
+		"not text": func(m receivedMessage) { m.conn.send(`{"msg":"ready","sid":%q,"text":7}`, m.ID) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBox(t, "s-1", nil)
 			n := startNode(t, b)
-			v := n.dial().say(setUp(idA, "paid", ""))
-			ready(b.next(t, "open"))
-			v.want(idA, 200)
-			v.say(setUp(idB, "paid", ""))
+			v := n.dial().send(setUpRequest(idA, "paid", ""))
+			answerReady(b.next(t, "open"))
+			v.wantAnswer(idA, 200)
+			v.send(setUpRequest(idB, "paid", ""))
 			m := b.next(t, "open")
-			before := b.accepted()
+			before := b.acceptedCount()
 			spoil(m)
-			v.want(idB, 504)
+			v.wantAnswer(idB, 504)
 			eventually(t, "a connection, accepted", func() bool {
 				n.pool.mu.Lock()
 				defer n.pool.mu.Unlock()
-				return n.pool.servers["s-1"].anyConn() != nil && (b.accepted() > before || name == "no text")
+				return n.pool.servers["s-1"].anyConn() != nil && (b.acceptedCount() > before || name == "no text")
 			})
 			b.mu.Lock()
 			last := b.conns[len(b.conns)-1]
 			b.mu.Unlock()
-			n.agree(1)
-			last.say(`{"msg":"close","sid":%q,"code":41}`, idA)
+			n.wantSessionCount(1)
+			last.send(`{"msg":"close","sid":%q,"code":41}`, idA)
 			v.wantRelease(idA, "cause=41")
-			n.agree(0)
+			n.wantSessionCount(0)
 		})
 	}
 }
 
 // TestGivenUp: whatever crosses a viewer's give-up, the server is told and all counts agree after.
-func TestGivenUp(t *testing.T) {
+func TestViewerWithdrawsSetUp(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
-	v := n.dial().say(setUp(idA, "free", ""))
+	v := n.dial().send(setUpRequest(idA, "free", ""))
 	m := b.next(t, "open")
-	v.say(tearDown(idA))
+	v.send(tearDownRequest(idA))
 	if c := b.next(t, "close"); c.ID != idA || c.Cause() != jsonlines.CauseEnd {
 		t.Errorf("%+v", c.Message)
 	}
-	ready(m) // too late: nobody wants it
-	n.agree(0)
-	v.say(setUp(idB, "free", ""))
-	ready(b.next(t, "open"))
-	v.want(idB, 200)
-	other := n.dial().say(tearDown(idB)) // on any connection
+	answerReady(m) // too late: nobody wants it
+	n.wantSessionCount(0)
+	v.send(setUpRequest(idB, "free", ""))
+	answerReady(b.next(t, "open"))
+	v.wantAnswer(idB, 200)
+	other := n.dial().send(tearDownRequest(idB)) // on any connection
 	if c := b.next(t, "close"); c.ID != idB {
 		t.Errorf("%+v", c.Message)
 	}
-	n.agree(0)
-	other.silent()
-	v.silent()
+	n.wantSessionCount(0)
+	other.wantNoMessage()
+	v.wantNoMessage()
 	// many at once, each given up at another moment
 	b2 := n.dial()
 	for i := range 60 {
 		id := fmt.Sprintf("%016x", i+1)
-		b2.say(setUp(id, "free", ""))
+		b2.send(setUpRequest(id, "free", ""))
 		if i%2 == 0 {
-			ready(b.next(t, "open"))
+			answerReady(b.next(t, "open"))
 		}
-		b2.say(tearDown(id))
+		b2.send(tearDownRequest(id))
 	}
-	n.agree(0)
+	n.wantSessionCount(0)
 	// a connection that closes takes its waiting set-ups with it
-	gone := n.dial().say(setUp(idC, "paid", ""))
+	gone := n.dial().send(setUpRequest(idC, "paid", ""))
 	for m = b.next(t, "open"); m.ID != idC; m = b.next(t, "open") {
 	}
 	_ = gone.Close()
 	b.next(t, "close")
-	n.agree(0)
+	n.wantSessionCount(0)
 }
 
 // TestNotConnected: only a connection that the server did not let come up speaks against it.
-func TestNotConnected(t *testing.T) {
+func TestConnectOutcome(t *testing.T) {
 	gone, withdraw := context.WithCancel(context.Background())
 	withdraw()
 	late, stop := context.WithTimeout(context.Background(), 0)
@@ -178,41 +178,41 @@
 }
 
 // TestServerDies: its sessions are released, those of a quiet server that is alive are not.
-func TestServerDies(t *testing.T) {
+func TestServerCrashReleasesSessions(t *testing.T) {
 	a, b := newBox(t, "s-1", nil), newBox(t, "s-2", nil)
 	n := startNode(t, a, b)
 	v := n.dial()
-	v.say(setUp(idA, "free", ";at:s-1")).say(setUp(idB, "free", ";at:s-2")).say(setUp(idA, "free", ";at:s-1"))
-	n.agree(2)
-	a.die()
+	v.send(setUpRequest(idA, "free", ";at:s-1")).send(setUpRequest(idB, "free", ";at:s-2")).send(setUpRequest(idA, "free", ";at:s-1"))
+	n.wantSessionCount(2)
+	a.crash()
 	v.wantRelease(idA, "cause=41")
-	n.agree(1)
+	n.wantSessionCount(1)
 	_ = v.SetReadDeadline(time.Now().Add(2 * time.Second)) // several times what a detector waits for a note
-	if m, err := v.r.Next(); err == nil {
+	if m, err := v.reader.Next(); err == nil {
 		t.Errorf("a quiet server lost its session: %+v", m)
 	}
 	b.mu.Lock()
 	last := b.conns[len(b.conns)-1]
 	b.mu.Unlock()
-	last.say(`{"msg":"event","sid":%q,"attrs":{"note":"rung","value":2}}`, idB)
-	last.say(`{"msg":"close","sid":%q,"code":31}`, idB) // its viewer ended it and is owed nothing
-	n.agree(0)
+	last.send(`{"msg":"event","sid":%q,"attrs":{"note":"rung","value":2}}`, idB)
+	last.send(`{"msg":"close","sid":%q,"code":31}`, idB) // its viewer ended it and is owed nothing
+	n.wantSessionCount(0)
 }
 
 // TestAdmissionLooksAgain: a set-up whose server was drained, or whose viewer withdrew, while it waited is not sent.
-func TestAdmissionLooksAgain(t *testing.T) {
+func TestWaitingSetUpIsCheckedAgain(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
-	v := n.dial().say(setUp(idC, "free", ""))
-	ready(b.next(t, "open"))
-	v.want(idC, 200)
+	v := n.dial().send(setUpRequest(idC, "free", ""))
+	answerReady(b.next(t, "open"))
+	v.wantAnswer(idC, 200)
 	eventually(t, "a connection at rest", func() bool {
 		n.pool.mu.Lock()
 		defer n.pool.mu.Unlock()
 		s := n.pool.servers["s-1"]
 		return s != nil && len(s.idleConns) > 0
 	})
-	long, stop := context.WithTimeout(context.Background(), testFor)
+	long, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
 	withdrawn, withdraw := context.WithCancel(long)
 	withdraw()
@@ -225,7 +225,7 @@
 		t.Errorf("drained: %v", core.OutcomeName(r.Outcome))
 	}
 	n.pool.applyList([]control.Server{{ID: "s-1", State: control.Ready}}, nil, false)
-	n.dial().say(setUp(idB, "free", ""))
+	n.dial().send(setUpRequest(idB, "free", ""))
 	if m := b.next(t, "open"); m.ID != idB {
 		t.Errorf("sent all the same: %+v", m.Message)
 	}
@@ -233,18 +233,18 @@
 
 // TestConnectionsRest: the connection of a set-up is not closed after its answer, however many there are; a server
 // would take the set-up for given up.
-func TestConnectionsRest(t *testing.T) {
+func TestConnectionsKeptWhileSessionsPlay(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
 	v := n.dial()
-	var opens []said
+	var opens []receivedMessage
 	for i := range 12 * maxKeptIdle {
-		v.say(setUp(fmt.Sprintf("%016x", i+1), "free", ""))
+		v.send(setUpRequest(fmt.Sprintf("%016x", i+1), "free", ""))
 		opens = append(opens, b.next(t, "open"))
 	}
 	for _, m := range opens {
-		ready(m)
-		v.want(m.ID, 200)
+		answerReady(m)
+		v.wantAnswer(m.ID, 200)
 	}
 	eventually(t, "all rest", func() bool {
 		n.pool.mu.Lock()
@@ -257,9 +257,9 @@
 	standing := len(s.conns) // a release may be on its way on any
 	n.pool.mu.Unlock()
 	for _, m := range opens {
-		v.say(tearDown(m.ID))
+		v.send(tearDownRequest(m.ID))
 	}
-	n.agree(0)
+	n.wantSessionCount(0)
 	n.pool.mu.Lock()
 	now = n.now()
 	for _, l := range s.idleConns {
@@ -276,28 +276,28 @@
 }
 
 // TestLeaves: after SIGTERM what was taken and what still arrives is answered, then the node ends by itself.
-func TestLeaves(t *testing.T) {
+func TestShutdownAnswersLateRequests(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
 	n.ArrivalWindow = shutdownMargin
-	v := n.dial().say(setUp(idA, "paid", ""))
+	v := n.dial().send(setUpRequest(idA, "paid", ""))
 	m := b.next(t, "open")
 	n.stop()
-	late := n.dial().say(setUp(idB, "free", ""))
-	ready(b.next(t, "open"))
-	late.want(idB, 200)
-	ready(m)
-	v.want(idA, 200)
+	late := n.dial().send(setUpRequest(idB, "free", ""))
+	answerReady(b.next(t, "open"))
+	late.wantAnswer(idB, 200)
+	answerReady(m)
+	v.wantAnswer(idA, 200)
 	select {
-	case err := <-n.over:
-		n.over <- err
-	case <-time.After(testFor):
+	case err := <-n.done:
+		n.done <- err
+	case <-time.After(testTimeout):
 		t.Fatal("did not end")
 	}
 }
 
 // TestConfig: what is missing or malformed is named.
-func TestConfig(t *testing.T) {
+func TestConfigErrors(t *testing.T) {
 	good := `{"listen":"127.0.0.1:1","seed":"a","limits":{"cores":1,"memory_mb":64,"sockets":256},"coordinator":"127.0.0.1:2","known":{"index":1,"updates":[{}]},"settings":` + defaultSettings + `}`
 	if _, err := parseConfig([]byte(good)); err != nil {
 		t.Fatal(err)
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -9,17 +9,17 @@
 const optionsRequest = "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n"
 
 // endSession ends a served session at its server.
-func (m said) endSession() {
-	m.on.say(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, m.ID, jsonlines.CauseEnd)
+func (m receivedMessage) endSession() {
+	m.conn.send(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, m.ID, jsonlines.CauseEnd)
 }
 
 // confirmRelease answers a release as a viewer does.
-func (d *dialogue) confirmRelease(id string) {
-	d.say("RTSP/1.0 200 OK\r\nCSeq: 2\r\nSession: " + id + "\r\nContent-Length: 0\r\n\r\n")
+func (d *viewerClient) confirmRelease(id string) {
+	d.send("RTSP/1.0 200 OK\r\nCSeq: 2\r\nSession: " + id + "\r\nContent-Length: 0\r\n\r\n")
 }
 
 // pendingNoticeCount returns the number of unconfirmed notices for all viewers.
-func (r *rig) pendingNoticeCount() (count int) {
+func (r *testNode) pendingNoticeCount() (count int) {
 	r.viewerConns.mu.Lock()
 	defer r.viewerConns.mu.Unlock()
 	for _, pending := range r.viewerConns.pendingNotices {
@@ -33,11 +33,11 @@
 func TestNoticeWaitsForConnection(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
-	v := n.dial().say(setUp(idA, "free", ""))
+	v := n.dial().send(setUpRequest(idA, "free", ""))
 	open := b.next(t, "open")
-	ready(open)
-	v.want(idA, 200)
-	n.agree(1)
+	answerReady(open)
+	v.wantAnswer(idA, 200)
+	n.wantSessionCount(1)
 	_ = v.Close()
 	eventually(t, "the connection closed", func() bool {
 		n.viewerConns.mu.Lock()
@@ -45,10 +45,10 @@
 		return len(n.viewerConns.conns) == 0
 	})
 	open.endSession()
-	n.agree(0)
-	back := n.dial().say(optionsRequest)
+	n.wantSessionCount(0)
+	back := n.dial().send(optionsRequest)
 	back.wantRelease(idA, "cause=16")
-	back.want("", 200)
+	back.wantAnswer("", 200)
 	back.confirmRelease(idA)
 	eventually(t, "the notice removed", func() bool { return n.pendingNoticeCount() == 0 })
 }
@@ -59,15 +59,15 @@
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
 	first := n.dial()
-	var opened [2]said
+	var opened [2]receivedMessage
 	for i, id := range []string{idA, idB} {
-		first.say(setUp(id, "free", ""))
+		first.send(setUpRequest(id, "free", ""))
 		opened[i] = b.next(t, "open")
-		ready(opened[i])
-		first.want(id, 200)
+		answerReady(opened[i])
+		first.wantAnswer(id, 200)
 	}
-	second := n.dial().say(optionsRequest)
-	second.want("", 200)
+	second := n.dial().send(optionsRequest)
+	second.wantAnswer("", 200)
 	opened[0].endSession()
 	first.wantRelease(idA, "cause=16")
 	first.confirmRelease(idA)
@@ -78,15 +78,15 @@
 	second.wantRelease(idB, "cause=16")
 	second.confirmRelease(idB)
 	eventually(t, "the notice confirmed", func() bool { return n.pendingNoticeCount() == 0 })
-	second.silent()
+	second.wantNoMessage()
 }
 
 // TestConnWithUnwrittenAnswerIsNotEvicted checks that a connection with an unwritten answer or a message in progress
 // has the same eviction rank as one that awaits an answer.
 func TestConnWithUnwrittenAnswerIsNotEvicted(t *testing.T) {
-	n := startNode(t, newBox(t, "s-1", ready))
-	v := n.dial().say(optionsRequest)
-	v.want("", 200)
+	n := startNode(t, newBox(t, "s-1", answerReady))
+	v := n.dial().send(optionsRequest)
+	v.wantAnswer("", 200)
 	var c *viewerConn
 	n.viewerConns.mu.Lock()
 	for only := range n.viewerConns.conns {
@@ -94,13 +94,13 @@
 	}
 	n.viewerConns.mu.Unlock()
 	eventually(t, "all output written", func() bool { return !c.out.isWriting() })
-	if rank, _ := c.rankForEviction(c.openedAt.Add(testFor)); rank != rankUnused {
+	if rank, _ := c.rankForEviction(c.openedAt.Add(testTimeout)); rank != rankUnused {
 		t.Errorf("rank %d for an unused connection", rank)
 	}
 	c.out.mu.Lock()
 	c.out.writing = true // the writer has not written the answer yet
 	c.out.mu.Unlock()
-	if rank, _ := c.rankForEviction(c.openedAt.Add(testFor)); rank != rankAwaitingAnswer {
+	if rank, _ := c.rankForEviction(c.openedAt.Add(testTimeout)); rank != rankAwaitingAnswer {
 		t.Errorf("rank %d for a connection with an unwritten answer", rank)
 	}
 	c.out.mu.Lock()
@@ -109,7 +109,7 @@
 	c.mu.Lock()
 	c.handlingMessage = true // the reader is handling a message
 	c.mu.Unlock()
-	if rank, _ := c.rankForEviction(c.openedAt.Add(testFor)); rank != rankAwaitingAnswer {
+	if rank, _ := c.rankForEviction(c.openedAt.Add(testTimeout)); rank != rankAwaitingAnswer {
 		t.Errorf("rank %d for a connection with a message in progress", rank)
 	}
 	c.mu.Lock()
@@ -120,20 +120,20 @@
 // TestReleaseToServerIsResent covers a connection to a server that ends just after a viewer's release was written on
 // it. The node opens another connection and sends the release again.
 func TestReleaseToServerIsResent(t *testing.T) {
-	b := newBox(t, "s-1", ready)
+	b := newBox(t, "s-1", answerReady)
 	n := startNode(t, b)
-	v := n.dial().say(setUp(idA, "free", ""))
-	v.want(idA, 200)
-	n.agree(1)
-	v.say(tearDown(idA))
+	v := n.dial().send(setUpRequest(idA, "free", ""))
+	v.wantAnswer(idA, 200)
+	n.wantSessionCount(1)
+	v.send(tearDownRequest(idA))
 	first := b.next(t, jsonlines.TypeClose)
 	if first.ID != idA || first.Cause() != jsonlines.CauseCancelled {
 		t.Fatalf("got %+v, want the release of the session", first.Message)
 	}
-	_ = first.on.Close()
+	_ = first.conn.Close()
 	second := b.next(t, jsonlines.TypeClose)
-	if second.ID != idA || second.on == first.on {
+	if second.ID != idA || second.conn == first.conn {
 		t.Errorf("got %+v, want the release again, on another connection", second.Message)
 	}
-	n.agree(0)
+	n.wantSessionCount(0)
 }
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -18,8 +18,8 @@
 	if m.Cause() != 0 || !isSessionID(m.ID) {
 		t.Errorf("got %+v, want a probe with cause 0 and a valid id", m.Message)
 	}
-	m.on.say(`{"msg":"ready","sid":%q,"text":"no session"}`, m.ID)
-	m.on.say(`{"msg":"probed","sid":%q,"attrs":{"load":"rif:3;x0:0.5"},"code":1}`, m.ID)
+	m.conn.send(`{"msg":"ready","sid":%q,"text":"no session"}`, m.ID)
+	m.conn.send(`{"msg":"probed","sid":%q,"attrs":{"load":"rif:3;x0:0.5"},"code":1}`, m.ID)
 	idle := func() bool {
 		n.pool.mu.Lock()
 		defer n.pool.mu.Unlock()
@@ -29,11 +29,11 @@
 	n.pool.Probe("s-1")
 	m = b.next(t, "probe")
 	eventually(t, "the probe timed out", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return len(n.pool.servers["s-1"].conns) == 0 })
-	m.on.say(`{"msg":"probed","sid":%q,"code":1}`, m.ID)
-	v := n.dial().say(setUp(idA, "paid", ""))
-	ready(b.next(t, "open"))
-	v.want(idA, 200)
-	n.agree(1)
+	m.conn.send(`{"msg":"probed","sid":%q,"code":1}`, m.ID)
+	v := n.dial().send(setUpRequest(idA, "paid", ""))
+	answerReady(b.next(t, "open"))
+	v.wantAnswer(idA, 200)
+	n.wantSessionCount(1)
 	s := n.pool.servers["s-1"]
 	if ok, l := n.probeWithCause(b, s, 0); ok || l != nil {
 		t.Errorf("failed probe: ok %v, load %+v", ok, l)
@@ -41,13 +41,13 @@
 	if ok, l := n.probeWithCause(b, s, 1); !ok || l == nil || *l.Link != 0.5 {
 		t.Errorf("passed probe: ok %v, load %+v", ok, l)
 	}
-	v.say(setUp(idB, "paid", "")) // on the connection that carried the probe
-	ready(b.next(t, "open"))
-	v.want(idB, 200)
+	v.send(setUpRequest(idB, "paid", "")) // on the connection that carried the probe
+	answerReady(b.next(t, "open"))
+	v.wantAnswer(idB, 200)
 }
 
 // probeWithCause probes a server, which answers with a cause code, and with a load report if it passes.
-func (r *rig) probeWithCause(b *box, s *server, cause int) (bool, *control.LoadReport) {
+func (r *testNode) probeWithCause(b *box, s *server, cause int) (bool, *control.LoadReport) {
 	type result struct {
 		ok   bool
 		load *control.LoadReport
@@ -59,7 +59,7 @@
 	if cause == 1 {
 		load = "x0:0.5"
 	}
-	m.on.say(`{"msg":"probed","sid":%q,"attrs":{"load":%q},"code":%d}`, m.ID, load, cause)
+	m.conn.send(`{"msg":"probed","sid":%q,"attrs":{"load":%q},"code":%d}`, m.ID, load, cause)
 	got := <-results
 	return got.ok, got.load
 }
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -19,15 +19,15 @@
 )
 
 // helperLogs has a node in a process of its own log all that it can.
-const helperLogs = "NODE_TEST_LOGS"
+const helperLogsEnv = "NODE_TEST_LOGS"
 
 // helperStays has a node in a process of its own stay at SIGTERM for as long as requests may arrive. Else it ends at once.
-const helperStays = "NODE_TEST_STAYS"
+const helperArrivalWindowEnv = "NODE_TEST_STAYS"
 
 // helperWaits has a node in a process of its own wait for set-ups that come again for as long as a test takes.
-const helperWaits = "NODE_TEST_WAITS"
+const helperResendsEnv = "NODE_TEST_WAITS"
 
-const helperConfig = "NODE_TEST_CONFIG"
+const helperConfigEnv = "NODE_TEST_CONFIG"
 
 // runHelper is a front node in a process of its own, with as few descriptors as its configuration says.
 func runHelper(path string) int {
@@ -42,15 +42,15 @@
 	}
 	ApplyLimits(c)
 	level := slog.LevelWarn
-	if os.Getenv(helperLogs) != "" {
+	if os.Getenv(helperLogsEnv) != "" {
 		level = slog.LevelDebug
 	}
 	n, err := New(c, path, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
 	if err == nil {
-		if os.Getenv(helperStays) == "" {
+		if os.Getenv(helperArrivalWindowEnv) == "" {
 			n.ArrivalWindow = -n.longestDeadline()
 		}
-		if os.Getenv(helperWaits) != "" {
+		if os.Getenv(helperResendsEnv) != "" {
 			waitForResends(n)
 		}
 		err = n.Run(context.Background())
@@ -85,16 +85,16 @@
 // startProcessWith does the same with a configuration of its own.
 func startProcessWith(t *testing.T, b *box, o childOptions) *process {
 	t.Helper()
-	f := newFeed(t, []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: []coordinator.Entry{b.entry("up")}}}})
-	return startChild(t, o, f.Listener.Addr().String(), f.all)
+	f := newScriptedCoordinator(t, []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: []coordinator.Entry{b.entry("up")}}}})
+	return startChild(t, o, f.Listener.Addr().String(), f.updates)
 }
 
 // startChild starts a node in a process of its own.
-func startChild(t *testing.T, o childOptions, coordinatorAt string, known []coordinator.Update) *process {
+func startChild(t *testing.T, o childOptions, coordinatorAddr string, known []coordinator.Update) *process {
 	t.Helper()
 	at := freeAddress(t)
 	raw, err := json.Marshal(map[string]any{"name": "n0", "listen": at, "seed": "0a", "limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": o.sockets},
-		"coordinator": coordinatorAt, "known": coordinator.Updates{Index: 1, Updates: known}, "settings": json.RawMessage(o.settings)})
+		"coordinator": coordinatorAddr, "known": coordinator.Updates{Index: 1, Updates: known}, "settings": json.RawMessage(o.settings)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	child := exec.Command(os.Args[0], "-test.run=NONE")
-	child.Env, child.Stderr = append(append(os.Environ(), helperConfig+"="+path), o.env...), os.Stderr
+	child.Env, child.Stderr = append(append(os.Environ(), helperConfigEnv+"="+path), o.env...), os.Stderr
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -117,12 +117,12 @@
 	return &process{child.Process, t, at}
 }
 
-func (p *process) dial() *dialogue {
+func (p *process) dial() *viewerClient {
 	p.t.Helper()
 	var c net.Conn
 	eventually(p.t, "a connection", func() bool { var err error; c, err = net.Dial("tcp", p.addr); return err == nil })
 	p.t.Cleanup(func() { _ = c.Close() })
-	return &dialogue{c, p.t, rtsp.NewReader(bufio.NewReaderSize(c, 4<<10))}
+	return &viewerClient{c, p.t, rtsp.NewReader(bufio.NewReaderSize(c, 4<<10))}
 }
 
 // pause stops the process, has things happen meanwhile, and continues it after a time.
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -56,7 +56,7 @@
 }
 
 // dial opens a connection through the relay.
-func (r *relay) dial(t *testing.T) (*dialogue, *relayedConn) {
+func (r *relay) dial(t *testing.T) (*viewerClient, *relayedConn) {
 	t.Helper()
 	r.dialMu.Lock()
 	defer r.dialMu.Unlock()
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	return &dialogue{c, t, rtsp.NewReader(bufio.NewReaderSize(c, 4<<10))}, <-r.accepted
+	return &viewerClient{c, t, rtsp.NewReader(bufio.NewReaderSize(c, 4<<10))}, <-r.accepted
 }
 
 // connEndings are the ways in which the node's side of a connection ends, by name.
--- a/internal/node/resent_test.go
+++ b/internal/node/resent_test.go
@@ -16,20 +16,20 @@
 // viewer must get the one answer on the new connection.
 
 // waitForResends makes a node await resent set-ups, and cache answers, for as long as a test may take.
-func waitForResends(n *Node) { n.resendWindow, n.recentAnswers.retention = testFor, testFor }
+func waitForResends(n *Node) { n.resendWindow, n.recentAnswers.retention = testTimeout, testTimeout }
 
 // messageLog records the messages that a server received, by session id.
 type messageLog struct {
 	mu     sync.Mutex
-	opens  map[string][]said
+	opens  map[string][]receivedMessage
 	closes map[string]int
 }
 
 func newMessageLog() *messageLog {
-	return &messageLog{opens: map[string][]said{}, closes: map[string]int{}}
+	return &messageLog{opens: map[string][]receivedMessage{}, closes: map[string]int{}}
 }
 
-func (l *messageLog) record(m said) {
+func (l *messageLog) record(m receivedMessage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch m.Type {
@@ -41,7 +41,7 @@
 }
 
 // forSession returns the set-ups received for a session and how often it was ended.
-func (l *messageLog) forSession(id string) (opens []said, closes int) {
+func (l *messageLog) forSession(id string) (opens []receivedMessage, closes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.opens[id], l.closes[id]
@@ -72,7 +72,7 @@
 
 // setUp returns the set-up request, with a timeout that is long enough for a busy machine.
 func (c resentCase) setUp() string {
-	return strings.Replace(setUp(c.id, c.class, ""), "X-Timer-Ms: 3000", "X-Timer-Ms: 9000", 1)
+	return strings.Replace(setUpRequest(c.id, c.class, ""), "X-Timer-Ms: 3000", "X-Timer-Ms: 9000", 1)
 }
 
 func resentCases() (cases []resentCase) {
@@ -95,8 +95,8 @@
 	t.Parallel()
 	received := newMessageLog()
 	patient := strings.ReplaceAll(defaultSettings, `"aim":900000`, `"aim":30000000`) // so that no attempt times out
-	p := startProcessWith(t, newBox(t, "s-1", received.record), childOptions{256, patient, []string{helperWaits + "=1"}})
-	p.dial().say(optionsRequest).want("", 200) // the process is listening
+	p := startProcessWith(t, newBox(t, "s-1", received.record), childOptions{256, patient, []string{helperResendsEnv + "=1"}})
+	p.dial().send(optionsRequest).wantAnswer("", 200) // the process is listening
 	r := newRelay(t, p.addr)
 	for _, c := range resentCases() {
 		t.Run(c.String(), func(t *testing.T) { t.Parallel(); c.run(t, r, received) })
@@ -108,25 +108,25 @@
 func TestOriginalReadAfterResend(t *testing.T) {
 	for _, answered := range []bool{false, true} {
 		b := newBox(t, "s-1", nil)
-		n := startGated(t, waitForResends, b)
-		text := setUp(idA, "paid", "")
-		first := n.dial().say(optionsRequest)
-		first.want("", statusOK)
-		second := n.dial().say(text)
+		n := startModifiedNode(t, waitForResends, b)
+		text := setUpRequest(idA, "paid", "")
+		first := n.dial().send(optionsRequest)
+		first.wantAnswer("", statusOK)
+		second := n.dial().send(text)
 		m := b.next(t, "open")
 		if answered {
-			ready(m)
-			second.want(idA, statusOK)
+			answerReady(m)
+			second.wantAnswer(idA, statusOK)
 		}
-		first.say(text + optionsRequest)
-		first.want("", statusOK) // the original has been read by now
+		first.send(text + optionsRequest)
+		first.wantAnswer("", statusOK) // the original has been read by now
 		_ = first.Conn.(*net.TCPConn).CloseWrite()
 		if !answered {
-			ready(m)
-			second.want(idA, statusOK)
+			answerReady(m)
+			second.wantAnswer(idA, statusOK)
 		}
-		second.silent()
-		n.agree(1)
+		second.wantNoMessage()
+		n.wantSessionCount(1)
 	}
 }
 
@@ -134,53 +134,53 @@
 // attempt. The original must not start anew, because its viewer already has the answer.
 func TestOriginalReadAfterRefusedResend(t *testing.T) {
 	b := newBox(t, "s-1", nil)
-	n := startGated(t, waitForResends, b)
-	first := n.dial().say(optionsRequest)
-	first.want("", statusOK)
-	_ = b.l.Close() // connections to the server fail
-	second := n.dial().say(setUp(idA, "paid", ""))
-	second.want(idA, statusNotEnoughBandwidth)
-	first.say(setUp(idA, "paid", "") + optionsRequest)
-	first.want("", statusOK)
-	second.silent()
+	n := startModifiedNode(t, waitForResends, b)
+	first := n.dial().send(optionsRequest)
+	first.wantAnswer("", statusOK)
+	_ = b.listener.Close() // connections to the server fail
+	second := n.dial().send(setUpRequest(idA, "paid", ""))
+	second.wantAnswer(idA, statusNotEnoughBandwidth)
+	first.send(setUpRequest(idA, "paid", "") + optionsRequest)
+	first.wantAnswer("", statusOK)
+	second.wantNoMessage()
 	if attempts := n.orchestrator.Stats.Requests.Load(); attempts != 1 {
 		t.Errorf("%d requests begun", attempts)
 	}
-	n.agree(0)
+	n.wantSessionCount(0)
 }
 
 func (c resentCase) run(t *testing.T, r *relay, received *messageLog) {
 	first, x := r.dial(t)
 	second, _ := r.dial(t) // connected in advance, so that no handshake delays the resend
-	second.say(optionsRequest).want("", 200)
-	first.say(c.setUp())
+	second.send(optionsRequest).wantAnswer("", 200)
+	first.send(c.setUp())
 	eventually(t, "an attempt", func() bool { opens, _ := received.forSession(c.id); return len(opens) == 1 })
 	opens, _ := received.forSession(c.id)
 	_ = x.client.Close()
 	if c.answered {
-		ready(opens[0])
+		answerReady(opens[0])
 		time.Sleep(resendDelay)
 	}
 	if c.resendFirst {
-		second.say(c.setUp())
+		second.send(c.setUp())
 		time.Sleep(resendDelay)
 		connEndings[c.ending](x.node)
 	} else {
 		connEndings[c.ending](x.node)
 		time.Sleep(resendDelay)
-		second.say(c.setUp())
+		second.send(c.setUp())
 	}
 	if !c.answered {
 		time.Sleep(3 * firstProbeInterval) // the node has handled the end of the connection by now
-		ready(opens[0])
+		answerReady(opens[0])
 	}
-	if m := second.want(c.id, 200); string(m.Body) != "for "+c.id+"\r\n\"x\"" {
+	if m := second.wantAnswer(c.id, 200); string(m.Body) != "for "+c.id+"\r\n\"x\"" {
 		t.Errorf("description %q", m.Body)
 	}
-	second.silent()
+	second.wantNoMessage()
 	if opens, closes := received.forSession(c.id); len(opens) != 1 || closes != 0 {
 		t.Errorf("%d attempts, %d ends at the server", len(opens), closes)
 	}
-	second.say(tearDown(c.id))
+	second.send(tearDownRequest(c.id))
 	eventually(t, "the session released", func() bool { _, closes := received.forSession(c.id); return closes == 1 })
 }
--- a/internal/node/reserve_test.go
+++ b/internal/node/reserve_test.go
@@ -8,7 +8,7 @@
 const manyServers = 350
 
 // adoptAt sends a set-up that names a session which a server is already playing.
-func (d *dialogue) adoptAt(id, server string) { d.say(setUp(id, "free", ";at:"+server)) }
+func (d *viewerClient) adoptAt(id, server string) { d.send(setUpRequest(id, "free", ";at:"+server)) }
 
 // TestMoreServersThanConnections has active sessions at far more servers than the node may have connections to. Half of
 // the servers have ended their session and report it on the next connection; the others keep needing a connection. Each
@@ -21,10 +21,10 @@
 			for i := range boxes {
 				boxes[i] = newBox(t, fmt.Sprintf("s-%d", i), nil)
 				if i%2 == 0 {
-					boxes[i].greetWith(func(on *peer) { on.say(`{"msg":"close","sid":%q,"attrs":{},"code":16}`, session(i)) })
+					boxes[i].setOnAccept(func(on *scriptedConn) { on.send(`{"msg":"close","sid":%q,"attrs":{},"code":16}`, session(i)) })
 				}
 			}
-			n := startWith(t, sockets, boxes...)
+			n := startNodeWithSockets(t, sockets, boxes...)
 			v := n.dial()
 			for i, b := range boxes {
 				v.adoptAt(session(i), b.id)
@@ -36,7 +36,7 @@
 				}
 				v.confirmRelease(m.Get("Session"))
 			}
-			n.agree(manyServers / 2)
+			n.wantSessionCount(manyServers / 2)
 			n.pool.mu.Lock()
 			defer n.pool.mu.Unlock()
 			if limit := sockets * 3 / 8; n.pool.maxConns != limit || n.pool.connCount > limit {
@@ -54,14 +54,14 @@
 	for i := range boxes {
 		boxes[i] = newBox(t, fmt.Sprintf("s-%d", i), nil)
 	}
-	n := startAs(t, 256, func(n *Node) { n.pool.maxConns = slots }, boxes...)
+	n := startModifiedNodeWithSockets(t, 256, func(n *Node) { n.pool.maxConns = slots }, boxes...)
 	v := n.dial()
 	for i, b := range boxes {
 		v.adoptAt(fmt.Sprintf("%016x", i+1), b.id)
 	}
-	n.agree(servers)
+	n.wantSessionCount(servers)
 	for _, b := range boxes {
-		eventually(t, "a connection to "+b.id, func() bool { return b.accepted() > 0 })
+		eventually(t, "a connection to "+b.id, func() bool { return b.acceptedCount() > 0 })
 	}
 	unconnected := -1
 	n.pool.mu.Lock()
@@ -75,13 +75,13 @@
 		t.Fatal("more connections than slots")
 	}
 	b := boxes[unconnected]
-	before := b.accepted()
-	eventually(t, "another connection", func() bool { return b.accepted() > before })
+	before := b.acceptedCount()
+	eventually(t, "another connection", func() bool { return b.acceptedCount() > before })
 	b.mu.Lock()
 	on := b.conns[len(b.conns)-1]
 	b.mu.Unlock()
 	id := fmt.Sprintf("%016x", unconnected+1)
-	on.say(`{"msg":"close","sid":%q,"attrs":{},"code":16}`, id)
+	on.send(`{"msg":"close","sid":%q,"attrs":{},"code":16}`, id)
 	v.wantRelease(id, "cause=16")
-	n.agree(servers - 1)
+	n.wantSessionCount(servers - 1)
 }
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -19,15 +19,15 @@
 )
 
 func TestMain(m *testing.M) {
-	if path := os.Getenv(helperConfig); path != "" {
+	if path := os.Getenv(helperConfigEnv); path != "" {
 		os.Exit(runHelper(path))
 	}
 	goleak.VerifyTestMain(m)
 }
 
 const (
-	testFor = 10 * time.Second // longest wait for what must come
-	quiet   = 80 * time.Millisecond
+	testTimeout = 10 * time.Second // longest wait for what must come
+	quietPeriod = 80 * time.Millisecond
 )
 
 const defaultSettings = `{"familyInfo":{"cells":4,"classFloor":[0,1],"classTop":[2,2],"joinAdds":1,"kindStreams":[50],"ladderKb":[100,200,400],
@@ -39,50 +39,50 @@
  "report":{"columns":["rif","x0","x1"],"how":"answers"},"safety":{"answerSlack":5000,"stopSendingWithin":2000000}}`
 
 // rig is a node with scripted servers and a scripted coordinator.
-type rig struct {
+type testNode struct {
 	*Node
-	t        *testing.T
-	feed     *feed
-	addr     string
-	settings string // of its configuration
-	stop     context.CancelFunc
-	over     chan error
+	t           *testing.T
+	coordinator *scriptedCoordinator
+	addr        string
+	settings    string // of its configuration
+	stop        context.CancelFunc
+	done        chan error
 }
 
-func startNode(t *testing.T, boxes ...*box) *rig { return startWith(t, 256, boxes...) }
+func startNode(t *testing.T, boxes ...*box) *testNode { return startNodeWithSockets(t, 256, boxes...) }
 
-func startWith(t *testing.T, sockets int, boxes ...*box) *rig {
-	return startAs(t, sockets, func(*Node) {}, boxes...)
+func startNodeWithSockets(t *testing.T, sockets int, boxes ...*box) *testNode {
+	return startModifiedNodeWithSockets(t, sockets, func(*Node) {}, boxes...)
 }
 
 // startGated starts a node that was changed first.
-func startGated(t *testing.T, change func(*Node), boxes ...*box) *rig {
-	return startAs(t, 256, change, boxes...)
+func startModifiedNode(t *testing.T, modify func(*Node), boxes ...*box) *testNode {
+	return startModifiedNodeWithSockets(t, 256, modify, boxes...)
 }
 
-func startAs(t *testing.T, sockets int, change func(*Node), boxes ...*box) *rig {
+func startModifiedNodeWithSockets(t *testing.T, sockets int, modify func(*Node), boxes ...*box) *testNode {
 	var list []coordinator.Entry
 	for _, b := range boxes {
 		list = append(list, b.entry("up"))
 	}
-	return startListed(t, sockets, change, list)
+	return startNodeWithList(t, sockets, modify, list)
 }
 
-func startListed(t *testing.T, sockets int, change func(*Node), list []coordinator.Entry) *rig {
-	return startSet(t, sockets, defaultSettings, change, list)
+func startNodeWithList(t *testing.T, sockets int, modify func(*Node), list []coordinator.Entry) *testNode {
+	return startNodeWithSettings(t, sockets, defaultSettings, modify, list)
 }
 
 // startSet starts a node with settings of its own.
-func startSet(t *testing.T, sockets int, settings string, change func(*Node), list []coordinator.Entry) *rig {
+func startNodeWithSettings(t *testing.T, sockets int, settings string, modify func(*Node), list []coordinator.Entry) *testNode {
 	known := coordinator.Updates{Index: 1, Updates: []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: list}}}}
-	r := &rig{t: t, settings: settings, feed: newFeed(t, known.Updates), over: make(chan error, 1)}
+	r := &testNode{t: t, settings: settings, coordinator: newScriptedCoordinator(t, known.Updates), done: make(chan error, 1)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.addr = l.Addr().String()
 	path := filepath.Join(t.TempDir(), "config.json")
-	r.write(path, r.feed, sockets, known)
+	r.writeConfig(path, r.coordinator, sockets, known)
 	c, err := ReadConfig(path)
 	if err != nil {
 		t.Fatal(err)
@@ -91,10 +91,10 @@
 		t.Fatal(err)
 	}
 	r.Node.Listener, r.Node.ArrivalWindow = l, -r.longestDeadline()
-	change(r.Node)
+	modify(r.Node)
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
-	go func() { r.over <- r.Run(ctx) }()
+	go func() { r.done <- r.Run(ctx) }()
 	defer eventually(t, "the first list", func() bool {
 		r.pool.mu.Lock()
 		defer r.pool.mu.Unlock()
@@ -102,14 +102,14 @@
 	})
 	t.Cleanup(func() {
 		stop()
-		if err := <-r.over; err != nil {
+		if err := <-r.done; err != nil {
 			t.Error(err)
 		}
 	})
 	return r
 }
 
-func (r *rig) write(path string, f *feed, sockets int, known coordinator.Updates) {
+func (r *testNode) writeConfig(path string, f *scriptedCoordinator, sockets int, known coordinator.Updates) {
 	raw, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "seed": "0a", "limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets},
 		"coordinator": f.Listener.Addr().String(), "known": known, "settings": json.RawMessage(r.settings)})
 	if err != nil {
@@ -121,33 +121,33 @@
 }
 
 // dialogue is one connection of a viewer.
-type dialogue struct {
+type viewerClient struct {
 	net.Conn
-	t *testing.T
-	r *rtsp.Reader
+	t      *testing.T
+	reader *rtsp.Reader
 }
 
-func (r *rig) dial() *dialogue {
+func (r *testNode) dial() *viewerClient {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { _ = c.Close() })
-	return &dialogue{c, r.t, rtsp.NewReader(bufio.NewReaderSize(c, 4<<10))}
+	return &viewerClient{c, r.t, rtsp.NewReader(bufio.NewReaderSize(c, 4<<10))}
 }
 
-func setUp(id, class, more string) string {
+func setUpRequest(id, class, extraLegs string) string {
 	body := "line of " + id + "\r\nm=audio \"1\"\r\n"
 	return fmt.Sprintf("SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\nCSeq: 1\r\nSession: %s\r\nX-Cos: %s\r\nX-Timer-Ms: 3000\r\nX-Guess: 8200.0\r\n"+
-		"X-Legs: home:0;copies:4;top:2;viewer:00000000b4d65521%s\r\nContent-Length: %d\r\n\r\n%s", id, class, more, len(body), body)
+		"X-Legs: home:0;copies:4;top:2;viewer:00000000b4d65521%s\r\nContent-Length: %d\r\n\r\n%s", id, class, extraLegs, len(body), body)
 }
 
-func tearDown(id string) string {
+func tearDownRequest(id string) string {
 	return "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + id + "\r\nContent-Length: 0\r\n\r\n"
 }
 
-func (d *dialogue) say(text string) *dialogue {
+func (d *viewerClient) send(text string) *viewerClient {
 	d.t.Helper()
 	if _, err := d.Write([]byte(text)); err != nil {
 		d.t.Fatal(err)
@@ -156,17 +156,17 @@
 }
 
 // reset ends the connection with a reset.
-func (d *dialogue) reset() {
+func (d *viewerClient) reset() {
 	_ = d.Conn.(*net.TCPConn).SetLinger(0)
 	_ = d.Close()
 }
 
 // next is the next message that is neither progress nor an answer to a TEARDOWN.
-func (d *dialogue) next() *rtsp.Message {
+func (d *viewerClient) next() *rtsp.Message {
 	d.t.Helper()
-	_ = d.SetReadDeadline(time.Now().Add(testFor))
+	_ = d.SetReadDeadline(time.Now().Add(testTimeout))
 	for {
-		m, err := d.r.Next()
+		m, err := d.reader.Next()
 		if err != nil {
 			d.t.Fatal(err)
 		}
@@ -176,7 +176,7 @@
 	}
 }
 
-func (d *dialogue) want(id string, status int) *rtsp.Message {
+func (d *viewerClient) wantAnswer(id string, status int) *rtsp.Message {
 	d.t.Helper()
 	m := d.next()
 	if m.Status != status || m.Get("Session") != id {
@@ -185,7 +185,7 @@
 	return m
 }
 
-func (d *dialogue) wantRelease(id, reason string) {
+func (d *viewerClient) wantRelease(id, reason string) {
 	d.t.Helper()
 	if m := d.next(); m.Method != "TEARDOWN" || m.Get("Session") != id || m.Get("Reason") != reason {
 		d.t.Fatalf("want a release of %s with %s, got %+v", id, reason, m)
@@ -193,11 +193,11 @@
 }
 
 // silent checks that nothing more comes for a moment.
-func (d *dialogue) silent() {
+func (d *viewerClient) wantNoMessage() {
 	d.t.Helper()
-	_ = d.SetReadDeadline(time.Now().Add(quiet))
+	_ = d.SetReadDeadline(time.Now().Add(quietPeriod))
 	for {
-		m, err := d.r.Next()
+		m, err := d.reader.Next()
 		if err != nil {
 			_ = d.SetReadDeadline(time.Time{})
 			return
@@ -211,7 +211,7 @@
 // eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(testFor); !holds(); time.Sleep(2 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("never: " + what)
 		}
@@ -220,7 +220,7 @@
 
 // agree waits until the module's sessions, those on the sockets, and the node's and the core's tables are as many as
 // told, server by server.
-func (r *rig) agree(n int) {
+func (r *testNode) wantSessionCount(n int) {
 	r.t.Helper()
 	eventually(r.t, fmt.Sprintf("%d sessions everywhere", n), func() bool {
 		same := make(chan bool, 1)
@@ -232,9 +232,9 @@
 			same <- ok && sum == n
 		})
 		r.mu.Lock()
-		held := len(r.sessions)
+		nodeSessions := len(r.sessions)
 		r.mu.Unlock()
-		return <-same && held == n && r.orchestrator.Stats.Open.Load() == int64(n)
+		return <-same && nodeSessions == n && r.orchestrator.Stats.Open.Load() == int64(n)
 	})
 }
 
--- a/internal/node/scripted_test.go
+++ b/internal/node/scripted_test.go
@@ -16,18 +16,18 @@
 )
 
 // said is one line that a scripted server heard.
-type said struct {
+type receivedMessage struct {
 	*jsonlines.Message
-	on *peer
+	conn *scriptedConn
 }
 
 // peer is one connection at a scripted server.
-type peer struct {
+type scriptedConn struct {
 	net.Conn
 	mu sync.Mutex
 }
 
-func (p *peer) say(format string, a ...any) {
+func (p *scriptedConn) send(format string, a ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, _ = fmt.Fprintf(p, format+"\n", a...)
@@ -35,44 +35,44 @@
 
 // box is a scripted server: what it hears goes to answer, and to heard.
 type box struct {
-	id     string
-	l      net.Listener
-	heard  chan said
-	answer func(said)
+	id       string
+	listener net.Listener
+	received chan receivedMessage
+	answer   func(receivedMessage)
 
-	mu    sync.Mutex
-	greet func(*peer) // called for each connection that comes, ahead of all else
-	conns []*peer
+	mu       sync.Mutex
+	onAccept func(*scriptedConn) // called for each connection that comes, ahead of all else
+	conns    []*scriptedConn
 }
 
-func newBox(t *testing.T, id string, answer func(said)) *box {
+func newBox(t *testing.T, id string, answer func(receivedMessage)) *box {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &box{id: id, l: l, heard: make(chan said, 1000), answer: answer}
+	b := &box{id: id, listener: l, received: make(chan receivedMessage, 1000), answer: answer}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			p := &peer{Conn: c}
+			p := &scriptedConn{Conn: c}
 			b.mu.Lock()
 			b.conns = append(b.conns, p)
-			greet := b.greet
+			onAccept := b.onAccept
 			b.mu.Unlock()
-			if greet != nil {
-				greet(p)
+			if onAccept != nil {
+				onAccept(p)
 			}
 			go b.read(p)
 		}
 	}()
-	t.Cleanup(b.die)
+	t.Cleanup(b.crash)
 	return b
 }
 
-func (b *box) read(p *peer) {
+func (b *box) read(p *scriptedConn) {
 	defer p.Close()
 	r := bufio.NewReaderSize(p, jsonlines.MaxLineBytes)
 	for {
@@ -81,22 +81,22 @@
 			return
 		}
 		if b.answer != nil {
-			b.answer(said{m, p})
+			b.answer(receivedMessage{m, p})
 		}
-		b.heard <- said{m, p}
+		b.received <- receivedMessage{m, p}
 	}
 }
 
 // greetWith has a function called for each connection that comes from now on.
-func (b *box) greetWith(greet func(*peer)) {
+func (b *box) setOnAccept(onAccept func(*scriptedConn)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.greet = greet
+	b.onAccept = onAccept
 }
 
 // die ends the process: its connections reset, nobody listens.
-func (b *box) die() {
-	_ = b.l.Close()
+func (b *box) crash() {
+	_ = b.listener.Close()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.conns {
@@ -105,60 +105,60 @@
 }
 
 // accepted is how many connections came so far.
-func (b *box) accepted() int {
+func (b *box) acceptedCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.conns)
 }
 
-func (b *box) next(t *testing.T, kind string) said {
+func (b *box) next(t *testing.T, messageType string) receivedMessage {
 	t.Helper()
-	over := time.After(testFor)
+	timeout := time.After(testTimeout)
 	for {
 		select {
-		case m := <-b.heard:
-			if m.Type == kind {
+		case m := <-b.received:
+			if m.Type == messageType {
 				return m
 			}
-		case <-over:
-			t.Fatalf("%s did not hear %q", b.id, kind)
+		case <-timeout:
+			t.Fatalf("%s did not hear %q", b.id, messageType)
 		}
 	}
 }
 
 func (b *box) entry(state string) coordinator.Entry {
-	return coordinator.Entry{ID: b.id, Addr: b.l.Addr().String(), Zone: "east", Kind: "std", State: state, Weight: 10}
+	return coordinator.Entry{ID: b.id, Addr: b.listener.Addr().String(), Zone: "east", Kind: "std", State: state, Weight: 10}
 }
 
 // ready answers every set-up with a description of its own.
-func ready(m said) {
+func answerReady(m receivedMessage) {
 	if m.Type == jsonlines.TypeOpen {
-		m.on.say(`{"msg":"ready","sid":%q,"attrs":{},"text":"for %s\r\n\"x\""}`, m.ID, m.ID)
+		m.conn.send(`{"msg":"ready","sid":%q,"attrs":{},"text":"for %s\r\n\"x\""}`, m.ID, m.ID)
 	}
 }
 
 // feed is a scripted coordinator.
-type feed struct {
+type scriptedCoordinator struct {
 	*httptest.Server
-	mu    sync.Mutex
-	index int64
-	all   []coordinator.Update
-	more  chan struct{}
-	polls chan string
+	mu      sync.Mutex
+	index   int64
+	updates []coordinator.Update
+	changed chan struct{}
+	queries chan string
 }
 
-func newFeed(t *testing.T, held []coordinator.Update) *feed {
-	f := &feed{all: held, index: int64(len(held)), more: make(chan struct{}), polls: make(chan string, 1000)}
+func newScriptedCoordinator(t *testing.T, updates []coordinator.Update) *scriptedCoordinator {
+	f := &scriptedCoordinator{updates: updates, index: int64(len(updates)), changed: make(chan struct{}), queries: make(chan string, 1000)}
 	f.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f.polls <- r.URL.RawQuery
+		f.queries <- r.URL.RawQuery
 		var n int64
 		_, _ = fmt.Sscan(r.URL.Query().Get("follow"), &n)
 		f.mu.Lock()
-		more := f.more
+		changed := f.changed
 		f.mu.Unlock()
-		if n >= f.last() {
+		if n >= f.lastIndex() {
 			select {
-			case <-more:
+			case <-changed:
 			case <-time.After(time.Second):
 			case <-r.Context().Done():
 				return
@@ -166,23 +166,23 @@
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(coordinator.Updates{Index: f.index, Updates: f.all[min(n, f.index):]})
+		_ = json.NewEncoder(w).Encode(coordinator.Updates{Index: f.index, Updates: f.updates[min(n, f.index):]})
 	}))
 	t.Cleanup(f.Server.Close)
 	return f
 }
 
-func (f *feed) last() int64 {
+func (f *scriptedCoordinator) lastIndex() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.index
 }
 
-func (f *feed) push(servers ...coordinator.Entry) {
+func (f *scriptedCoordinator) push(servers ...coordinator.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.index++
-	f.all = append(f.all, coordinator.Update{Endpoints: &coordinator.Endpoints{Servers: servers}})
-	close(f.more)
-	f.more = make(chan struct{})
+	f.updates = append(f.updates, coordinator.Update{Endpoints: &coordinator.Endpoints{Servers: servers}})
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
--- a/internal/node/serverage_test.go
+++ b/internal/node/serverage_test.go
@@ -13,7 +13,7 @@
 var clockOffsets = []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour}
 
 // serverAge returns how long ago a server started according to the node, if known.
-func (r *rig) serverAge(id string) (age time.Duration, known bool) {
+func (r *testNode) serverAge(id string) (age time.Duration, known bool) {
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
 	s := r.pool.servers[id]
@@ -37,17 +37,17 @@
 	for _, offset := range clockOffsets {
 		t.Run(fmt.Sprint(offset), func(t *testing.T) {
 			t.Parallel()
-			old, fresh := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
-			n := startGated(t, func(n *Node) { n.startUnixTime += offset }, old)
+			old, fresh := newBox(t, "s-1", answerReady), newBox(t, "s-2", answerReady)
+			n := startModifiedNode(t, func(n *Node) { n.startUnixTime += offset }, old)
 			entry := fresh.entryStartedAgo(200 * time.Millisecond)
-			n.feed.push(entry)
+			n.coordinator.push(entry)
 			var age time.Duration
 			eventually(t, "the server listed", func() bool { var known bool; age, known = n.serverAge("s-2"); return known })
 			if age < 0 || age > 1500*time.Millisecond {
 				t.Errorf("age %v of a server just listed", age)
 			}
 			entry.State = "draining"
-			n.feed.push(entry)
+			n.coordinator.push(entry)
 			eventually(t, "the server draining", func() bool {
 				n.pool.mu.Lock()
 				defer n.pool.mu.Unlock()
@@ -67,8 +67,8 @@
 	for _, offset := range clockOffsets {
 		t.Run(fmt.Sprint(offset), func(t *testing.T) {
 			t.Parallel()
-			a, b := newBox(t, "s-1", ready), newBox(t, "s-2", ready)
-			n := startListed(t, 256, func(n *Node) { n.startUnixTime += offset }, []coordinator.Entry{a.entryStartedAgo(time.Minute), b.entryStartedAgo(100 * time.Millisecond)})
+			a, b := newBox(t, "s-1", answerReady), newBox(t, "s-2", answerReady)
+			n := startNodeWithList(t, 256, func(n *Node) { n.startUnixTime += offset }, []coordinator.Entry{a.entryStartedAgo(time.Minute), b.entryStartedAgo(100 * time.Millisecond)})
 			firstAge, _ := n.serverAge("s-1")
 			lastAge, _ := n.serverAge("s-2")
 			if lastAge < 0 || lastAge > time.Second {
--- a/internal/node/serverconn_test.go
+++ b/internal/node/serverconn_test.go
@@ -11,7 +11,7 @@
 )
 
 // openIdleConn opens a connection to a server and leaves it idle in the pool.
-func (r *rig) openIdleConn(b *box) {
+func (r *testNode) openIdleConn(b *box) {
 	r.t.Helper()
 	r.pool.mu.Lock()
 	s := r.pool.servers[b.id]
@@ -19,7 +19,7 @@
 	if !r.pool.reserveFreeSlot() {
 		r.t.Fatal("no slot for a connection to the server")
 	}
-	l, err := r.pool.dial(context.Background(), s, testFor, dialForSetUp)
+	l, err := r.pool.dial(context.Background(), s, testTimeout, dialForSetUp)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 	for _, class := range []string{"free", "paid"} {
 		t.Run(class, func(t *testing.T) {
 			b, g := newBox(t, "s-1", nil), newGate()
-			n := startGated(t, func(n *Node) {
+			n := startModifiedNode(t, func(n *Node) {
 				n.beforeAdmission = func(id string) {
 					if id == idA {
 						g.pass(id)
@@ -45,31 +45,31 @@
 			n.pool.mu.Lock()
 			l := n.pool.servers["s-1"].idleConns[0]
 			n.pool.mu.Unlock()
-			v := n.dial().say(setUp(idA, class, ""))
+			v := n.dial().send(setUpRequest(idA, class, ""))
 			g.wait(t)
-			eventually(t, "the connection accepted", func() bool { return b.accepted() == 1 })
+			eventually(t, "the connection accepted", func() bool { return b.acceptedCount() == 1 })
 			b.mu.Lock()
 			_ = b.conns[0].Close()
 			b.mu.Unlock()
 			eventually(t, "the close detected", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return l.detached })
 			close(g.open)
-			ready(b.next(t, "open"))
-			v.want(idA, 200)
-			v.say(setUp(idB, "paid", "")) // at-most-once set-ups avoid a server that failed
-			ready(b.next(t, "open"))
-			v.want(idB, 200)
+			answerReady(b.next(t, "open"))
+			v.wantAnswer(idA, 200)
+			v.send(setUpRequest(idB, "paid", "")) // at-most-once set-ups avoid a server that failed
+			answerReady(b.next(t, "open"))
+			v.wantAnswer(idB, 200)
 
-			v.say(setUp(idC, class, ""))
+			v.send(setUpRequest(idC, class, ""))
 			m := b.next(t, "open")
-			_ = m.on.Close()
+			_ = m.conn.Close()
 			if class == "paid" {
-				v.want(idC, 504)
-				n.agree(2)
+				v.wantAnswer(idC, 504)
+				n.wantSessionCount(2)
 				return
 			}
-			ready(b.next(t, "open"))
-			v.want(idC, 200)
-			n.agree(3)
+			answerReady(b.next(t, "open"))
+			v.wantAnswer(idC, 200)
+			n.wantSessionCount(3)
 		})
 	}
 }
@@ -78,8 +78,8 @@
 // server's process ends after accepting the connection and before the first byte: that server cannot have run it.
 func TestServerDiesAfterAccept(t *testing.T) {
 	a, b, g := newBox(t, "s-1", nil), newBox(t, "s-2", nil), newGate()
-	n := startGated(t, func(n *Node) { n.beforeAdmission = func(id string) { g.pass(id) } }, a, b)
-	v := n.dial().say(setUp(idA, "paid", ""))
+	n := startModifiedNode(t, func(n *Node) { n.beforeAdmission = func(id string) { g.pass(id) } }, a, b)
+	v := n.dial().send(setUpRequest(idA, "paid", ""))
 	g.wait(t)
 	first, other := a, b
 	n.pool.mu.Lock()
@@ -88,43 +88,43 @@
 	}
 	l := n.pool.servers[first.id].conns[0]
 	n.pool.mu.Unlock()
-	eventually(t, "the connection accepted", func() bool { return first.accepted() == 1 })
-	first.die()
+	eventually(t, "the connection accepted", func() bool { return first.acceptedCount() == 1 })
+	first.crash()
 	eventually(t, "the end of the connection detected", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return l.detached })
 	close(g.open)
 	m := other.next(t, "open")
-	if m.ID != idA || len(first.heard) > 0 {
-		t.Errorf("got %+v; the first server received %d lines, want 0", m.Message, len(first.heard))
+	if m.ID != idA || len(first.received) > 0 {
+		t.Errorf("got %+v; the first server received %d lines, want 0", m.Message, len(first.received))
 	}
-	ready(m)
-	v.want(idA, 200)
-	n.agree(1)
+	answerReady(m)
+	v.wantAnswer(idA, 200)
+	n.wantSessionCount(1)
 }
 
 // TestDialCompletesAfterRemoval checks that a connection established after its server was removed from the list is
 // closed, that its descriptor is freed and that the set-up waiting for it is placed on another server.
 func TestDialCompletesAfterRemoval(t *testing.T) {
 	a, g := newBox(t, "s-1", nil), newGate()
-	n := startGated(t, func(n *Node) {
+	n := startModifiedNode(t, func(n *Node) {
 		n.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
-			if addr == a.l.Addr().String() {
+			if addr == a.listener.Addr().String() {
 				g.pass(addr)
 			}
 			return dialTCP(ctx, addr, within)
 		}
 	}, a)
-	v := n.dial().say(setUp(idA, "free", ""))
+	v := n.dial().send(setUpRequest(idA, "free", ""))
 	g.wait(t)
-	b := newBox(t, "s-2", ready)
-	n.feed.push(coordinator.Entry{ID: "s-1", State: "removed"}, b.entry("up"))
+	b := newBox(t, "s-2", answerReady)
+	n.coordinator.push(coordinator.Entry{ID: "s-1", State: "removed"}, b.entry("up"))
 	eventually(t, "the server removed", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-1"] == nil })
 	close(g.open)
-	v.want(idA, 200)
-	n.agree(1)
+	v.wantAnswer(idA, 200)
+	n.wantSessionCount(1)
 	n.pool.mu.Lock()
 	defer n.pool.mu.Unlock()
-	if len(a.heard) > 0 || n.pool.connCount != len(n.pool.servers["s-2"].conns) {
-		t.Errorf("the removed server received %d lines, want 0; the pool counts %d connections", len(a.heard), n.pool.connCount)
+	if len(a.received) > 0 || n.pool.connCount != len(n.pool.servers["s-2"].conns) {
+		t.Errorf("the removed server received %d lines, want 0; the pool counts %d connections", len(a.received), n.pool.connCount)
 	}
 }
 
@@ -133,33 +133,33 @@
 func TestDuplicateAnswerIsIgnored(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	n := startNode(t, b)
-	v := n.dial().say(setUp(idA, "free", ""))
+	v := n.dial().send(setUpRequest(idA, "free", ""))
 	first := b.next(t, "open")
-	ready(first)
-	v.want(idA, 200)
-	v.say(setUp(idB, "free", ""))
+	answerReady(first)
+	v.wantAnswer(idA, 200)
+	v.send(setUpRequest(idB, "free", ""))
 	second := b.next(t, "open")
-	if second.on != first.on {
+	if second.conn != first.conn {
 		t.Fatal("the second set-up used another connection")
 	}
-	first.on.say(`{"msg":"ready","sid":%q,"text":"second"}`, idA) // after the next set-up was sent, before its answer
-	ready(second)
-	if m := v.want(idB, 200); !strings.HasPrefix(string(m.Body), "for "+idB) {
+	first.conn.send(`{"msg":"ready","sid":%q,"text":"second"}`, idA) // after the next set-up was sent, before its answer
+	answerReady(second)
+	if m := v.wantAnswer(idB, 200); !strings.HasPrefix(string(m.Body), "for "+idB) {
 		t.Errorf("body %q is not the answer to the second set-up", m.Body)
 	}
-	second.on.say(`{"msg":"close","sid":%q,"code":47}`, idC) // the end of an unknown session
-	v.silent()
-	n.agree(2)
+	second.conn.send(`{"msg":"close","sid":%q,"code":47}`, idC) // the end of an unknown session
+	v.wantNoMessage()
+	n.wantSessionCount(2)
 }
 
 // TestRetiredConnFlushesRelease checks that a release queued just before its connection is retired as surplus still
 // reaches the server.
 func TestRetiredConnFlushesRelease(t *testing.T) {
-	b := newBox(t, "s-1", ready)
+	b := newBox(t, "s-1", answerReady)
 	n := startNode(t, b)
-	v := n.dial().say(setUp(idA, "free", ""))
-	v.want(idA, 200)
-	n.agree(1)
+	v := n.dial().send(setUpRequest(idA, "free", ""))
+	v.wantAnswer(idA, 200)
+	n.wantSessionCount(1)
 	n.pool.mu.Lock()
 	s := n.pool.servers["s-1"]
 	l := s.anyConn()
@@ -178,7 +178,7 @@
 
 // TestStaleConnIsNotReused checks that a connection idle for so long that its server may close it carries no set-up.
 func TestStaleConnIsNotReused(t *testing.T) {
-	b := newBox(t, "s-1", ready)
+	b := newBox(t, "s-1", answerReady)
 	n := startNode(t, b)
 	n.openIdleConn(b)
 	idle := n.Config.Platform.ConnIdle
@@ -186,11 +186,11 @@
 	old := n.pool.servers["s-1"].idleConns[0]
 	old.lastActivity = n.now() - time.Duration(float64(idle)*0.81)
 	n.pool.mu.Unlock()
-	n.dial().say(setUp(idA, "free", "")).want(idA, 200)
-	if m := b.next(t, "open"); b.accepted() != 2 {
-		t.Errorf("got %+v after %d connections, want 2", m.Message, b.accepted())
+	n.dial().send(setUpRequest(idA, "free", "")).wantAnswer(idA, 200)
+	if m := b.next(t, "open"); b.acceptedCount() != 2 {
+		t.Errorf("got %+v after %d connections, want 2", m.Message, b.acceptedCount())
 	}
-	n.agree(1)
+	n.wantSessionCount(1)
 }
 
 // TestSlowConnectKeepsSessions checks that two connections in a row that take longer than ConnectTimeout to establish
@@ -199,7 +199,7 @@
 	for name, reachable := range map[string]bool{"late": true, "never": false} {
 		t.Run(name, func(t *testing.T) {
 			b := newBox(t, "s-1", nil)
-			n := startGated(t, func(n *Node) {
+			n := startModifiedNode(t, func(n *Node) {
 				n.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
 					const connectTime = 500 * time.Millisecond // between the time-outs for set-ups and for checks
 					inTime := reachable && within > connectTime
@@ -216,17 +216,17 @@
 					return dialTCP(ctx, addr, within)
 				}
 			}, b)
-			v := n.dial().say(setUp(idA, "free", ";at:s-1"))
-			n.agree(1)
+			v := n.dial().send(setUpRequest(idA, "free", ";at:s-1"))
+			n.wantSessionCount(1)
 			if !reachable {
 				v.wantRelease(idA, "cause=41")
-				n.agree(0)
+				n.wantSessionCount(0)
 				return
 			}
-			n.dial().say(setUp(idB, "free", "")).want(idB, 453) // its connection was not established within ConnectTimeout
-			eventually(t, "a connection accepted", func() bool { return b.accepted() > 0 })
-			v.silent()
-			n.agree(1)
+			n.dial().send(setUpRequest(idB, "free", "")).wantAnswer(idB, 453) // its connection was not established within ConnectTimeout
+			eventually(t, "a connection accepted", func() bool { return b.acceptedCount() > 0 })
+			v.wantNoMessage()
+			n.wantSessionCount(1)
 		})
 	}
 }
@@ -235,34 +235,34 @@
 // while others stay open. The server sends it again only on the next connection opened, so the node has to open one.
 // The connection ends because a set-up on it timed out or because the server closed it.
 func TestServerResendsReleaseOnNewConn(t *testing.T) {
-	for name, end := range map[string]func(*rig, *peer){
-		"closed by the node": func(n *rig, _ *peer) {
+	for name, end := range map[string]func(*testNode, *scriptedConn){
+		"closed by the node": func(n *testNode, _ *scriptedConn) {
 			n.pool.mu.Lock()
 			defer n.pool.mu.Unlock()
 			n.pool.retireConn(n.pool.servers["s-1"].idleConns[0])
 		},
-		"closed by the server": func(_ *rig, on *peer) { _ = on.Close() },
+		"closed by the server": func(_ *testNode, on *scriptedConn) { _ = on.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBox(t, "s-1", ready)
+			b := newBox(t, "s-1", answerReady)
 			// Missing notes must not trigger the failure detector, whose checks would open connections too.
-			n := startGated(t, func(n *Node) { n.Config.Set.LinkNoteInterval = time.Hour }, b)
-			v := n.dial().say(setUp(idA, "free", ""))
-			v.want(idA, 200)
+			n := startModifiedNode(t, func(n *Node) { n.Config.Set.LinkNoteInterval = time.Hour }, b)
+			v := n.dial().send(setUpRequest(idA, "free", ""))
+			v.wantAnswer(idA, 200)
 			first := b.next(t, "open")
 			n.openIdleConn(b)
-			n.agree(1)
-			eventually(t, "two connections", func() bool { return b.accepted() == 2 })
-			end(n, first.on)
+			n.wantSessionCount(1)
+			eventually(t, "two connections", func() bool { return b.acceptedCount() == 2 })
+			end(n, first.conn)
 			eventually(t, "the end of the connection detected", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-1"].reconnectAt > 0 })
 			n.openIdleConn(b) // opened while the server may not have detected the end of the other yet
-			eventually(t, "a connection opened at once, and another one after reconnectDelay", func() bool { return b.accepted() == 4 })
+			eventually(t, "a connection opened at once, and another one after reconnectDelay", func() bool { return b.acceptedCount() == 4 })
 			b.mu.Lock()
 			next := b.conns[3]
 			b.mu.Unlock()
-			next.say(`{"msg":"close","sid":%q,"code":16}`, idA)
+			next.send(`{"msg":"close","sid":%q,"code":16}`, idA)
 			v.wantRelease(idA, "cause=16")
-			n.agree(0)
+			n.wantSessionCount(0)
 		})
 	}
 }
--- a/internal/node/shortage_test.go
+++ b/internal/node/shortage_test.go
@@ -13,9 +13,9 @@
 // TestDialWithoutDescriptor checks that a dial that fails for lack of a local descriptor does not count against the
 // server, and that a session there continues.
 func TestDialWithoutDescriptor(t *testing.T) {
-	b := newBox(t, "s-1", ready)
+	b := newBox(t, "s-1", answerReady)
 	available := make(chan struct{})
-	n := startGated(t, func(n *Node) {
+	n := startModifiedNode(t, func(n *Node) {
 		n.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
 			select {
 			case <-available:
@@ -25,13 +25,13 @@
 			}
 		}
 	}, b)
-	v := n.dial().say(setUp(idA, "free", ";at:s-1"))
-	n.agree(1)
-	n.dial().say(setUp(idB, "paid", "")).want(idB, 453)
+	v := n.dial().send(setUpRequest(idA, "free", ";at:s-1"))
+	n.wantSessionCount(1)
+	n.dial().send(setUpRequest(idB, "paid", "")).wantAnswer(idB, 453)
 	close(available)
-	n.dial().say(setUp(idC, "paid", "")).want(idC, 200) // the server is not considered faulty
-	v.silent()
-	n.agree(2)
+	n.dial().send(setUpRequest(idC, "paid", "")).wantAnswer(idC, 200) // the server is not considered faulty
+	v.wantNoMessage()
+	n.wantSessionCount(2)
 }
 
 // TestAcceptWithoutDescriptor checks that the least valuable connection is evicted when accept finds no free
@@ -39,8 +39,8 @@
 func TestAcceptWithoutDescriptor(t *testing.T) {
 	b := newBox(t, "s-1", nil)
 	acceptErrors := make(chan error, 8)
-	n := startGated(t, func(n *Node) { n.Listener = &failingListener{n.Listener, acceptErrors} }, b)
-	v := n.dial().say(setUp(idA, "paid", ""))
+	n := startModifiedNode(t, func(n *Node) { n.Listener = &failingListener{n.Listener, acceptErrors} }, b)
+	v := n.dial().send(setUpRequest(idA, "paid", ""))
 	m := b.next(t, "open")
 	silent := n.dial()
 	eventually(t, "both connections accepted", func() bool {
@@ -53,14 +53,14 @@
 	}
 	n.dial() // completes the blocked accept call; the next calls fail
 	eventually(t, "all accept errors returned", func() bool { return len(acceptErrors) == 0 })
-	last := n.dial().say(setUp(idB, "free", ""))
+	last := n.dial().send(setUpRequest(idB, "free", ""))
 	if _, err := silent.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("read on the silent connection: %v, want EOF", err)
 	}
-	ready(m)
-	v.want(idA, 200)
-	ready(b.next(t, "open"))
-	last.want(idB, 200)
+	answerReady(m)
+	v.wantAnswer(idA, 200)
+	answerReady(b.next(t, "open"))
+	last.wantAnswer(idB, 200)
 }
 
 // failingListener returns queued errors from Accept before it accepts connections.
--- a/internal/node/trial_servers_test.go
+++ b/internal/node/trial_servers_test.go
@@ -15,83 +15,83 @@
 )
 
 // heardSetUp is one set-up at a server of the trial, and what the server made of it.
-type heardSetUp struct {
-	server  string
-	refused bool // it never ran
-	stood   bool // it was answered that it stands
-	on      *peer
+type receivedSetUp struct {
+	server      string
+	refused     bool // it never ran
+	established bool // it was answered that it stands
+	conn        *scriptedConn
 }
 
 // trialServers are the servers of a trial and what they heard.
 type trialServers struct {
 	mu     sync.Mutex
-	draws  *rand.Rand
-	setUps map[string][]*heardSetUp
+	random *rand.Rand
+	setUps map[string][]*receivedSetUp
 	ended  map[string]int // by server and session: times that the node ended it
 }
 
 func newTrialServers(seed uint64) *trialServers {
-	return &trialServers{draws: rand.New(rand.NewPCG(seed, 1)), setUps: map[string][]*heardSetUp{}, ended: map[string]int{}}
+	return &trialServers{random: rand.New(rand.NewPCG(seed, 1)), setUps: map[string][]*receivedSetUp{}, ended: map[string]int{}}
 }
 
 // start starts three servers, and returns their entries of the list.
 func (s *trialServers) start(t *testing.T) (list []coordinator.Entry) {
 	for i := range 3 {
 		name := fmt.Sprintf("s-%d", i+1)
-		list = append(list, newBox(t, name, func(m said) { s.hear(name, m) }).entry("up"))
+		list = append(list, newBox(t, name, func(m receivedMessage) { s.handleMessage(name, m) }).entry("up"))
 	}
 	return list
 }
 
 // of is the set-ups of a request that were heard.
-func (s *trialServers) of(id string) []*heardSetUp {
+func (s *trialServers) setUpsOf(id string) []*receivedSetUp {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.setUps[id]
 }
 
-func (s *trialServers) hear(server string, m said) {
+func (s *trialServers) handleMessage(server string, m receivedMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch m.Type {
 	case jsonlines.TypeClose:
 		s.ended[server+" "+m.ID]++
 	case jsonlines.TypeOpen:
-		h := &heardSetUp{server: server, on: m.on}
+		h := &receivedSetUp{server: server, conn: m.conn}
 		s.setUps[m.ID] = append(s.setUps[m.ID], h)
-		s.answer(h, m)
+		s.answerSetUp(h, m)
 	}
 }
 
 // answer does one of the things that servers do to a set-up. The caller holds the lock.
-func (s *trialServers) answer(h *heardSetUp, m said) {
-	after := time.Duration(s.draws.IntN(60)) * time.Millisecond
-	switch draw := s.draws.IntN(20); {
+func (s *trialServers) answerSetUp(h *receivedSetUp, m receivedMessage) {
+	after := time.Duration(s.random.IntN(60)) * time.Millisecond
+	switch draw := s.random.IntN(20); {
 	case draw < 13:
-		time.AfterFunc(after, func() { s.stand(h, m) })
+		time.AfterFunc(after, func() { s.establishSession(h, m) })
 	case draw < 15:
 		h.refused = true
-		m.on.say(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, m.ID, jsonlines.CauseFull)
+		m.conn.send(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, m.ID, jsonlines.CauseFull)
 	case draw < 16:
-		m.on.say(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, m.ID, jsonlines.CauseError)
+		m.conn.send(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, m.ID, jsonlines.CauseError)
 	case draw < 18:
-		time.AfterFunc(after/4, func() { _ = m.on.Conn.(*net.TCPConn).SetLinger(0); _ = m.on.Close() })
+		time.AfterFunc(after/4, func() { _ = m.conn.Conn.(*net.TCPConn).SetLinger(0); _ = m.conn.Close() })
 	default: // it never answers
 	}
 }
 
 // stand answers that a session stands, unless it was ended meanwhile.
-func (s *trialServers) stand(h *heardSetUp, m said) {
+func (s *trialServers) establishSession(h *receivedSetUp, m receivedMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended[h.server+" "+m.ID] == 0 {
-		h.stood = true
-		m.on.say(`{"msg":"ready","sid":%q,"attrs":{},"text":"%s for %s"}`, m.ID, h.server, m.ID)
+		h.established = true
+		m.conn.send(`{"msg":"ready","sid":%q,"attrs":{},"text":"%s for %s"}`, m.ID, h.server, m.ID)
 	}
 }
 
 // judge tells what is wrong with what the servers heard of a request that was answered so.
-func (s *trialServers) judge(class, id string, answer *rtsp.Message) (wrong []string) {
+func (s *trialServers) violations(class, id string, answer *rtsp.Message) (found []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ran, text := 0, ""
@@ -99,28 +99,28 @@
 		if !h.refused {
 			ran++
 		}
-		if h.stood {
+		if h.established {
 			text += h.server + " for " + id
 		}
 	}
 	if class == "paid" && ran > 1 {
-		wrong = append(wrong, fmt.Sprintf("%d paid set-ups that may have run", ran))
+		found = append(found, fmt.Sprintf("%d paid set-ups that may have run", ran))
 	}
 	if answer.Status == statusOK && (len(answer.Body) == 0 || !strings.Contains(text, string(answer.Body))) {
-		wrong = append(wrong, fmt.Sprintf("description %q, servers said %q", answer.Body, text))
+		found = append(found, fmt.Sprintf("description %q, servers said %q", answer.Body, text))
 	}
 	if class == "paid" && ran > 0 && (answer.Status == statusNotEnoughBandwidth || answer.Status == statusServiceUnavailable) {
-		wrong = append(wrong, fmt.Sprintf("refused with %d, and it may have run", answer.Status))
+		found = append(found, fmt.Sprintf("refused with %d, and it may have run", answer.Status))
 	}
-	return wrong
+	return found
 }
 
 // running is how many servers still run a session that they said stands.
-func (s *trialServers) running(id string) (n int) {
+func (s *trialServers) runningSessions(id string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range s.setUps[id] {
-		if h.stood && s.ended[h.server+" "+id] == 0 {
+		if h.established && s.ended[h.server+" "+id] == 0 {
 			n++
 		}
 	}
--- a/internal/node/withdrawal_test.go
+++ b/internal/node/withdrawal_test.go
@@ -6,19 +6,19 @@
 )
 
 // wantNoSetUp checks that a server has received no set-up with an id so far, by sending a later one of another viewer.
-func (r *rig) wantNoSetUp(b *box, id string) {
+func (r *testNode) wantNoSetUp(b *box, id string) {
 	r.t.Helper()
 	marker := "00000000000000ff"
-	v := r.dial().say(setUp(marker, "free", ""))
+	v := r.dial().send(setUpRequest(marker, "free", ""))
 	for {
 		m := b.next(r.t, "open")
 		if m.ID == id {
 			r.t.Fatalf("%s was sent to the server although its viewer had left", id)
 		}
 		if m.ID == marker {
-			ready(m)
-			v.want(marker, 200)
-			v.say(tearDown(marker))
+			answerReady(m)
+			v.wantAnswer(marker, 200)
+			v.send(tearDownRequest(marker))
 			return
 		}
 	}
@@ -28,15 +28,15 @@
 const halfClose = "half close"
 
 // withdrawals are the ways in which a viewer can leave before its answer.
-var withdrawals = map[string]func(r *rig, v *dialogue){
-	"close":                          func(_ *rig, v *dialogue) { _ = v.Close() },
-	halfClose:                        func(_ *rig, v *dialogue) { _ = v.Conn.(*net.TCPConn).CloseWrite() },
-	"reset":                          func(_ *rig, v *dialogue) { _ = v.Conn.(*net.TCPConn).SetLinger(0); _ = v.Close() },
-	"teardown":                       func(_ *rig, v *dialogue) { v.say(tearDown(idA)) },
-	"teardown on another connection": func(r *rig, _ *dialogue) { r.dial().say(tearDown(idA)) },
+var withdrawals = map[string]func(r *testNode, v *viewerClient){
+	"close":                          func(_ *testNode, v *viewerClient) { _ = v.Close() },
+	halfClose:                        func(_ *testNode, v *viewerClient) { _ = v.Conn.(*net.TCPConn).CloseWrite() },
+	"reset":                          func(_ *testNode, v *viewerClient) { _ = v.Conn.(*net.TCPConn).SetLinger(0); _ = v.Close() },
+	"teardown":                       func(_ *testNode, v *viewerClient) { v.send(tearDownRequest(idA)) },
+	"teardown on another connection": func(r *testNode, _ *viewerClient) { r.dial().send(tearDownRequest(idA)) },
 }
 
-func (r *rig) attemptsBlocked(id string) func() bool {
+func (r *testNode) attemptsBlocked(id string) func() bool {
 	s := r.findSession(id)
 	return func() bool { return !s.mayBeginAttempt() }
 }
@@ -48,10 +48,10 @@
 	for name, leave := range withdrawals {
 		t.Run(name, func(t *testing.T) {
 			b, g := newBox(t, "s-1", nil), newGate()
-			n := startGated(t, func(n *Node) { n.Dial = gatedDial(g) }, b)
-			v := n.dial().say(setUp(idA, "paid", ""))
+			n := startModifiedNode(t, func(n *Node) { n.Dial = gatedDial(g) }, b)
+			v := n.dial().send(setUpRequest(idA, "paid", ""))
 			g.wait(t)
-			gone, unblock := n.attemptsBlocked(idA), n.holdOwner()
+			gone, unblock := n.attemptsBlocked(idA), n.blockOrchestrator()
 			leave(n, v)
 			eventually(t, "the viewer's leaving noticed", gone)
 			close(g.open)
@@ -62,23 +62,23 @@
 			})
 			unblock()
 			n.wantNoSetUp(b, idA)
-			n.agree(0)
+			n.wantSessionCount(0)
 
-			v = n.dial().say(setUp(idA, "paid", "")) // now the viewer leaves after the set-up was sent
+			v = n.dial().send(setUpRequest(idA, "paid", "")) // now the viewer leaves after the set-up was sent
 			m := b.next(t, "open")
 			leave(n, v)
 			if name == halfClose { // the viewer may still read, and the pending attempt continues
-				ready(m)
+				answerReady(m)
 				if got := v.answerThenEOF(idA); got != 200 {
 					t.Errorf("answer status %d", got)
 				}
-				n.agree(1)
+				n.wantSessionCount(1)
 				return
 			}
 			if c := b.next(t, "close"); c.ID != m.ID {
 				t.Errorf("close for another session: %+v", c.Message)
 			}
-			n.agree(0)
+			n.wantSessionCount(0)
 		})
 	}
 }
@@ -88,7 +88,7 @@
 	for name, leave := range withdrawals {
 		t.Run(name, func(t *testing.T) {
 			b, g := newBox(t, "s-1", nil), newGate()
-			n := startGated(t, func(n *Node) {
+			n := startModifiedNode(t, func(n *Node) {
 				n.beforeAdmission = func(id string) {
 					if id == idA {
 						g.pass(id)
@@ -96,14 +96,14 @@
 				}
 			}, b)
 			n.openIdleConn(b)
-			v := n.dial().say(setUp(idA, "free", ""))
+			v := n.dial().send(setUpRequest(idA, "free", ""))
 			g.wait(t)
-			gone, unblock := n.attemptsBlocked(idA), n.holdOwner()
+			gone, unblock := n.attemptsBlocked(idA), n.blockOrchestrator()
 			leave(n, v)
 			eventually(t, "the viewer's leaving noticed", gone)
 			close(g.open)
 			unblock()
-			n.agree(0)
+			n.wantSessionCount(0)
 			n.wantNoSetUp(b, idA)
 		})
 	}
@@ -116,16 +116,16 @@
 	n := startNode(t, a, b)
 	n.openIdleConn(a)
 	n.openIdleConn(b)
-	v := n.dial().say(setUp(idA, "free", ""))
+	v := n.dial().send(setUpRequest(idA, "free", ""))
 	first, other := a, b
-	var m said
+	var m receivedMessage
 	select {
-	case m = <-a.heard:
-	case m = <-b.heard:
+	case m = <-a.received:
+	case m = <-b.received:
 		first, other = b, a
 	}
-	gone, unblock := n.attemptsBlocked(idA), n.holdOwner()
-	m.on.say(`{"msg":"close","sid":%q,"code":47}`, idA)
+	gone, unblock := n.attemptsBlocked(idA), n.blockOrchestrator()
+	m.conn.send(`{"msg":"close","sid":%q,"code":47}`, idA)
 	eventually(t, "the failure handled", func() bool {
 		n.pool.mu.Lock()
 		defer n.pool.mu.Unlock()
@@ -134,9 +134,9 @@
 	_ = v.Close()
 	eventually(t, "the viewer's leaving noticed", gone)
 	unblock()
-	n.agree(0)
+	n.wantSessionCount(0)
 	select {
-	case m := <-other.heard:
+	case m := <-other.received:
 		t.Errorf("sent again although the viewer had left: %+v", m.Message)
 	default:
 	}
--- a/internal/planner/copies.go
+++ b/internal/planner/copies.go
@@ -47,7 +47,7 @@
 		titleSizes: map[string]float64{}}
 	if settings.Managed {
 		state.manager = copies.New(copies.Config{MinCopies: settings.Least, MaxConcurrent: settings.AtOnce, LinkShare: settings.Share,
-			DropGrace: settings.Grace.D(), ProgressTimeout: settings.Patience.D(), Backoff: settings.Backoff.D()})
+			DropGrace: settings.Grace.Std(), ProgressTimeout: settings.Patience.Std(), Backoff: settings.Backoff.Std()})
 	}
 	return state
 }
@@ -79,7 +79,7 @@
 		*knownVersion == check.TitlesVersion+1 && time.Since(*lastRead) < titleListInterval {
 		return
 	}
-	requestCtx, cancel := context.WithTimeout(ctx, p.Site.Planner.CheckFor.D())
+	requestCtx, cancel := context.WithTimeout(ctx, p.Site.Planner.CheckFor.Std())
 	defer cancel()
 	r, err := p.client.Do(requestCtx, addr, "GET", "/titles", nil, nil)
 	var list titleList
@@ -279,7 +279,7 @@
 // needsCopies reports whether the copies for a peak should exist now: from the site's lead time before its earliest
 // start until its last sessions end, unless it is cancelled or no longer expected. p.mu is held.
 func (p *Planner) needsCopies(a *peaks.Announcement, now int64) bool {
-	if a.Cancelled || now < a.Start-a.Uncertainty-p.Site.Copies.Ahead.D().Milliseconds() ||
+	if a.Cancelled || now < a.Start-a.Uncertainty-p.Site.Copies.Ahead.Std().Milliseconds() ||
 		now > a.Start+a.Uncertainty+a.Duration+p.sessionLength(a).Milliseconds() {
 		return false
 	}
@@ -311,7 +311,7 @@
 	disk = map[string]float64{}
 	for _, b := range fleet.Boxes {
 		state := p.monitor.boxes[b.ID]
-		boxes = append(boxes, mapping.Box{ID: b.ID, Zone: p.Site.Zone(state.box.Zone), Rack: b.Rack, Cell: b.Cell,
+		boxes = append(boxes, mapping.Box{ID: b.ID, Zone: p.Site.ZoneIndex(state.box.Zone), Rack: b.Rack, Cell: b.Cell,
 			LinkCapacity: b.LinkCapacity, LinkLoad: b.LinkLoad, FreeStreams: max(b.MaxStreams-b.ActiveSessions, 0)})
 		disk[b.ID] = p.copyState.manager.FreeDisk(b.ID)
 	}
@@ -405,5 +405,5 @@
 	return d, mapping.TitleDemand{Peak: a.ID, Title: name, Size: p.copyState.titleSizes[name],
 		Rate: d.Sessions * fleet.Ladder[rung] * class.RateFactor, Sessions: d.Sessions,
 		Worth: d.Sessions * d.Worth * fleet.RungWorths[rung], DurationSeconds: float64(a.Duration)/1000 + p.sessionLength(a).Seconds(),
-		Zone: p.Site.Zone(a.Zone), Holders: d.Holders}, true
+		Zone: p.Site.ZoneIndex(a.Zone), Holders: d.Holders}, true
 }
--- a/internal/planner/peaks.go
+++ b/internal/planner/peaks.go
@@ -293,13 +293,13 @@
 	if !ok {
 		return peaks.Demand{}, 0
 	}
-	class := p.Site.Class(a.Class)
+	class := p.Site.ClassIndex(a.Class)
 	sessionSeconds := p.sessionLength(a).Seconds()
 	worth := a.Worth
 	if worth <= 0 {
 		worth = p.Site.Classes[class].Worth
 	}
-	zone := p.Site.Zone(a.Zone)
+	zone := p.Site.ZoneIndex(a.Zone)
 	return peaks.Demand{Peak: a.ID, Title: name, Class: class, HomeCell: t.HomeCell, CellSpan: t.CellSpan, Worth: worth,
 		Holders: titleHolders(t), HasZone: zone >= 0, Zone: zone,
 		Sessions: rate * min(sessionSeconds, float64(a.Duration)/1000)}, arrivalsFor.Seconds()
@@ -346,9 +346,9 @@
 		if state == nil {
 			continue
 		}
-		box := peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Zone: site.Zone(b.Zone),
+		box := peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, Zone: site.ZoneIndex(b.Zone),
 			LinkCapacity: b.Weight * float64(site.Links.PerWeight), RampShare: rampShare(site, b.StartedMs, now)}
-		if k := site.Kind(b.Kind); k >= 0 {
+		if k := site.KindIndex(b.Kind); k >= 0 {
 			box.MaxStreams = float64(site.Kinds[k].Streams)
 		}
 		used := peakUse[b.ID]
@@ -364,7 +364,7 @@
 // rampShare returns the share of its capacity that a box has reached in its slow start. It is 1 after the ramp, and
 // where the start is not known.
 func rampShare(site *config.Site, startedMs int64, now time.Time) float64 {
-	ramp := site.Rules.Ramp.D()
+	ramp := site.Rules.Ramp.Std()
 	age := now.Sub(time.UnixMilli(startedMs))
 	if startedMs == 0 || ramp <= 0 || age >= ramp {
 		return 1
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -58,7 +58,7 @@
 func New(o Options) *Planner {
 	p := &Planner{Options: o, monitor: NewMonitor(o.Site.Planner.GoneAfter, uint64(time.Now().UnixMilli())),
 		updated: make(chan struct{}),
-		client:  &http1.Client{Limits: http1.DefaultLimits(), ConnectTimeout: o.Site.Planner.CheckFor.D()}}
+		client:  &http1.Client{Limits: http1.DefaultLimits(), ConnectTimeout: o.Site.Planner.CheckFor.Std()}}
 	for _, b := range o.Site.Boxes {
 		p.monitor.Add(p.siteBox(b))
 	}
@@ -164,7 +164,7 @@
 // runHealthChecks checks one box at each interval until ctx ends. The number spreads the checks of the boxes over
 // the interval.
 func (p *Planner) runHealthChecks(ctx context.Context, addr string, number int) {
-	interval := p.Site.Planner.CheckEvery.D()
+	interval := p.Site.Planner.CheckEvery.Std()
 	var knownVersion uint64
 	var lastRead time.Time
 	misses := 0
@@ -199,7 +199,7 @@
 
 // checkHealth sends one health check to a box. A failed request or an invalid answer counts as not answered.
 func (p *Planner) checkHealth(ctx context.Context, addr string) HealthCheck {
-	requestCtx, cancel := context.WithTimeout(ctx, p.Site.Planner.CheckFor.D())
+	requestCtx, cancel := context.WithTimeout(ctx, p.Site.Planner.CheckFor.Std())
 	defer cancel()
 	r, err := p.client.Do(requestCtx, addr, "GET", "/health", nil, nil)
 	var health healthResponse
--- a/internal/planner/reload.go
+++ b/internal/planner/reload.go
@@ -20,7 +20,7 @@
 }
 
 func siteTitle(t config.Title) view.Title {
-	return view.Title{Name: t.Name, HomeCell: t.Home, CellSpan: t.Span, LengthMs: t.Length.D().Milliseconds()}
+	return view.Title{Name: t.Name, HomeCell: t.Home, CellSpan: t.Span, LengthMs: t.Length.Std().Milliseconds()}
 }
 
 // startHealthChecks starts the goroutine that checks a box. p.mu is held.
@@ -61,7 +61,7 @@
 		p.monitor.Remove(addr)
 	}
 	p.applySiteTitles(site.Titles)
-	needsRestart := config.Changed(p.Site, site, "boxes", "titles", "playback")
+	needsRestart := config.ChangedFields(p.Site, site, "boxes", "titles", "playback")
 	p.currentSite = site
 	p.publishView()
 	p.Log.Info("site reloaded", "boxes", len(site.Boxes), "titles", len(site.Titles), "needs_restart", needsRestart)
--- a/internal/planner/sources.go
+++ b/internal/planner/sources.go
@@ -55,7 +55,7 @@
 	}
 	rules := reconcile.DefaultRules()
 	// A blocking query may deliver nothing for the whole of its wait.
-	rules.SourceTimeout = max(rules.SourceTimeout, p.Site.Consul.Wait.D()*5/4+5*time.Second)
+	rules.SourceTimeout = max(rules.SourceTimeout, p.Site.Consul.Wait.Std()*5/4+5*time.Second)
 	var names []string
 	for _, s := range state.sources {
 		names = append(names, s.Name())
@@ -145,7 +145,7 @@
 	entries := make([]reconcile.Entry, 0, len(snapshot.Boxes))
 	byID := make(map[string]registry.Box, len(snapshot.Boxes))
 	for _, box := range snapshot.Boxes {
-		if p.Site.Zone(box.Zone) < 0 || p.Site.Kind(box.Kind) < 0 || box.Cell < 0 ||
+		if p.Site.ZoneIndex(box.Zone) < 0 || p.Site.KindIndex(box.Kind) < 0 || box.Cell < 0 ||
 			box.Cell >= p.Site.Cells || !(box.Weight > 0) {
 			continue // does not fit the site: a snapshot from disk is not validated when it is read
 		}
--- a/internal/registry/consul.go
+++ b/internal/registry/consul.go
@@ -51,7 +51,7 @@
 
 // queryOptions returns the options of one blocking query from an index on.
 func (c *Consul) queryOptions(ctx context.Context, index uint64) *api.QueryOptions {
-	q := &api.QueryOptions{WaitIndex: index, WaitTime: c.Config.Wait.D(), Filter: c.Config.Filter}
+	q := &api.QueryOptions{WaitIndex: index, WaitTime: c.Config.Wait.Std(), Filter: c.Config.Filter}
 	switch c.Config.Consistency {
 	case "stale":
 		q.AllowStale = true
@@ -127,7 +127,7 @@
 	query func(*api.QueryOptions) (*api.QueryMeta, func(), error)) {
 	index, retryDelay := uint64(0), minRetryDelay
 	for ctx.Err() == nil {
-		queryCtx, cancel := context.WithTimeout(ctx, c.Config.Wait.D()*17/16+queryTimeoutMargin)
+		queryCtx, cancel := context.WithTimeout(ctx, c.Config.Wait.Std()*17/16+queryTimeoutMargin)
 		meta, apply, err := query(c.queryOptions(queryCtx, index))
 		cancel()
 		if ctx.Err() != nil {
@@ -163,7 +163,7 @@
 // the program. It registers again after any error, such as a catalogue that was not reached or that lost the
 // registration.
 func (c *Consul) Register(ctx context.Context, id, name, host string, port int, onError func(error)) {
-	ttl := c.Config.TTL.D()
+	ttl := c.Config.TTL.Std()
 	check := "service:" + id
 	register := func() error {
 		return c.client.Agent().ServiceRegisterOpts(&api.AgentServiceRegistration{ID: id, Name: name, Address: host,
--- a/internal/registry/parse.go
+++ b/internal/registry/parse.go
@@ -79,10 +79,10 @@
 	}
 	meta := e.Service.Meta
 	b := Box{Entry: reconcile.Entry{ID: id, Address: id}, Zone: meta[MetaZone], Kind: meta[MetaKind], Weight: 1}
-	if site.Zone(b.Zone) < 0 {
+	if site.ZoneIndex(b.Zone) < 0 {
 		return invalid(MetaZone, "%q is not a zone of the site", b.Zone)
 	}
-	if site.Kind(b.Kind) < 0 {
+	if site.KindIndex(b.Kind) < 0 {
 		return invalid(MetaKind, "%q is not a kind of the site", b.Kind)
 	}
 	var err error
@@ -138,7 +138,7 @@
 		err := decoder.Decode(&t)
 		switch {
 		case err != nil:
-		case t.Name != name || !config.Segment(name):
+		case t.Name != name || !config.IsPathSegment(name):
 			err = fmt.Errorf("name %q differs from the key, or is no valid URL path segment", t.Name)
 		case t.HomeCell < 0 || t.HomeCell >= site.Cells || t.CellSpan < 1 || t.CellSpan > site.Cells:
 			err = fmt.Errorf("home %d and span %d do not fit %d cells", t.HomeCell, t.CellSpan, site.Cells)
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -23,12 +23,12 @@
 
 // play causes a fault at its time and mends it after.
 func (r *Run) runFault(ctx context.Context, fault Fault, rnd *rand.Rand) {
-	if !r.sleep(ctx, fault.Start.D()) {
+	if !r.sleep(ctx, fault.Start.Std()) {
 		return
 	}
 	r.auditLog.Add(audit.Entry{Observer: "script", Subject: fault.Kind, Event: audit.FaultApplied, Value: fault.Magnitude})
 	revert := r.applyFault(fault, rnd)
-	r.sleep(ctx, fault.Duration.D())
+	r.sleep(ctx, fault.Duration.Std())
 	revert()
 }
 
--- a/internal/scenario/paced.go
+++ b/internal/scenario/paced.go
@@ -87,7 +87,7 @@
 		lastEnd = max(lastEnd, a.arrivedAt+a.viewer.SessionLength)
 		sim.asked += a.viewer.SessionLength.Seconds() * sim.worth(a.viewer.Class, a.viewer.BestRung)
 	}
-	roundInterval := max(r.Site.Notes.LinkEvery.D(), pacedTick)
+	roundInterval := max(r.Site.Notes.LinkEvery.Std(), pacedTick)
 	for now, nextRound := time.Duration(0), time.Duration(0); now <= lastEnd; now += pacedTick {
 		sim.removeEnded(now)
 		waiting = sim.admitArrivals(waiting, now)
@@ -222,14 +222,14 @@
 		p.addRate(b, -freed)
 		needed -= freed
 		cheapest.rung--
-		p.delivered -= p.run.Site.Notes.SwitchCost.D().Seconds() * p.worth(cheapest.class, cheapest.rung)
+		p.delivered -= p.run.Site.Notes.SwitchCost.Std().Seconds() * p.worth(cheapest.class, cheapest.rung)
 	}
 }
 
 // free makes room ahead of peaks; false where none is near.
 func (p *pacedSimulation) freeBeforePeaks(now time.Duration) bool {
 	for _, peak := range p.run.Script.Peaks {
-		start := time.Duration(float64(peak.Start.D()) / p.run.Speed)
+		start := time.Duration(float64(peak.Start.Std()) / p.run.Speed)
 		if p.leadTime <= 0 || now < start-p.leadTime || now >= start {
 			continue
 		}
@@ -257,7 +257,7 @@
 				continue
 			}
 			rate := p.rate(session.class, session.rung+1) - p.rate(session.class, session.rung)
-			cost := p.run.Site.Notes.SwitchCost.D().Seconds() * p.worth(session.class, session.rung+1)
+			cost := p.run.Site.Notes.SwitchCost.Std().Seconds() * p.worth(session.class, session.rung+1)
 			gain := (session.endAt - now).Seconds() * (p.worth(session.class, session.rung+1) - p.worth(session.class, session.rung))
 			if gain > pacedMinGain*cost {
 				steps = append(steps, step{session, gain / rate, rate})
@@ -271,7 +271,7 @@
 			allowed -= s.kb
 			p.addRate(b, s.kb)
 			s.x.rung++
-			p.delivered -= p.run.Site.Notes.SwitchCost.D().Seconds() * p.worth(s.x.class, s.x.rung)
+			p.delivered -= p.run.Site.Notes.SwitchCost.Std().Seconds() * p.worth(s.x.class, s.x.rung)
 		}
 	}
 }
--- a/internal/scenario/peak.go
+++ b/internal/scenario/peak.go
@@ -38,8 +38,8 @@
 			rate = p.ArrivalRate
 		}
 		announcement := peaks.Announcement{ID: fmt.Sprint("peak-", i), Version: 1, Class: p.Class, Rate: rate * r.Speed, SessionDuration: r.meanSessionMillis(p.Class),
-			Start: now.Add(time.Duration(float64(p.Start.D()+p.AnnouncementOffset.D()) / r.Speed)).UnixMilli(), Uncertainty: int64(float64(p.Uncertainty.D().Milliseconds()) / r.Speed),
-			Duration: int64(float64(p.Duration.D().Milliseconds()) / r.Speed)}
+			Start: now.Add(time.Duration(float64(p.Start.Std()+p.AnnouncementOffset.Std()) / r.Speed)).UnixMilli(), Uncertainty: int64(float64(p.Uncertainty.Std().Milliseconds()) / r.Speed),
+			Duration: int64(float64(p.Duration.Std().Milliseconds()) / r.Speed)}
 		for offset := range p.TitleCount {
 			announcement.Titles = append(announcement.Titles, r.Site.Titles[p.FirstTitle+offset].Name)
 		}
@@ -72,10 +72,10 @@
 
 // peak lets a peak's viewers come.
 func (r *Run) runPeak(ctx context.Context, index int, p Peak, rnd *rand.Rand) {
-	if !r.sleep(ctx, p.Start.D()) || p.ArrivalRate <= 0 {
+	if !r.sleep(ctx, p.Start.Std()) || p.ArrivalRate <= 0 {
 		return
 	}
-	ended := time.After(time.Duration(float64(p.Duration.D()) / r.Speed))
+	ended := time.After(time.Duration(float64(p.Duration.Std()) / r.Speed))
 	for {
 		select {
 		case <-ctx.Done():
@@ -85,7 +85,7 @@
 		case <-time.After(time.Duration(rnd.ExpFloat64() / (p.ArrivalRate * r.Speed) * float64(time.Second))):
 		}
 		viewer := r.newViewer()
-		viewer.Class = r.Site.Class(p.Class)
+		viewer.Class = r.Site.ClassIndex(p.Class)
 		r.mu.Lock()
 		r.drawSessionLength(viewer)
 		r.mu.Unlock()
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -181,7 +181,7 @@
 
 // Play goes through the script and waits for the last viewer.
 func (r *Run) Play(ctx context.Context) {
-	length := time.Duration(float64(r.Script.Length.D()) / r.Speed)
+	length := time.Duration(float64(r.Script.Length.Std()) / r.Speed)
 	r.startedAt = time.Now()
 	dayCtx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
@@ -210,7 +210,7 @@
 	for {
 		r.mu.Lock()
 		rate := r.Script.ArrivalRate * r.arrivalFactor * r.Speed
-		if time.Since(r.startedAt) < time.Duration(float64(r.Script.QuietTime.D())/r.Speed) {
+		if time.Since(r.startedAt) < time.Duration(float64(r.Script.QuietTime.Std())/r.Speed) {
 			rate *= quietArrivalFactor
 		}
 		r.mu.Unlock()
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -49,9 +49,9 @@
 // life of a class's sessions, in seconds of the script's clock: the mean, and how far they lie apart.
 func (s *Script) sessionLength(class string) (mean, spread float64) {
 	if length, ok := s.SessionsByClass[class]; ok {
-		return length.Mean.D().Seconds(), length.Spread.D().Seconds()
+		return length.Mean.Std().Seconds(), length.Spread.Std().Seconds()
 	}
-	return s.SessionMean.D().Seconds(), s.SessionSpread.D().Seconds()
+	return s.SessionMean.Std().Seconds(), s.SessionSpread.Std().Seconds()
 }
 
 // meanLife is that of all classes, by their share of the viewers.
@@ -173,7 +173,7 @@
 			errs = append(errs, fmt.Errorf("scenario: %s: "+format, append([]any{name}, a...)...))
 		}
 	}
-	require(s.Length > 0 && s.Length.D() <= time.Hour, "length: above 0, an hour at most")
+	require(s.Length > 0 && s.Length.Std() <= time.Hour, "length: above 0, an hour at most")
 	require(s.Boxes >= 3 && s.Boxes <= 400, "boxes: 3 to 400")
 	require(s.Edges >= 1 && s.Edges <= 32, "edges: 1 to 32")
 	require(s.ArrivalRate > 0 && s.ArrivalRate <= 1000, "rate: above 0, 1000 at most")
--- a/internal/scenario/titles.go
+++ b/internal/scenario/titles.go
@@ -37,7 +37,7 @@
 	indexes := sampleIndexes(rnd, len(r.Site.Titles), f.Share)
 	titleBody := func(i, cellOffset int) string {
 		title := r.Site.Titles[i]
-		return fmt.Sprintf(`{"name":%q,"home":%d,"span":%d,"length_ms":%d}`, title.Name, (title.Home+cellOffset)%r.Site.Cells, title.Span, title.Length.D().Milliseconds())
+		return fmt.Sprintf(`{"name":%q,"home":%d,"span":%d,"length_ms":%d}`, title.Name, (title.Home+cellOffset)%r.Site.Cells, title.Span, title.Length.Std().Milliseconds())
 	}
 	path := func(i int) string { return "/v1/titles/" + r.Site.Titles[i].Name }
 	forEach := func(do func(i int)) func() {
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -109,9 +109,9 @@
 		f.uplinkRates, f.uplinkDivisors = append(f.uplinkRates, float64(site.Links.Uplink)*spread), append(f.uplinkDivisors, 1)
 	}
 	for _, b := range site.Boxes {
-		kind := site.Kind(b.Kind)
+		kind := site.KindIndex(b.Kind)
 		spread := 1 + 0.15*(2*f.rng.Float64()-1)
-		f.Boxes = append(f.Boxes, &Box{fleet: f, Addr: b.Addr, Zone: site.Zone(b.Zone), rack: b.Cell % site.Racks,
+		f.Boxes = append(f.Boxes, &Box{fleet: f, Addr: b.Addr, Zone: site.ZoneIndex(b.Zone), rack: b.Cell % site.Racks,
 			streamSlots: site.Kinds[kind].Streams, linkRate: b.Weight * float64(site.Links.PerWeight) * spread, state: "ready",
 			titles: f.initialTitles(b.Cell)})
 	}
@@ -245,7 +245,7 @@
 	if err != nil || n < 0 || n >= len(b.fleet.Site.Edges) {
 		return false
 	}
-	zone := b.fleet.Site.Zone(b.fleet.Site.Edges[n].Zone)
+	zone := b.fleet.Site.ZoneIndex(b.fleet.Site.Edges[n].Zone)
 	return (zone == b.fleet.isolatedZone) != (b.Zone == b.fleet.isolatedZone)
 }
 
@@ -407,7 +407,7 @@
 // notes sends each edge with sessions here what the module's notes tell, on one session of each.
 func (b *Box) sendNotes(n int) {
 	everySecond := n%10 == 0
-	linkNoteTicks := int(b.fleet.Site.Notes.LinkEvery.D() / tickInterval)
+	linkNoteTicks := int(b.fleet.Site.Notes.LinkEvery.Std() / tickInterval)
 	sessionByEdge := map[string]*session{}
 	for _, s := range b.sessions {
 		if chosen := sessionByEdge[s.edge]; chosen == nil || s.id < chosen.id {
@@ -452,7 +452,7 @@
 	}
 }
 
-func (b *Box) noteDelay() time.Duration { return b.fleet.Site.Notes.Delay.D() + b.faults.NoteDelay }
+func (b *Box) noteDelay() time.Duration { return b.fleet.Site.Notes.Delay.Std() + b.faults.NoteDelay }
 
 func (b *Box) sendNote(e *eventStream, line string, delay time.Duration) {
 	enqueue := func() {
@@ -553,7 +553,7 @@
 	s.attempt, _ = strconv.Atoi(q.Get("attempt"))
 	s.rung, _ = strconv.Atoi(q.Get("rung"))
 	s.bestRung, _ = strconv.Atoi(q.Get("best"))
-	class := f.Site.Class(s.class)
+	class := f.Site.ClassIndex(s.class)
 	if class < 0 || s.rung < 0 || s.rung >= len(f.Site.Ladder) {
 		http.Error(w, "no such class or rung", http.StatusBadRequest)
 		return
@@ -661,16 +661,16 @@
 func (b *Box) checkColdLoad() {
 	r := b.fleet.Site.Rules
 	age := time.Since(b.started)
-	if age >= r.Ramp.D() || r.FallSpan <= 0 {
+	if age >= r.Ramp.Std() || r.FallSpan <= 0 {
 		return
 	}
 	now := time.Now()
 	b.recentSetUps = append(b.recentSetUps, now)
-	for now.Sub(b.recentSetUps[0]) >= r.FallSpan.D() {
+	for now.Sub(b.recentSetUps[0]) >= r.FallSpan.Std() {
 		b.recentSetUps = b.recentSetUps[1:]
 	}
-	rampRate := float64(b.streamSlots) / r.Ramp.D().Seconds() * (r.StartShare + (1-r.StartShare)*age.Seconds()/r.Ramp.D().Seconds())
-	if float64(len(b.recentSetUps)) > r.FallFactor*rampRate*r.FallSpan.D().Seconds()+3 {
+	rampRate := float64(b.streamSlots) / r.Ramp.Std().Seconds() * (r.StartShare + (1-r.StartShare)*age.Seconds()/r.Ramp.Std().Seconds())
+	if float64(len(b.recentSetUps)) > r.FallFactor*rampRate*r.FallSpan.Std().Seconds()+3 {
 		b.fleet.Log.Add(audit.Entry{Observer: "box", Subject: b.Addr, Event: audit.BoxOverloaded})
 		b.crash("fell")
 	}
@@ -693,7 +693,7 @@
 		http.Error(w, "no such session or rung", http.StatusNotFound)
 		return
 	}
-	s.rung, s.rate = rung, b.fleet.rungRate(b.fleet.Site.Class(s.class), rung)
+	s.rung, s.rate = rung, b.fleet.rungRate(b.fleet.Site.ClassIndex(s.class), rung)
 	b.fleet.Log.Add(b.newEntry(audit.RungSet, s))
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/standin/media.go
+++ b/internal/standin/media.go
@@ -14,7 +14,7 @@
 func (f *Fleet) segmentCount(title string) int {
 	for _, t := range f.Site.Titles {
 		if t.Name == title {
-			return max(int(math.Ceil(t.Length.D().Seconds()/SegmentSeconds)), 1)
+			return max(int(math.Ceil(t.Length.Std().Seconds()/SegmentSeconds)), 1)
 		}
 	}
 	return 0
--- a/internal/standin/titles.go
+++ b/internal/standin/titles.go
@@ -33,7 +33,7 @@
 	}
 	for _, t := range f.Site.Titles {
 		if t.Name == title {
-			return rate * t.Length.D().Seconds()
+			return rate * t.Length.Std().Seconds()
 		}
 	}
 	return 0
--- a/internal/standin/viewer.go
+++ b/internal/standin/viewer.go
@@ -90,7 +90,7 @@
 		status, body, retryAfter := v.request(ctx, edge)
 		if status == 200 {
 			if report.Outcome == "" {
-				if report.Outcome = "played"; time.Since(begin) > v.Site.Classes[v.Class].Aim.D() {
+				if report.Outcome = "played"; time.Since(begin) > v.Site.Classes[v.Class].Aim.Std() {
 					report.Outcome = "late"
 				}
 			}
@@ -135,7 +135,7 @@
 // comes and nothing after it.
 func (v *Viewer) request(ctx context.Context, edge int) (status int, body string, retryAfter time.Duration) {
 	class := v.Site.Classes[v.Class]
-	deadline := class.Deadline.D()
+	deadline := class.Deadline.Std()
 	id := "v" + strconv.FormatInt(requestCount.Add(1), 10)
 	conn, err := net.DialTimeout("tcp", v.Edges[edge], 500*time.Millisecond)
 	if err != nil {
@@ -207,7 +207,7 @@
 	}
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	p := &player{client: &http.Client{Transport: transport, Timeout: v.Site.Classes[v.Class].Deadline.D() + time.Second}, lastContent: -1, bufferedUntil: time.Now(), lastRung: -1}
+	p := &player{client: &http.Client{Transport: transport, Timeout: v.Site.Classes[v.Class].Deadline.Std() + time.Second}, lastContent: -1, bufferedUntil: time.Now(), lastRung: -1}
 	for time.Now().Before(end) && ctx.Err() == nil {
 		code, text := v.reload(ctx, p, edge, uri)
 		if code != 200 {
@@ -244,7 +244,7 @@
 func (v *Viewer) reload(ctx context.Context, p *player, edge, uri string) (int, string) {
 	class := v.Site.Classes[v.Class]
 	e := audit.Entry{Observer: "viewer", Subject: v.Key, Viewer: v.Key, Session: "r" + strconv.FormatInt(requestCount.Add(1), 10), Title: v.Title,
-		Class: class.Name, Value: class.Deadline.D().Seconds(), Text: audit.PlaylistReload}
+		Class: class.Name, Value: class.Deadline.Std().Seconds(), Text: audit.PlaylistReload}
 	for i, a := range v.Edges {
 		if a == edge {
 			e.Edge = strconv.Itoa(v.EdgePositions[i])
@@ -310,7 +310,7 @@
 			seconds := minTime(p.bufferedUntil, end).Sub(from).Seconds()
 			report.WorthDelivered += seconds * v.rungWorth(rung)
 			if p.lastRung >= 0 && rung != p.lastRung { // a change costs the viewer so much of what it then plays
-				cost := v.Site.Notes.SwitchCost.D().Seconds() * v.rungWorth(rung)
+				cost := v.Site.Notes.SwitchCost.Std().Seconds() * v.rungWorth(rung)
 				report.WorthDelivered -= cost
 				report.Account.RungChangeCost += cost
 			}
