--- a/internal/copies/copies_test.go
+++ b/internal/copies/copies_test.go
@@ -246,12 +246,12 @@
 			c(t, f)
 		})
 	}
-	hot := newTestFleet(4)
-	hot.boxes[0].LinkLoad = 990
-	addTestTitle(hot)
-	hot.manager.SetExtraCopies([]Key{{"t0", "b2"}})
-	hot.run(1, 100, 0)
-	if from := hot.transfers[Key{"t0", "b2"}]; from != "b1" {
+	overloaded := newTestFleet(4)
+	overloaded.boxes[0].LinkLoad = 990
+	addTestTitle(overloaded)
+	overloaded.manager.SetExtraCopies([]Key{{"t0", "b2"}})
+	overloaded.run(1, 100, 0)
+	if from := overloaded.transfers[Key{"t0", "b2"}]; from != "b1" {
 		t.Errorf("copied from %q, the hot box", from)
 	}
 	f := newTestFleet(3)
@@ -338,13 +338,13 @@
 				slices.Sort(b)
 				f.manager.SetTitle(Title{Name: t, Size: 1000, PermanentBoxes: slices.Compact(b)})
 			}
-			cmds := f.step(int64(100+draw(4000, "ms")), float64(draw(800, "kb")))
-			in, from := map[string]int{}, map[string]int{}
+			commands := f.step(int64(100+draw(4000, "ms")), float64(draw(800, "kb")))
+			incoming, outgoing := map[string]int{}, map[string]int{}
 			for k, src := range f.transfers {
-				in[k.Box]++
-				from[src]++
+				incoming[k.Box]++
+				outgoing[src]++
 			}
-			for _, c := range cmds {
+			for _, c := range commands {
 				k := Key{c.Title, c.Box}
 				x := f.disks[c.Box][c.Title]
 				if c.Kind == Fetch {
@@ -352,7 +352,7 @@
 						t.Fatalf("%+v: whole already, or no whole source", c)
 					}
 					if f.transfers[k] == "" {
-						in[c.Box]++
+						incoming[c.Box]++
 					}
 				} else if x.Complete {
 					left := 0
@@ -374,7 +374,7 @@
 					f.manager.HandleAnswer(c, Failed, f.now)
 				}
 			}
-			for id, n := range in {
+			for id, n := range incoming {
 				if n > f.manager.MaxConcurrent+1 { // one whose command was lost may run beside
 					t.Fatalf("%s makes %d copies", id, n)
 				}
--- a/internal/mapping/mapping_test.go
+++ b/internal/mapping/mapping_test.go
@@ -14,7 +14,7 @@
 )
 
 // fleet is boxes in racks and zones, titles wanted by Zipf's law, each disk holding a part of them.
-func newTestFleet(boxes, titles int, zipf, part float64) ([]Box, []Title) {
+func newTestFleet(boxes, titles int, zipf, diskShare float64) ([]Box, []Title) {
 	var bs []Box
 	var ts []Title
 	sum := 0.0
@@ -23,7 +23,7 @@
 	}
 	links := 0.0
 	for i := range boxes {
-		b := Box{ID: fmt.Sprintf("b%03d", i), Zone: i % 3, Rack: i / 4, Cell: i, LinkCapacity: float64(4000 + 2000*(i%3)), FreeStreams: 40, DiskCapacity: part * float64(titles) * 100}
+		b := Box{ID: fmt.Sprintf("b%03d", i), Zone: i % 3, Rack: i / 4, Cell: i, LinkCapacity: float64(4000 + 2000*(i%3)), FreeStreams: 40, DiskCapacity: diskShare * float64(titles) * 100}
 		links += b.LinkCapacity
 		bs = append(bs, b)
 	}
@@ -38,8 +38,8 @@
 func TestPlacementsOfDoublePTreePaper(t *testing.T) {
 	for _, zipf := range []float64{0.7, 0.8, 1} {
 		boxes, titles := newTestFleet(63, 100, zipf, 0.2)
-		seq, heu := Sequential(boxes, titles), Heuristic(boxes, titles)
-		for name, m := range map[string]Placement{"sequential": seq, "heuristic": heu} {
+		sequential, heuristic := Sequential(boxes, titles), Heuristic(boxes, titles)
+		for name, m := range map[string]Placement{"sequential": sequential, "heuristic": heuristic} {
 			used := map[string]float64{}
 			for _, x := range titles {
 				if len(m[x.Name]) == 0 {
@@ -55,7 +55,7 @@
 				}
 			}
 		}
-		far, near := MeanDistance(boxes, titles, seq), MeanDistance(boxes, titles, heu)
+		far, near := MeanDistance(boxes, titles, sequential), MeanDistance(boxes, titles, heuristic)
 		if near >= far {
 			t.Errorf("Zipf %v: mean distance %.3f by the heuristic, %.3f in sequence", zipf, near, far)
 		}
@@ -63,15 +63,15 @@
 	}
 }
 
-func newTitleDemands(boxes []Box, peaksN, titles int, span int, rate float64) ([]TitleDemand, []peaks.Demand, *peaks.Fleet) {
+func newTitleDemands(boxes []Box, peakCount, titles int, span int, rate float64) ([]TitleDemand, []peaks.Demand, *peaks.Fleet) {
 	f := &peaks.Fleet{Uplinks: make([]float64, len(boxes)/4+1), Cells: len(boxes), Edges: 300, Ladder: []float64{260, 460, 810, 1440, 2540},
 		RungWorths: []float64{0.17, 0.41, 0.61, 0.81, 1}, Classes: []peaks.Class{{RateFactor: 1.2, TopRung: 4, Worth: 2}, {RateFactor: 0.7, TopRung: 3, Worth: 1}}}
 	for _, b := range boxes {
 		f.Boxes = append(f.Boxes, peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, LinkCapacity: b.LinkCapacity, MaxStreams: 30, LinkLoad: b.LinkLoad, ActiveSessions: 5, RampShare: 1})
 	}
-	var hours []TitleDemand
+	var titleDemands []TitleDemand
 	var demands []peaks.Demand
-	for p := range peaksN {
+	for p := range peakCount {
 		for i := range titles {
 			d := peaks.Demand{Peak: fmt.Sprint("p", p), Title: fmt.Sprintf("t%d-%d", p, i), Sessions: rate, Worth: 2}
 			for k := range span {
@@ -79,12 +79,12 @@
 			}
 			slices.Sort(d.Holders)
 			r := f.EvenShareRung(&d)
-			hours = append(hours, TitleDemand{Peak: d.Peak, Title: d.Title, Size: 360_000, Rate: rate * f.Ladder[r] * 1.2, Sessions: rate, Worth: rate * 2 * f.RungWorths[r],
+			titleDemands = append(titleDemands, TitleDemand{Peak: d.Peak, Title: d.Title, Size: 360_000, Rate: rate * f.Ladder[r] * 1.2, Sessions: rate, Worth: rate * 2 * f.RungWorths[r],
 				DurationSeconds: 90, Zone: -1, Holders: d.Holders})
 			demands = append(demands, d)
 		}
 	}
-	return hours, demands, f
+	return titleDemands, demands, f
 }
 
 func bounds() Bounds {
@@ -106,29 +106,29 @@
 	for i := range boxes {
 		boxes[i].LinkLoad = boxes[i].LinkCapacity / 2
 	}
-	hours, demands, f := newTitleDemands(boxes, 1, 3, 4, 40)
-	full := ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute)
+	titleDemands, demands, f := newTitleDemands(boxes, 1, 3, 4, 40)
+	full := ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute)
 	if len(full.Copies) == 0 || full.BestValue <= full.NoCopiesValue || full.BestValue < full.GreedyValue {
 		t.Errorf("choice %+v", full)
 	}
-	again := ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute)
+	again := ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute)
 	if !slices.Equal(again.Copies, full.Copies) {
 		t.Error("another choice for the same input")
 	}
-	soon, dear, few := bounds(), bounds(), hours
-	soon.SecondsUntilPeak, dear.PricePerKB = 10, 1
-	few = slices.Clone(hours)
-	for i := range few {
-		few[i].Rate, few[i].Sessions, few[i].Worth = 100, 1, 1
+	soon, expensive, lowDemands := bounds(), bounds(), titleDemands
+	soon.SecondsUntilPeak, expensive.PricePerKB = 10, 1
+	lowDemands = slices.Clone(titleDemands)
+	for i := range lowDemands {
+		lowDemands[i].Rate, lowDemands[i].Sessions, lowDemands[i].Worth = 100, 1, 1
 	}
-	none := map[string]float64{}
+	noDisk := map[string]float64{}
 	for name, c := range map[string]Choice{
-		"too soon":     ChooseCopies(f, demands, hours, boxes, disks(boxes), soon, "lp", time.Now, time.Minute),
-		"too dear":     ChooseCopies(f, demands, hours, boxes, disks(boxes), dear, "lp", time.Now, time.Minute),
-		"room enough":  ChooseCopies(f, demands, few, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute),
-		"disks full":   ChooseCopies(f, demands, hours, boxes, none, bounds(), "lp", time.Now, time.Minute),
-		"no time left": ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), "lp", steppingClock(time.Hour), time.Second),
-		"told not to":  ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), "none", time.Now, time.Minute),
+		"too soon":     ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), soon, "lp", time.Now, time.Minute),
+		"too dear":     ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), expensive, "lp", time.Now, time.Minute),
+		"room enough":  ChooseCopies(f, demands, lowDemands, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute),
+		"disks full":   ChooseCopies(f, demands, titleDemands, boxes, noDisk, bounds(), "lp", time.Now, time.Minute),
+		"no time left": ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), bounds(), "lp", steppingClock(time.Hour), time.Second),
+		"told not to":  ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), bounds(), "none", time.Now, time.Minute),
 	} {
 		if len(c.Copies) != 0 || c.Method != "none" {
 			t.Errorf("%s: %+v", name, c)
@@ -153,17 +153,17 @@
 			boxes[i].FreeStreams = float64(rapid.IntRange(0, 30).Draw(t, "streams"))
 			free[boxes[i].ID] = float64(rapid.IntRange(0, 3).Draw(t, "disk")) * 360_000
 		}
-		hours, _, _ := newTitleDemands(boxes, rapid.IntRange(1, 3).Draw(t, "peaks"), rapid.IntRange(1, 3).Draw(t, "titles"), 3, float64(rapid.IntRange(1, 80).Draw(t, "rate")))
+		titleDemands, _, _ := newTitleDemands(boxes, rapid.IntRange(1, 3).Draw(t, "peaks"), rapid.IntRange(1, 3).Draw(t, "titles"), 3, float64(rapid.IntRange(1, 80).Draw(t, "rate")))
 		b := bounds()
 		b.MaxCopiesPerTitle = rapid.IntRange(0, 6).Draw(t, "most")
 		used, made := map[string]float64{}, map[string]int{}
-		for _, c := range GreedyCopies(boxes, free, hours, b) {
-			i := slices.IndexFunc(hours, func(h TitleDemand) bool { return h.Title == c.Title })
-			if slices.Contains(hours[i].Holders, c.Box) || c.Gain <= c.Cost {
+		for _, c := range GreedyCopies(boxes, free, titleDemands, b) {
+			i := slices.IndexFunc(titleDemands, func(h TitleDemand) bool { return h.Title == c.Title })
+			if slices.Contains(titleDemands[i].Holders, c.Box) || c.Gain <= c.Cost {
 				t.Fatalf("%+v", c)
 			}
-			hours[i].Holders = append(hours[i].Holders, c.Box)
-			used[c.Box] += hours[i].Size
+			titleDemands[i].Holders = append(titleDemands[i].Holders, c.Box)
+			used[c.Box] += titleDemands[i].Size
 			if made[c.Title]++; made[c.Title] > b.MaxCopiesPerTitle || used[c.Box] > free[c.Box] {
 				t.Fatalf("%d copies of %s, %v kB at %s", made[c.Title], c.Title, used[c.Box], c.Box)
 			}
@@ -264,8 +264,8 @@
 			boxes[i].DiskCapacity = stored[boxes[i].ID]
 			sum += boxes[i].DiskCapacity
 		}
-		heu := Heuristic(boxes, titles)
-		a, b := servedShare(t, boxes, titles, cells), servedShare(t, boxes, titles, heu)
+		heuristic := Heuristic(boxes, titles)
+		a, b := servedShare(t, boxes, titles, cells), servedShare(t, boxes, titles, heuristic)
 		t.Logf("Zipf %v: given of asked %.3f by cell and span, %.3f by the map (%+.1f%%), storage %.0f", zipf, a, b, 100*(b/a-1), sum)
 		if b < a {
 			t.Errorf("Zipf %v: the map gives less", zipf)
@@ -278,17 +278,17 @@
 	for _, b := range boxes {
 		f.Boxes = append(f.Boxes, peaks.Box{ID: b.ID, Rack: b.Rack, LinkCapacity: b.LinkCapacity / peaks.MaxUtilization, MaxStreams: 1e9, RampShare: 1})
 	}
-	var ds []peaks.Demand
-	asked := 0.0
+	var demands []peaks.Demand
+	requested := 0.0
 	for _, x := range titles {
-		ds = append(ds, peaks.Demand{Peak: "all", Title: x.Name, Sessions: x.Demand, Worth: 1, Holders: append([]string{}, m[x.Name]...)})
-		asked += x.Demand
+		demands = append(demands, peaks.Demand{Peak: "all", Title: x.Name, Sessions: x.Demand, Worth: 1, Holders: append([]string{}, m[x.Name]...)})
+		requested += x.Demand
 	}
-	p, err := peaks.SolveLP(f, ds)
+	p, err := peaks.SolveLP(f, demands)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p.Value / asked
+	return p.Value / requested
 }
 
 func BenchmarkChooseCopies(b *testing.B) {
@@ -296,12 +296,12 @@
 	for i := range boxes {
 		boxes[i].LinkLoad = boxes[i].LinkCapacity / 2
 	}
-	hours, demands, f := newTitleDemands(boxes, 20, 3, 4, 30)
-	for _, way := range []string{"greedy", "lp"} {
-		b.Run(way, func(b *testing.B) {
+	titleDemands, demands, f := newTitleDemands(boxes, 20, 3, 4, 30)
+	for _, method := range []string{"greedy", "lp"} {
+		b.Run(method, func(b *testing.B) {
 			var c Choice
 			for b.Loop() {
-				c = ChooseCopies(f, demands, hours, boxes, disks(boxes), bounds(), way, time.Now, time.Minute)
+				c = ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), bounds(), method, time.Now, time.Minute)
 			}
 			b.ReportMetric(float64(len(c.Copies)), "copies")
 			b.ReportMetric(c.BestValue, "worth/s")
--- a/internal/peaks/peaks_test.go
+++ b/internal/peaks/peaks_test.go
@@ -40,22 +40,22 @@
 		}
 	}
 	b := NewAnnouncementStore()
-	say := func(want bool, wrong string, change func(*Announcement)) {
+	announce := func(want bool, wantError string, change func(*Announcement)) {
 		t.Helper()
 		a := testAnnouncement()
 		change(&a)
 		changed, err := b.Announce(a, knownNames, now)
-		if changed != want || (err != nil) != (wrong != "") {
+		if changed != want || (err != nil) != (wantError != "") {
 			t.Errorf("%+v: %v %v", a, changed, err)
 		}
 	}
-	say(true, "", func(*Announcement) {})
-	say(false, "", func(*Announcement) {})
-	say(false, "same version, another content", func(a *Announcement) { a.Rate = 11 })
-	say(true, "", func(a *Announcement) { a.Version, a.Rate = 3, 12 })
-	say(false, "", func(a *Announcement) { a.Version = 2 })
-	say(true, "", func(a *Announcement) { a.Version, a.Cancelled = 4, true })
-	say(false, "", func(a *Announcement) { a.Version = 3 })
+	announce(true, "", func(*Announcement) {})
+	announce(false, "", func(*Announcement) {})
+	announce(false, "same version, another content", func(a *Announcement) { a.Rate = 11 })
+	announce(true, "", func(a *Announcement) { a.Version, a.Rate = 3, 12 })
+	announce(false, "", func(a *Announcement) { a.Version = 2 })
+	announce(true, "", func(a *Announcement) { a.Version, a.Cancelled = 4, true })
+	announce(false, "", func(a *Announcement) { a.Version = 3 })
 	if a, _ := b.Get("p"); !a.Cancelled {
 		t.Error("an older version brought a cancelled peak back")
 	}
@@ -115,7 +115,7 @@
 }
 
 // check finds what a plan breaks.
-func checkLimits(f *Fleet, demands []Demand, p *Plan, mayTake bool) error {
+func checkLimits(f *Fleet, demands []Demand, p *Plan, mayStepDown bool) error {
 	link, streams, rack, count := map[string]float64{}, map[string]float64{}, map[int]float64{}, map[string]float64{}
 	box := map[string]*Box{}
 	for i := range f.Boxes {
@@ -133,20 +133,20 @@
 			}
 		}
 	}
-	take := 0.0
-	if mayTake {
-		take = maxStepDownShare
+	stepDownShare := 0.0
+	if mayStepDown {
+		stepDownShare = maxStepDownShare
 	}
 	busy := map[int]float64{}
 	for id, b := range box {
 		kb, n := b.freeCapacity()
-		if link[id] > kb+take*b.LinkLoad+1 || streams[id] > n+1e-3 {
+		if link[id] > kb+stepDownShare*b.LinkLoad+1 || streams[id] > n+1e-3 {
 			return fmt.Errorf("%s: %v kB/s of %v, %v streams of %v", id, link[id], kb, streams[id], n)
 		}
 		busy[b.Rack] += b.LinkLoad
 	}
 	for r, kb := range rack {
-		if kb > max(MaxUtilization*f.Uplinks[r]-busy[r], 0)+take*busy[r]+1 {
+		if kb > max(MaxUtilization*f.Uplinks[r]-busy[r], 0)+stepDownShare*busy[r]+1 {
 			return fmt.Errorf("rack %d: %v kB/s", r, kb)
 		}
 	}
