--- a/internal/copies/copies.go
+++ b/internal/copies/copies.go
@@ -116,8 +116,8 @@
 }
 
 // New makes one that knows nothing.
-func New(r Config) *Manager {
-	return &Manager{Config: r, boxes: map[string]*boxState{}, titles: map[string]*Title{}, extraCopies: map[Key]bool{}, jobs: map[Key]*copyJob{},
+func New(config Config) *Manager {
+	return &Manager{Config: config, boxes: map[string]*boxState{}, titles: map[string]*Title{}, extraCopies: map[Key]bool{}, jobs: map[Key]*copyJob{},
 		withdrawnAt: map[Key]int64{}, dropSentAt: map[Key]int64{}}
 }
 
--- a/internal/copies/copies_test.go
+++ b/internal/copies/copies_test.go
@@ -45,25 +45,25 @@
 func (f *testFleet) reportAll() {
 	f.manager.SetBoxes(f.boxes)
 	for id, d := range f.disks {
-		inv := Inventory{FreeDisk: f.freeDisk[id], Copies: map[string]Copy{}}
+		inventory := Inventory{FreeDisk: f.freeDisk[id], Copies: map[string]Copy{}}
 		for t, c := range d {
-			inv.Copies[t] = *c
+			inventory.Copies[t] = *c
 		}
-		f.manager.HandleInventory(id, inv, f.now)
+		f.manager.HandleInventory(id, inventory, f.now)
 	}
 }
 
 // step passes time, moves copies by some kB and carries out commands.
 func (f *testFleet) step(ms int64, kb float64) []Command {
 	f.now += ms
-	for k, from := range f.transfers {
+	for k, sourceBox := range f.transfers {
 		c := f.disks[k.Box][k.Title]
-		src := f.disks[from][k.Title]
+		source := f.disks[sourceBox][k.Title]
 		if c == nil || !c.InProgress {
 			delete(f.transfers, k)
 			continue
 		}
-		if src == nil || !src.Complete {
+		if source == nil || !source.Complete {
 			c.InProgress, c.Error = false, "source gone"
 			delete(f.transfers, k)
 			continue
@@ -83,25 +83,25 @@
 	return out
 }
 
-func (f *testFleet) execute(c Command) Answer {
-	k, d := Key{c.Title, c.Box}, f.disks[c.Box]
-	if c.Kind == Drop {
-		if x := d[c.Title]; x != nil && x.Sessions > 0 {
+func (f *testFleet) execute(command Command) Answer {
+	k, disk := Key{command.Title, command.Box}, f.disks[command.Box]
+	if command.Kind == Drop {
+		if copied := disk[command.Title]; copied != nil && copied.Sessions > 0 {
 			return InUse
 		}
-		delete(d, c.Title)
+		delete(disk, command.Title)
 		delete(f.transfers, k)
 		f.drops++
 		return Accepted
 	}
-	if d[c.Title] == nil {
-		if f.freeDisk[c.Box] < c.Size {
+	if disk[command.Title] == nil {
+		if f.freeDisk[command.Box] < command.Size {
 			return NoSpace
 		}
-		d[c.Title] = &Copy{Size: c.Size}
+		disk[command.Title] = &Copy{Size: command.Size}
 	}
-	d[c.Title].InProgress, d[c.Title].Error = true, ""
-	f.transfers[k] = c.Source
+	disk[command.Title].InProgress, disk[command.Title].Error = true, ""
+	f.transfers[k] = command.Source
 	return Accepted
 }
 
