--- a/internal/copies/copies.go
+++ b/internal/copies/copies.go
@@ -1,9 +1,10 @@
-// Package copies looks after which box holds which title: it has copies made, counts them as holders once
-// their box says that they are whole, and has them dropped when nobody needs them. It does no I/O and
-// reads no clock; times are Unix milliseconds, sizes kB, rates kB/s.
+// Package copies manages which box holds which title. It commands boxes to fetch missing copies, publishes a copy as
+// a holder once its box reports it complete, and commands boxes to drop copies that are no longer needed. It does no
+// I/O and reads no clock; times are Unix milliseconds, sizes kB, rates kB/s.
 //
-// Never: a copy that is not whole is published; a title is dropped below its stated copies, or while a
-// session plays it there, or sooner than Grace after edges were told no more of that holder.
+// Invariants: an incomplete copy is never published. A copy is never dropped if that leaves the title with fewer than
+// MinCopies, while a session plays it on that box, or less than DropGrace after it was withdrawn from the holders
+// that edges receive.
 package copies
 
 import (
@@ -13,61 +14,61 @@
 	"time"
 )
 
-// Rules of a manager.
+// Config holds the limits and timeouts of a Manager.
 type Config struct {
-	MinCopies       int           // whole copies that a title keeps, at boxes that take new work
-	MaxConcurrent   int           // copies that a box makes, or is the source of, at once
-	LinkShare       float64       // of a box's link that copying may take
-	DropGrace       time.Duration // from "told no more" to a drop: lists are late, and set-ups are out
-	ProgressTimeout time.Duration // without progress so long, another source is tried
-	Backoff         time.Duration // after a failure, doubled each time up to 16 times
+	MinCopies       int           // complete copies that a title keeps on boxes that accept new work
+	MaxConcurrent   int           // copies that a box may receive, and may serve as a source, at once
+	LinkShare       float64       // share of a box's link that copying may use
+	DropGrace       time.Duration // from withdrawal to drop: lists arrive late, and set-ups are in flight
+	ProgressTimeout time.Duration // without progress for this long, another source is tried
+	Backoff         time.Duration // delay after a failure; doubles with each failure, up to 16 times this
 }
 
-// Title is a title's size, and where it lies at rest.
+// Title is a title's size and the boxes of its permanent copies.
 type Title struct {
 	Name           string
 	Size           float64
 	PermanentBoxes []string
 }
 
-// Copy is what a box says of one title.
+// Copy is the state of one title on a box, as the box reports it.
 type Copy struct {
 	Complete   bool
 	InProgress bool
 	Copied     float64
 	Size       float64
-	Sessions   int    // sessions of it, set-ups too
-	Error      string // why copying stopped
+	Sessions   int    // sessions that play it, including set-ups
+	Error      string // why the transfer stopped
 }
 
-// Inventory is what a box says of all its titles.
+// Inventory is a box's report of all its titles.
 type Inventory struct {
 	BootID   string
 	FreeDisk float64
 	Copies   map[string]Copy
 }
 
-// Box is what the fleet's watch says of a box.
+// Box is the state of a box as the fleet monitor has it.
 type Box struct {
 	ID           string
-	Ready        bool // takes new work
+	Ready        bool // accepts new work
 	LinkCapacity float64
 	LinkLoad     float64
 }
 
-// Key is a title at a box.
+// Key identifies the copy of a title on a box.
 type Key struct{ Title, Box string }
 
-// Kind of a command.
+// CommandKind says what a command makes a box do.
 type CommandKind int
 
-// Kinds of commands.
+// The kinds of commands.
 const (
 	Fetch CommandKind = iota + 1
 	Drop
 )
 
-// Command is what a box should be told.
+// Command is an instruction for a box.
 type Command struct {
 	Kind       CommandKind
 	Title, Box string
@@ -75,16 +76,16 @@
 	Rate, Size float64
 }
 
-// Answer is what a box said to a command.
+// Answer is a box's answer to a command.
 type Answer int
 
-// Answers of boxes.
+// The answers of boxes.
 const (
 	Accepted   Answer = iota + 1
-	NoSpace           // its disk is full
-	InUse             // sessions play it: not dropped
-	Failed            // no connection, or anything else
-	Superseded        // it obeys a planner with a higher epoch
+	NoSpace           // the disk is full
+	InUse             // not dropped, as sessions play the title
+	Failed            // no connection, or any other failure
+	Superseded        // the box follows a planner with a higher epoch
 )
 
 type boxState struct {
@@ -96,42 +97,42 @@
 type copyJob struct {
 	source         string
 	copied         float64
-	lastProgressAt int64 // last progress
+	lastProgressAt int64 // time of the last progress
 	failures       int
-	retryAt        int64 // no new try before
+	retryAt        int64 // not retried before this time
 	running        bool
-	sentAt         int64 // the command went out
+	sentAt         int64 // time at which the command was sent
 }
 
-// Manager looks after all copies.
+// Manager tracks the copies of all titles and decides which to fetch and which to drop.
 type Manager struct {
 	Config
 	boxes       map[string]*boxState
 	titles      map[string]*Title
 	extraCopies map[Key]bool
 	jobs        map[Key]*copyJob
-	withdrawnAt map[Key]int64 // told no more since
-	dropSentAt  map[Key]int64 // drop sent
+	withdrawnAt map[Key]int64 // time at which the copy was withdrawn from the holders
+	dropSentAt  map[Key]int64 // time at which the drop was sent
 	superseded  bool
 }
 
-// New makes one that knows nothing.
+// New returns a Manager without boxes and titles.
 func New(config Config) *Manager {
-	return &Manager{Config: config, boxes: map[string]*boxState{}, titles: map[string]*Title{}, extraCopies: map[Key]bool{}, jobs: map[Key]*copyJob{},
-		withdrawnAt: map[Key]int64{}, dropSentAt: map[Key]int64{}}
+	return &Manager{Config: config, boxes: map[string]*boxState{}, titles: map[string]*Title{},
+		extraCopies: map[Key]bool{}, jobs: map[Key]*copyJob{}, withdrawnAt: map[Key]int64{}, dropSentAt: map[Key]int64{}}
 }
 
-// SetTitle tells a title, or its change.
+// SetTitle adds or replaces a title.
 func (m *Manager) SetTitle(t Title) {
 	t.PermanentBoxes = slices.Clone(t.PermanentBoxes)
 	m.titles[t.Name] = &t
 }
 
-// RemoveTitle forgets a title: its copies are told no more, and dropped.
+// RemoveTitle removes a title. Its copies are withdrawn and then dropped.
 func (m *Manager) RemoveTitle(name string) { delete(m.titles, name) }
 
-// SetBoxes tells the fleet. A box that is not named is gone; what it said of its copies is not believed
-// any longer, as it may come back without them.
+// SetBoxes replaces the list of boxes. A box that is not listed is removed together with its inventory, because it
+// may return without its copies.
 func (m *Manager) SetBoxes(list []Box) {
 	listed := map[string]bool{}
 	for _, b := range list {
@@ -149,7 +150,7 @@
 	}
 }
 
-// Want replaces the copies that are wanted beyond those at rest.
+// SetExtraCopies replaces the copies that are wanted in addition to the permanent ones.
 func (m *Manager) SetExtraCopies(keys []Key) {
 	clear(m.extraCopies)
 	for _, k := range keys {
@@ -157,7 +158,7 @@
 	}
 }
 
-// Saw takes a box's inventory.
+// HandleInventory processes a box's inventory: it updates the running copy jobs and confirms drops.
 func (m *Manager) HandleInventory(id string, inventory Inventory, now int64) {
 	state := m.boxes[id]
 	if state == nil {
@@ -178,7 +179,7 @@
 		if present && c.InProgress || c.Complete {
 			continue
 		}
-		if now-j.sentAt > time.Second.Milliseconds() { // an inventory from before the command says nothing of it
+		if now-j.sentAt > time.Second.Milliseconds() { // an inventory taken before the command does not show its effect
 			j.recordFailure(now, m.Backoff)
 		}
 	}
@@ -195,13 +196,14 @@
 	}
 }
 
+// recordFailure stops the job and sets the time of its next attempt.
 func (j *copyJob) recordFailure(now int64, backoff time.Duration) {
 	j.running = false
 	j.failures++
 	j.retryAt = now + backoff.Milliseconds()<<min(j.failures-1, 4)
 }
 
-// Answered takes a box's answer to a command.
+// HandleAnswer processes a box's answer to a command.
 func (m *Manager) HandleAnswer(command Command, answer Answer, now int64) {
 	k := Key{command.Title, command.Box}
 	if answer == Superseded {
@@ -209,7 +211,7 @@
 	}
 	if command.Kind == Drop {
 		if answer != Accepted {
-			delete(m.dropSentAt, k) // it stays told no more, and is tried again
+			delete(m.dropSentAt, k) // the copy stays withdrawn, and the drop is tried again
 			if _, ok := m.withdrawnAt[k]; ok {
 				m.withdrawnAt[k] = max(m.withdrawnAt[k], now-m.DropGrace.Milliseconds()+m.Backoff.Milliseconds())
 			}
@@ -224,28 +226,28 @@
 	}
 }
 
-// Outdated tells that a box obeys a later planner: this one commands no more.
+// Superseded reports whether a box follows a planner with a higher epoch. The manager then issues no more commands.
 func (m *Manager) Superseded() bool { return m.superseded }
 
-// wanted tells whether a title should lie at a box.
+// isWanted reports whether a title should have a copy on a box.
 func (m *Manager) isWanted(k Key) bool {
 	t := m.titles[k.Title]
 	return t != nil && (m.extraCopies[k] || slices.Contains(t.PermanentBoxes, k.Box))
 }
 
-// whole tells a copy that its box says is whole.
+// isComplete reports whether the box reported the copy as complete.
 func (m *Manager) isComplete(k Key) bool {
 	b := m.boxes[k.Box]
 	return b != nil && b.reported && b.inventory.Copies[k.Title].Complete
 }
 
-// told tells a holder that is published.
+// isPublished reports whether a copy is published as a holder of its title.
 func (m *Manager) isPublished(k Key) bool {
 	_, withdrawn := m.withdrawnAt[k]
 	return m.isComplete(k) && !withdrawn && m.titles[k.Title] != nil
 }
 
-// Holders are a title's holders for edges, in order.
+// Holders returns the sorted IDs of the boxes that are published to edges as holders of a title.
 func (m *Manager) Holders(title string) []string {
 	out := []string{}
 	for id := range m.boxes {
@@ -257,7 +259,7 @@
 	return out
 }
 
-// ready are the told holders that take new work.
+// countReadyHolders counts the published holders other than exceptBox that accept new work.
 func (m *Manager) countReadyHolders(title string, exceptBox string) (n int) {
 	for id, b := range m.boxes {
 		if id != exceptBox && b.Ready && m.isPublished(Key{title, id}) {
@@ -267,8 +269,8 @@
 	return n
 }
 
-// Known tells whether every box that takes work has said what it holds. Before that a list of holders
-// would hide holders.
+// AllReported reports whether every box that accepts work has sent an inventory. Before that, a list of holders would
+// be incomplete.
 func (m *Manager) AllReported() bool {
 	for _, b := range m.boxes {
 		if b.Ready && !b.reported {
@@ -278,7 +280,7 @@
 	return true
 }
 
-// Step works out what boxes should be told now. Each command counts as sent; its answer comes by Answered.
+// NextCommands returns the commands to send now. Each is recorded as sent; pass its answer to HandleAnswer.
 func (m *Manager) NextCommands(now int64) []Command {
 	if m.superseded || !m.AllReported() {
 		return nil
@@ -287,8 +289,9 @@
 	return append(m.dropCommands(now), m.fetchCommands(now)...)
 }
 
-// retire settles which whole copies are told no more. One that was told no more is told again when it is
-// wanted again or its title would fall below its stated copies, unless its drop is out already.
+// updateWithdrawn decides which complete copies are withdrawn from the published holders. A withdrawn copy is
+// published again when it is wanted again or its title would have fewer than MinCopies, unless its drop was already
+// sent.
 func (m *Manager) updateWithdrawn(now int64) {
 	for _, k := range slices.SortedFunc(maps.Keys(m.withdrawnAt), compareKeys) {
 		if _, sent := m.dropSentAt[k]; sent || m.titles[k.Title] == nil {
@@ -306,7 +309,7 @@
 			m.withdrawnAt[k] = now
 		}
 	}
-	for _, k := range m.reportedKeys() { // of a title that is no more
+	for _, k := range m.reportedKeys() { // copies of removed titles
 		if _, withdrawn := m.withdrawnAt[k]; !withdrawn && m.titles[k.Title] == nil && m.isComplete(k) {
 			m.withdrawnAt[k] = now
 		}
@@ -317,7 +320,7 @@
 	return cmp.Or(cmp.Compare(a.Title, b.Title), cmp.Compare(a.Box, b.Box))
 }
 
-// all is every copy that a box told of, in order.
+// reportedKeys returns every copy that a box reported, sorted.
 func (m *Manager) reportedKeys() (out []Key) {
 	for id, b := range m.boxes {
 		for t := range b.inventory.Copies {
@@ -328,8 +331,9 @@
 	return out
 }
 
-const dropRetryMs = 5000 // ms: a drop whose effect is not seen is sent again
+const dropRetryMs = 5000 // a drop is sent again after 5 s if the inventory still shows the copy
 
+// dropCommands returns the drops that may be sent now.
 func (m *Manager) dropCommands(now int64) (out []Command) {
 	for _, k := range m.reportedKeys() {
 		c := m.boxes[k.Box].inventory.Copies[k.Title]
@@ -342,7 +346,7 @@
 			continue
 		case c.Complete && m.titles[k.Title] != nil && m.countReadyHolders(k.Title, k.Box) < m.MinCopies:
 			continue
-		case !c.Complete && (m.isWanted(k) || c.Sessions > 0): // half a copy that nobody wants any more
+		case !c.Complete && (m.isWanted(k) || c.Sessions > 0): // an incomplete copy that is no longer wanted is dropped
 			continue
 		}
 		delete(m.jobs, k)
@@ -352,7 +356,7 @@
 	return out
 }
 
-// fetches starts the copies that are wanted and missing, those of titles with fewest holders first.
+// fetchCommands starts the copies that are wanted and missing, beginning with the titles with the fewest holders.
 func (m *Manager) fetchCommands(now int64) (out []Command) {
 	incoming, outgoing := map[string]int{}, map[string]int{}
 	for k, job := range m.jobs {
@@ -362,7 +366,7 @@
 		}
 		if job.running && now-max(job.lastProgressAt, job.sentAt) > m.ProgressTimeout.Milliseconds() {
 			job.recordFailure(now, m.Backoff)
-			job.retryAt = now // another source at once
+			job.retryAt = now // retry immediately from another source
 		}
 		if job.running {
 			incoming[k.Box]++
@@ -382,7 +386,8 @@
 		if job != nil && (job.running || now < job.retryAt) || concurrent >= m.MaxConcurrent {
 			continue
 		}
-		if _, started := state.inventory.Copies[k.Title]; !started && title.Size > state.inventory.FreeDisk { // what is begun has its room already
+		// A started copy already has its disk space.
+		if _, started := state.inventory.Copies[k.Title]; !started && title.Size > state.inventory.FreeDisk {
 			continue
 		}
 		lastSource := ""
@@ -397,16 +402,18 @@
 			job = &copyJob{}
 			m.jobs[k] = job
 		}
-		job.source, job.running, job.sentAt, job.lastProgressAt, job.copied = source.ID, true, now, now, state.inventory.Copies[k.Title].Copied
+		job.source, job.running, job.sentAt, job.lastProgressAt, job.copied = source.ID, true, now, now,
+			state.inventory.Copies[k.Title].Copied
 		incoming[k.Box] = concurrent + 1
 		outgoing[source.ID]++
-		out = append(out, Command{Fetch, k.Title, k.Box, source.ID, m.LinkShare * min(source.LinkCapacity, state.LinkCapacity) / float64(m.MaxConcurrent), title.Size})
+		out = append(out, Command{Fetch, k.Title, k.Box, source.ID,
+			m.LinkShare * min(source.LinkCapacity, state.LinkCapacity) / float64(m.MaxConcurrent), title.Size})
 	}
 	return out
 }
 
-// unled are copies that boxes say they are making and that no running job stands for: commands that ran though their
-// answers were lost. Left out of the count, each of them would let a box make one more copy than it should.
+// untrackedCopies returns the copies that boxes report as in progress and that have no running job: their commands were
+// carried out but the answers were lost. If they were not counted, a box would make more copies than MaxConcurrent.
 func (m *Manager) untrackedCopies() map[Key]bool {
 	out := map[Key]bool{}
 	for id, b := range m.boxes {
@@ -420,7 +427,7 @@
 	return out
 }
 
-// missing is what is wanted at boxes that take work and is not whole there.
+// missingCopies returns the wanted copies that are not complete, on boxes that accept work.
 func (m *Manager) missingCopies() (out []Key) {
 	for name, t := range m.titles {
 		for _, id := range t.PermanentBoxes {
@@ -443,12 +450,15 @@
 			holders[k.Title] = m.countReadyHolders(k.Title, "")
 		}
 	}
-	slices.SortFunc(out, func(a, b Key) int { return cmp.Or(cmp.Compare(holders[a.Title], holders[b.Title]), compareKeys(a, b)) })
+	slices.SortFunc(out, func(a, b Key) int {
+		return cmp.Or(cmp.Compare(holders[a.Title], holders[b.Title]), compareKeys(a, b))
+	})
 	return out
 }
 
-// source is the told holder with most room on its link; not the last one tried where there is another. One that
-// drains may be copied from, as what it holds is about to go; one that is hot only where all are.
+// chooseSource returns the published holder with the largest free share of its link, and avoids the last one tried if
+// there is another. A draining box may be a source, because its copies are about to disappear; an overloaded box is
+// chosen only if all holders are.
 func (m *Manager) chooseSource(k Key, lastSource string, outgoing map[string]int) (best *boxState) {
 	better := func(a, b *boxState) bool {
 		if (a.ID == lastSource) != (b.ID == lastSource) {
@@ -460,17 +470,18 @@
 		return a.ID < b.ID
 	}
 	for id, b := range m.boxes {
-		if id != k.Box && outgoing[id] < m.MaxConcurrent && m.isPublished(Key{k.Title, id}) && (best == nil || better(b, best)) {
+		if id != k.Box && outgoing[id] < m.MaxConcurrent && m.isPublished(Key{k.Title, id}) &&
+			(best == nil || better(b, best)) {
 			best = b
 		}
 	}
 	return best
 }
 
-// room is the part of a link that is free.
+// freeLinkShare is the share of the link that is not in use.
 func (b *boxState) freeLinkShare() float64 { return 1 - b.LinkLoad/max(b.LinkCapacity, 1e-9) }
 
-// Playing is how many sessions of each title play, by what boxes said last.
+// SessionsByTitle returns the number of sessions that play each title, by the boxes' last inventories.
 func (m *Manager) SessionsByTitle() map[string]float64 {
 	out := map[string]float64{}
 	for _, b := range m.boxes {
@@ -483,7 +494,8 @@
 	return out
 }
 
-// Free is what a box's disk has left for whole copies: what was begun there may be finished, or given up.
+// FreeDisk is the disk space of a box that is available for complete copies. The space of incomplete copies counts as
+// available, since they may be completed or dropped.
 func (m *Manager) FreeDisk(id string) (free float64) {
 	if b := m.boxes[id]; b != nil {
 		free = b.inventory.FreeDisk
@@ -496,7 +508,7 @@
 	return free
 }
 
-// Jobs is how many copies are under way.
+// RunningJobs returns the number of copies in progress.
 func (m *Manager) RunningJobs() (n int) {
 	for _, j := range m.jobs {
 		if j.running {
--- a/internal/copies/copies_test.go
+++ b/internal/copies/copies_test.go
@@ -11,23 +11,25 @@
 )
 
 func testConfig() Config {
-	return Config{MinCopies: 2, MaxConcurrent: 1, LinkShare: 0.2, DropGrace: 5 * time.Second, ProgressTimeout: 10 * time.Second, Backoff: time.Second}
+	return Config{MinCopies: 2, MaxConcurrent: 1, LinkShare: 0.2, DropGrace: 5 * time.Second,
+		ProgressTimeout: 10 * time.Second, Backoff: time.Second}
 }
 
-// fleet is a model of boxes that do what they are told, with faults.
+// testFleet simulates boxes that carry out commands, with faults that tests inject.
 type testFleet struct {
 	manager     *Manager
 	now         int64
 	boxes       []Box
 	disks       map[string]map[string]*Copy
 	freeDisk    map[string]float64
-	publishedAt map[Key]int64 // last moment at which a key was published
-	transfers   map[Key]string
+	publishedAt map[Key]int64  // last time at which a key was published
+	transfers   map[Key]string // source of each copy in progress
 	drops       int
 }
 
 func newTestFleet(n int) *testFleet {
-	f := &testFleet{manager: New(testConfig()), now: 1_000_000, disks: map[string]map[string]*Copy{}, freeDisk: map[string]float64{}, publishedAt: map[Key]int64{}, transfers: map[Key]string{}}
+	f := &testFleet{manager: New(testConfig()), now: 1_000_000, disks: map[string]map[string]*Copy{},
+		freeDisk: map[string]float64{}, publishedAt: map[Key]int64{}, transfers: map[Key]string{}}
 	for i := range n {
 		id := fmt.Sprint("b", i)
 		f.boxes = append(f.boxes, Box{ID: id, Ready: true, LinkCapacity: 1000, LinkLoad: float64(100 * i)})
@@ -36,12 +38,14 @@
 	return f
 }
 
+// addCopies puts complete copies of a title on boxes.
 func (f *testFleet) addCopies(title string, boxes ...string) {
 	for _, b := range boxes {
 		f.disks[b][title] = &Copy{Complete: true, Copied: 1000, Size: 1000}
 	}
 }
 
+// reportAll passes the state of all boxes to the manager.
 func (f *testFleet) reportAll() {
 	f.manager.SetBoxes(f.boxes)
 	for id, d := range f.disks {
@@ -53,7 +57,7 @@
 	}
 }
 
-// step passes time, moves copies by some kB and carries out commands.
+// step advances the time, transfers kb kB of each copy in progress, reports the inventories and returns the commands.
 func (f *testFleet) step(ms int64, kb float64) []Command {
 	f.now += ms
 	for k, sourceBox := range f.transfers {
@@ -83,6 +87,7 @@
 	return out
 }
 
+// execute carries out a command and returns the box's answer.
 func (f *testFleet) execute(command Command) Answer {
 	k, disk := Key{command.Title, command.Box}, f.disks[command.Box]
 	if command.Kind == Drop {
@@ -105,6 +110,7 @@
 	return Accepted
 }
 
+// run repeats step and carries out all commands.
 func (f *testFleet) run(steps int, ms int64, kb float64) {
 	for range steps {
 		for _, c := range f.step(ms, kb) {
@@ -120,13 +126,15 @@
 	}
 }
 
+// addTestTitle adds t0 with its permanent copies on b0 and b1.
 func addTestTitle(f *testFleet) {
 	f.addCopies("t0", "b0", "b1")
 	f.manager.SetTitle(Title{Name: "t0", Size: 1000, PermanentBoxes: []string{"b0", "b1"}})
 	f.run(1, 100, 0)
 }
 
-// A copy is a holder once it is whole, and given back when nobody wants it: told no more, then dropped after the grace.
+// A copy is published as a holder once it is complete. When it is no longer wanted, it is withdrawn and then dropped
+// after the grace period, but not while a session plays it.
 func TestCopyIsPublishedAndDropped(t *testing.T) {
 	f := newTestFleet(4)
 	addTestTitle(f)
@@ -140,7 +148,7 @@
 	f.checkHolders(t, "t0", "b0", "b1")
 	f.run(3, 1000, 0)
 	if f.disks["b2"]["t0"] == nil {
-		t.Error("dropped before the grace was over")
+		t.Error("dropped before the grace period was over")
 	}
 	f.disks["b2"]["t0"].Sessions = 1
 	f.run(5, 1000, 0)
@@ -150,63 +158,64 @@
 	f.disks["b2"]["t0"].Sessions = 0
 	f.run(6, 1000, 0)
 	if f.disks["b2"]["t0"] != nil || f.drops != 1 {
-		t.Errorf("not dropped, or %d times", f.drops)
+		t.Errorf("copy not dropped, or dropped %d times, want 1", f.drops)
 	}
 }
 
-// The hard cases of copying, each caused.
+// Faults and changes during a transfer: failures of the source and the target, cancellation, draining, a planner with a
+// higher epoch, and the removal of the title.
 func TestCopyFailures(t *testing.T) {
 	for name, c := range map[string]func(t *testing.T, f *testFleet){
-		"the source dies": func(t *testing.T, f *testFleet) {
+		"source fails": func(t *testing.T, f *testFleet) {
 			from := f.transfers[Key{"t0", "b2"}]
 			f.boxes = slices.DeleteFunc(f.boxes, func(b Box) bool { return b.ID == from })
 			delete(f.disks, from)
 			f.run(20, 1000, 300)
 			if !slices.Contains(f.manager.Holders("t0"), "b2") {
-				t.Error("not copied from another")
+				t.Error("not copied from another source")
 			}
 		},
-		"the source stalls": func(t *testing.T, f *testFleet) {
+		"source stalls": func(t *testing.T, f *testFleet) {
 			first := f.transfers[Key{"t0", "b2"}]
 			f.run(13, 1000, 0)
 			if now := f.transfers[Key{"t0", "b2"}]; now == first {
-				t.Errorf("still from %s", now)
+				t.Errorf("still copied from %s", now)
 			}
 		},
-		"the target dies at 99% and returns": func(t *testing.T, f *testFleet) {
+		"target fails at 99% and returns": func(t *testing.T, f *testFleet) {
 			f.disks["b2"]["t0"].Copied = 990
 			f.run(1, 100, 0)
 			f.disks["b2"]["t0"].InProgress = false
 			delete(f.transfers, Key{"t0", "b2"})
 			f.run(5, 1000, 10)
 			if !slices.Contains(f.manager.Holders("t0"), "b2") {
-				t.Errorf("half a copy not fetched again: %+v", f.disks["b2"]["t0"])
+				t.Errorf("incomplete copy not fetched again: %+v", f.disks["b2"]["t0"])
 			}
 		},
-		"the target dies, and the hour is cancelled": func(t *testing.T, f *testFleet) {
+		"target fails and peak is cancelled": func(t *testing.T, f *testFleet) {
 			f.disks["b2"]["t0"].InProgress = false
 			delete(f.transfers, Key{"t0", "b2"})
 			f.manager.SetExtraCopies(nil)
 			f.run(3, 1000, 0)
 			if f.disks["b2"]["t0"] != nil {
-				t.Error("half a copy that nobody wants stays")
+				t.Error("an incomplete copy that is not wanted was not dropped")
 			}
 		},
-		"cancelled mid-copy": func(t *testing.T, f *testFleet) {
+		"cancelled during the transfer": func(t *testing.T, f *testFleet) {
 			f.manager.SetExtraCopies(nil)
 			f.run(2, 1000, 100)
 			if f.disks["b2"]["t0"] != nil || f.manager.RunningJobs() != 0 {
-				t.Error("goes on copying")
+				t.Error("copying continues after the cancellation")
 			}
 		},
-		"the target drains": func(t *testing.T, f *testFleet) {
+		"target drains": func(t *testing.T, f *testFleet) {
 			f.boxes[2].Ready = false
 			f.run(8, 1000, 200)
 			if len(f.manager.Holders("t0")) != 3 || f.manager.countReadyHolders("t0", "") != 2 {
 				t.Errorf("holders %v", f.manager.Holders("t0"))
 			}
 		},
-		"a holder at rest dies while a copy is given back": func(t *testing.T, f *testFleet) {
+		"permanent holder fails while an extra copy is withdrawn": func(t *testing.T, f *testFleet) {
 			f.run(6, 1000, 300)
 			f.manager.SetExtraCopies(nil)
 			f.run(2, 1000, 0)
@@ -215,14 +224,14 @@
 			f.run(12, 1000, 0)
 			f.checkHolders(t, "t0", "b1", "b2")
 		},
-		"a later planner speaks": func(t *testing.T, f *testFleet) {
+		"planner with a higher epoch": func(t *testing.T, f *testFleet) {
 			f.manager.HandleAnswer(Command{Kind: Fetch, Title: "t0", Box: "b2"}, Superseded, f.now)
 			f.manager.SetExtraCopies(nil)
 			if got := f.step(1000, 0); got != nil || !f.manager.Superseded() {
-				t.Errorf("commands of an outdated planner: %v", got)
+				t.Errorf("commands of a superseded planner: %v", got)
 			}
 		},
-		"the title is removed": func(t *testing.T, f *testFleet) {
+		"title is removed": func(t *testing.T, f *testFleet) {
 			f.run(6, 1000, 300)
 			f.manager.RemoveTitle("t0")
 			f.run(1, 100, 0)
@@ -230,7 +239,7 @@
 			f.run(8, 1000, 0)
 			for id, d := range f.disks {
 				if d["t0"] != nil {
-					t.Errorf("still at %s", id)
+					t.Errorf("a copy remains on %s", id)
 				}
 			}
 		},
@@ -241,7 +250,7 @@
 			f.manager.SetExtraCopies([]Key{{"t0", "b2"}})
 			f.run(2, 1000, 100)
 			if f.manager.RunningJobs() != 1 {
-				t.Fatalf("%d copies under way", f.manager.RunningJobs())
+				t.Fatalf("%d copies in progress, want 1", f.manager.RunningJobs())
 			}
 			c(t, f)
 		})
@@ -252,7 +261,7 @@
 	overloaded.manager.SetExtraCopies([]Key{{"t0", "b2"}})
 	overloaded.run(1, 100, 0)
 	if from := overloaded.transfers[Key{"t0", "b2"}]; from != "b1" {
-		t.Errorf("copied from %q, the hot box", from)
+		t.Errorf("copied from %q, want b1: b0 is overloaded", from)
 	}
 	f := newTestFleet(3)
 	addTestTitle(f)
@@ -260,16 +269,17 @@
 	f.manager.SetExtraCopies([]Key{{"t0", "b2"}})
 	f.run(5, 1000, 100)
 	if f.manager.RunningJobs() != 0 {
-		t.Error("copied to a disk without room")
+		t.Error("copied to a disk without enough space")
 	}
 	f.boxes = append(f.boxes, Box{ID: "new", Ready: true, LinkCapacity: 1000})
 	f.manager.SetBoxes(f.boxes)
 	if f.manager.AllReported() || f.manager.NextCommands(f.now) != nil {
-		t.Error("acts before all boxes told what they hold")
+		t.Error("commands issued before all boxes reported their inventories")
 	}
 }
 
-// Commands that ran though their answers were lost count as copies that the box makes.
+// Transfers whose command was carried out but whose answer was lost count towards MaxConcurrent. Otherwise each of them
+// would let the box start one more copy.
 func TestCopiesWithLostAnswersAreCounted(t *testing.T) {
 	f := newTestFleet(5)
 	var keys []Key
@@ -285,16 +295,17 @@
 			f.manager.HandleAnswer(c, Failed, f.now)
 		}
 		if n := len(f.transfers); n > f.manager.MaxConcurrent {
-			t.Fatalf("b0 makes %d copies", n)
+			t.Fatalf("b0 receives %d copies at once", n)
 		}
 	}
 	if len(f.transfers) == 0 {
-		t.Error("nothing is copied")
+		t.Error("no copy was started")
 	}
 }
 
-// Whatever happens: only whole copies are told, none is dropped that edges may still use, that plays, or below the
-// stated copies; a box takes part in no more copies than it should.
+// Under any sequence of events, only complete copies are published, and no copy is dropped that edges may still use,
+// that a session plays, or without which the title has fewer than MinCopies. A box receives no more copies at once than
+// allowed.
 func TestCopyInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newTestFleet(5)
@@ -315,7 +326,7 @@
 				f.manager.SetExtraCopies(keys)
 			case 1:
 				f.boxes[draw(len(f.boxes), "box")].Ready = draw(2, "ready") == 1
-			case 2: // a box restarts: copies under way stop
+			case 2: // a box restarts: its transfers stop
 				id := fmt.Sprint("b", draw(5, "box"))
 				for k := range f.transfers {
 					if k.Box == id {
@@ -349,7 +360,7 @@
 				x := f.disks[c.Box][c.Title]
 				if c.Kind == Fetch {
 					if x != nil && x.Complete || !f.disks[c.Source][c.Title].Complete {
-						t.Fatalf("%+v: whole already, or no whole source", c)
+						t.Fatalf("%+v: the copy is complete already, or the source has no complete copy", c)
 					}
 					if f.transfers[k] == "" {
 						incoming[c.Box]++
@@ -361,8 +372,11 @@
 							left++
 						}
 					}
-					if x.Sessions > 0 || f.now-f.publishedAt[k] < f.manager.DropGrace.Milliseconds() && f.publishedAt[k] > 0 || left < f.manager.MinCopies {
-						t.Fatalf("%+v: playing %d, told %d ms ago, %d others left", c, x.Sessions, f.now-f.publishedAt[k], left)
+					if x.Sessions > 0 ||
+						f.now-f.publishedAt[k] < f.manager.DropGrace.Milliseconds() && f.publishedAt[k] > 0 ||
+						left < f.manager.MinCopies {
+						t.Fatalf("%+v: %d sessions, published %d ms ago, %d other copies left",
+							c, x.Sessions, f.now-f.publishedAt[k], left)
 					}
 				}
 				if draw(4, "lost") > 0 {
@@ -375,14 +389,14 @@
 				}
 			}
 			for id, n := range incoming {
-				if n > f.manager.MaxConcurrent+1 { // one whose command was lost may run beside
-					t.Fatalf("%s makes %d copies", id, n)
+				if n > f.manager.MaxConcurrent+1 { // a transfer whose answer was lost may run in addition
+					t.Fatalf("%s receives %d copies at once", id, n)
 				}
 			}
 			for _, name := range []string{"t0", "t1", "t2"} {
 				for _, b := range f.manager.Holders(name) {
 					if x := f.disks[b][name]; x == nil || !x.Complete {
-						t.Fatalf("%s told at %s: %+v", name, b, x)
+						t.Fatalf("%s published on %s: %+v", name, b, x)
 					}
 				}
 			}
--- a/internal/mapping/board.go
+++ b/internal/mapping/board.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Board keeps which copies were decided for which announced hour. A decision stands until the announcement
-// changes or a box of it takes no new work any more: decided anew each second on shifting loads, copies
-// would be begun and given up again and again.
+// Decisions records which copies were decided for each announced peak. A decision remains in effect until the
+// announcement changes or one of its boxes stops accepting new work. If it were made again each second on changing
+// loads, copies would be started and abandoned repeatedly.
 type Decisions struct {
 	byPeak map[string]*decision
 }
@@ -15,13 +15,14 @@
 type decision struct {
 	version    uint64
 	copies     []Copy
-	readyBoxes int // that took work then
+	readyBoxes int // number of boxes that accepted work at the time of the decision
 }
 
-// NewBoard is empty.
+// NewDecisions returns an empty Decisions.
 func NewDecisions() *Decisions { return &Decisions{byPeak: map[string]*decision{}} }
 
-// Keep forgets the hours that are no more: over, cancelled, or given up. Their copies are given back.
+// Retain removes the decisions of peaks that are no longer active: over, cancelled or abandoned. Their copies are
+// released.
 func (b *Decisions) Retain(active func(peak string) bool) {
 	for id := range b.byPeak {
 		if !active(id) {
@@ -30,15 +31,16 @@
 	}
 }
 
-// Open tells that an hour is to be decided, or decided anew: also when more boxes take work than when it was,
-// as a choice made while boxes were down may have found none.
+// NeedsDecision reports whether the copies of a peak must be decided, or decided again. They are decided again also if
+// more boxes accept work than at the last decision, because a choice made while boxes were down may have found no copy.
 func (b *Decisions) NeedsDecision(peak string, version uint64, readyBoxes int, ready func(box string) bool) bool {
 	d := b.byPeak[peak]
-	return d == nil || d.version != version || readyBoxes > d.readyBoxes || slices.ContainsFunc(d.copies, func(c Copy) bool { return !ready(c.Box) })
+	return d == nil || d.version != version || readyBoxes > d.readyBoxes ||
+		slices.ContainsFunc(d.copies, func(c Copy) bool { return !ready(c.Box) })
 }
 
-// Decide takes a choice. Copies of before at boxes that still take work stay beside those chosen now: the
-// choice was made with them as holders.
+// Record stores a choice for a peak. Copies of the previous decision on boxes that still accept work are kept in
+// addition, because the choice was made with them as holders.
 func (b *Decisions) Record(peak string, version uint64, readyBoxes int, ready func(box string) bool, chosen []Copy) {
 	d := &decision{version: version, readyBoxes: readyBoxes}
 	if old := b.byPeak[peak]; old != nil && old.version == version {
@@ -49,14 +51,15 @@
 		}
 	}
 	for _, c := range chosen {
-		if c.Peak == peak && !slices.ContainsFunc(d.copies, func(o Copy) bool { return o.Title == c.Title && o.Box == c.Box }) {
+		if c.Peak == peak &&
+			!slices.ContainsFunc(d.copies, func(o Copy) bool { return o.Title == c.Title && o.Box == c.Box }) {
 			d.copies = append(d.copies, c)
 		}
 	}
 	b.byPeak[peak] = d
 }
 
-// Copies are all that were decided, in order.
+// Copies returns all decided copies, sorted by peak, title and box.
 func (b *Decisions) Copies() (out []Copy) {
 	for _, d := range b.byPeak {
 		out = append(out, d.copies...)
--- a/internal/mapping/choose.go
+++ b/internal/mapping/choose.go
@@ -8,29 +8,33 @@
 	"rainpulley/internal/peaks"
 )
 
-// Choice is which copies to make, and what that is thought to be worth a second beside other choices.
+// Choice is the set of copies to make and its expected worth per second, next to that of the other choices.
 type Choice struct {
 	Copies                                []Copy
 	Method                                string  // "lp", "greedy" or "none"
-	NoCopiesValue, GreedyValue, BestValue float64 // worth a second, copying paid for
+	NoCopiesValue, GreedyValue, BestValue float64 // worth per second, net of the cost of copying
 	Elapsed                               time.Duration
 }
 
-// Least part of a copy that the relaxed program must take for it to be made.
+// roundingThreshold is the smallest fraction of a copy in the relaxed solution for which the copy is made.
 const roundingThreshold = 0.25
 
-// Choose takes copies as a part of the linear program that plans the hour, relaxed: any part of a copy may be
-// taken at that part of its cost. What is taken by a quarter at least is made, the rest left out, and the hour is
-// planned anew with it; so is the greedy choice, and none. The best of the three stands, so that a
-// choice is never worth less than no copies by the same reckoning. The program's candidates are the greedy
-// copies and as many again. way may be "greedy" or "none", for comparisons. now is read between steps: past the budget, the best so far stands.
-func ChooseCopies(fleet *peaks.Fleet, demands []peaks.Demand, titleDemands []TitleDemand, boxes []Box, freeDisk map[string]float64, bounds Bounds, method string, now func() time.Time, budget time.Duration) (out Choice) {
+// ChooseCopies makes the choice of copies a part of the linear program that plans the peak. The program is relaxed: it
+// may take any fraction of a copy at that fraction of its cost. Copies of which it takes at least a quarter are made,
+// the others are not. The peak is planned again with these copies, with the greedy choice, and with no copies; the best
+// of the three is returned, so that a choice is never worth less than no copies by the same calculation. The candidates
+// of the program are the greedy copies and up to as many others. The method may be "greedy" or "none", for comparisons.
+// now is read between the steps: after the budget is spent, the best choice so far is returned.
+func ChooseCopies(fleet *peaks.Fleet, demands []peaks.Demand, titleDemands []TitleDemand, boxes []Box,
+	freeDisk map[string]float64, bounds Bounds, method string, now func() time.Time,
+	budget time.Duration) (out Choice) {
 	start := now()
 	out.Method = "none"
 	overBudget := func() bool { return now().Sub(start) > budget }
 	defer func() { out.Elapsed = now().Sub(start) }()
 	var ok bool
-	if out.NoCopiesValue, ok = netValue(fleet, demands, titleDemands, nil); !ok || len(titleDemands) == 0 || method == "none" || overBudget() {
+	if out.NoCopiesValue, ok = netValue(fleet, demands, titleDemands, nil); !ok ||
+		len(titleDemands) == 0 || method == "none" || overBudget() {
 		return out
 	}
 	out.BestValue = out.NoCopiesValue
@@ -51,7 +55,8 @@
 	extra := GreedyCopies(boxes, freeDisk, titleDemands, unpriced)
 	candidates := slices.Clone(greedy)
 	for _, c := range extra {
-		if len(candidates) < 2*len(greedy) && !slices.ContainsFunc(greedy, func(g Copy) bool { return g.Title == c.Title && g.Box == c.Box }) {
+		if len(candidates) < 2*len(greedy) &&
+			!slices.ContainsFunc(greedy, func(g Copy) bool { return g.Title == c.Title && g.Box == c.Box }) {
 			candidates = append(candidates, c)
 		}
 	}
@@ -61,8 +66,9 @@
 	return out
 }
 
-// relaxed solves the program with copies offered, and rounds.
-func solveRelaxed(fleet *peaks.Fleet, demands []peaks.Demand, titleDemands []TitleDemand, candidates []Copy) ([]Copy, bool) {
+// solveRelaxed solves the relaxed program with the candidates as offered copies and rounds its solution.
+func solveRelaxed(fleet *peaks.Fleet, demands []peaks.Demand, titleDemands []TitleDemand,
+	candidates []Copy) ([]Copy, bool) {
 	offered := slices.Clone(demands)
 	candidateByOffer := map[[2]int]Copy{}
 	for i := range offered {
@@ -70,7 +76,8 @@
 		for _, c := range candidates {
 			if c.Title == offered[i].Title && c.Peak == offered[i].Peak {
 				candidateByOffer[[2]int{i, len(offered[i].Offers)}] = c
-				offered[i].Offers = append(offered[i].Offers, peaks.CopyOffer{Box: c.Box, Cost: c.Cost / peakSeconds(titleDemands, c.Title)})
+				offered[i].Offers = append(offered[i].Offers,
+					peaks.CopyOffer{Box: c.Box, Cost: c.Cost / peakSeconds(titleDemands, c.Title)})
 			}
 		}
 	}
@@ -88,6 +95,7 @@
 	return out, true
 }
 
+// peakSeconds returns the duration of a title's demand, at least one second, and 1 if there is none.
 func peakSeconds(titleDemands []TitleDemand, title string) float64 {
 	for i := range titleDemands {
 		if titleDemands[i].Title == title {
@@ -97,8 +105,10 @@
 	return 1
 }
 
-// worth is what the hour earns a second with copies made, less what making them costs.
-func netValue(fleet *peaks.Fleet, demands []peaks.Demand, titleDemands []TitleDemand, copies []Copy) (float64, bool) {
+// netValue returns what the peak earns per second with the given copies, less the cost of making them. The result is
+// false if the linear program could not be solved.
+func netValue(fleet *peaks.Fleet, demands []peaks.Demand, titleDemands []TitleDemand,
+	copies []Copy) (float64, bool) {
 	withCopies := slices.Clone(demands)
 	cost := 0.0
 	for _, c := range copies {
--- a/internal/mapping/drift.go
+++ b/internal/mapping/drift.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Drift follows what is wanted of each title without any announcement, and says which titles should have
-// copies beyond those at rest. Times are Unix milliseconds.
+// DriftTracker follows the popularity of each title outside announced peaks and decides which titles should have
+// copies in addition to the permanent ones. Times are Unix milliseconds.
 type DriftTracker struct {
-	HalfLife        time.Duration // a count of viewers has half its say after this
+	HalfLife        time.Duration // a count of sessions has half its weight after this time
 	averageSessions map[string]float64
 	updatedAt       int64
-	extraCopies     map[string][]string // copies that stand, by title
+	extraCopies     map[string][]string // boxes of the copies in effect, by title
 }
 
-// Of a drift.
+// Limits on the copies of a DriftTracker.
 const (
-	maxCopiesPerPass = 2    // copies added in one pass: popularity is slow, and copies use the viewers' links
-	releaseMargin    = 0.75 // a copy is given back once its title would not lack it with its viewers over this
+	maxCopiesPerPass = 2    // copies added per pass: popularity changes slowly, and copying uses the viewers' links
+	releaseMargin    = 0.75 // a copy is released when its title could do without it with its sessions divided by this
 )
 
-// NewDrift knows nothing.
+// NewDriftTracker returns a tracker that has no counts yet.
 func NewDriftTracker(half time.Duration) *DriftTracker {
 	return &DriftTracker{HalfLife: half, averageSessions: map[string]float64{}, extraCopies: map[string][]string{}}
 }
 
-// Saw takes how many sessions of each title play.
+// Update adds the current number of sessions of each title to the averages.
 func (d *DriftTracker) Update(now int64, playing map[string]float64) {
 	weight := 1.0
 	if d.updatedAt > 0 && d.HalfLife > 0 {
@@ -45,13 +45,14 @@
 	}
 }
 
-// Wanted is how many sessions of a title are thought to play.
+// AverageSessions returns the decaying average of a title's sessions.
 func (d *DriftTracker) AverageSessions(title string) float64 { return d.averageSessions[title] }
 
-// Copies says which copies should lie beyond those at rest. Titles' holders are given as at rest. All links
-// are thought of as empty and shared out evenly: a title lacks where its holders cannot give its viewers
-// what the others get.
-func (d *DriftTracker) PlanCopies(boxes []Box, freeDisk map[string]float64, titles []TitleDemand, bounds Bounds) (out []Copy) {
+// PlanCopies returns the copies that should exist in addition to the permanent ones. The holders of titles are those of
+// their permanent copies. All links count as idle and as shared evenly: a title has a shortfall where its holders
+// cannot give its viewers the rate that the others get.
+func (d *DriftTracker) PlanCopies(boxes []Box, freeDisk map[string]float64, titles []TitleDemand,
+	bounds Bounds) (out []Copy) {
 	totalLink, totalSessions := 0.0, 0.0
 	unloaded := slices.Clone(boxes)
 	for i := range unloaded {
@@ -83,17 +84,19 @@
 	return out
 }
 
+// titleDemands returns the demands of the titles for their average sessions, multiplied by factor, at the even rate.
 func (d *DriftTracker) titleDemands(titles []TitleDemand, evenRate, factor float64) []TitleDemand {
 	out := slices.Clone(titles)
 	for i := range out {
 		sessions := d.averageSessions[out[i].Title] * factor
-		maxRate := out[i].Rate // of one session, at the best
+		maxRate := out[i].Rate // of one session at the highest rung
 		out[i].Sessions, out[i].Rate, out[i].Worth = sessions, sessions*min(evenRate/factor, maxRate), sessions*out[i].Worth
 	}
 	return out
 }
 
-// giveBack takes copies away one by one, where their title would not lack them if its viewers grew again.
+// releaseCopies removes at most one copy per title, if the title would have no shortfall without it even if its
+// sessions increased again.
 func (d *DriftTracker) releaseCopies(boxes []Box, freeDisk map[string]float64, demands []TitleDemand, bounds Bounds) {
 	state := newSpreadState(boxes, freeDisk, bounds.MaxUtilization)
 	holders := make([][]int, len(demands))
@@ -110,7 +113,8 @@
 	}
 	for i := range demands {
 		t := demands[i].Title
-		d.extraCopies[t] = slices.DeleteFunc(d.extraCopies[t], func(id string) bool { _, ok := state.indexByID[id]; return !ok })
+		d.extraCopies[t] = slices.DeleteFunc(d.extraCopies[t],
+			func(id string) bool { _, ok := state.indexByID[id]; return !ok })
 		if n := len(d.extraCopies[t]); n > 0 {
 			previous := holders[i]
 			holders[i] = holderIndexes(i, d.extraCopies[t][:n-1])
@@ -126,6 +130,7 @@
 	}
 }
 
+// union returns the sorted union of two lists.
 func union(a, b []string) []string {
 	out := slices.Concat(a, b)
 	slices.Sort(out)
--- a/internal/mapping/mapping.go
+++ b/internal/mapping/mapping.go
@@ -1,6 +1,6 @@
-// Package mapping decides which boxes should hold which titles: at rest by the heuristic of the Double
-// P-Tree paper (section 3.1), ahead of an announced hour by what its viewers will ask. It does no I/O,
-// reads no clock, and gives the same map for the same input.
+// Package mapping decides which boxes should hold which titles: permanently by the heuristic of the Double P-Tree paper
+// (section 3.1), and before an announced peak by the expected demand of its viewers. It does no I/O, reads no clock,
+// and returns the same placement for the same input.
 package mapping
 
 import (
@@ -9,39 +9,39 @@
 	"strings"
 )
 
-// Box is what a map knows of a box. Rates in kB/s, sizes in kB.
+// Box describes a box for a placement. Rates are in kB/s, sizes in kB.
 type Box struct {
 	ID           string
 	Zone         int
 	Rack         int
 	Cell         int
-	LinkCapacity float64 // what it gives
-	LinkLoad     float64 // what is asked of it
-	FreeStreams  float64 // left
-	DiskCapacity float64 // for titles, in all
+	LinkCapacity float64 // rate that the link can carry
+	LinkLoad     float64 // rate that sessions request
+	FreeStreams  float64 // further streams that the box can serve
+	DiskCapacity float64 // disk space for titles in total
 }
 
-// Title is what a map knows of a title.
+// Title describes a title for a placement.
 type Title struct {
 	Name   string
 	Size   float64 // kB
-	Demand float64 // kB/s that its viewers are expected to ask
+	Demand float64 // kB/s that its viewers are expected to request
 }
 
-// Map is who holds what: boxes' ids, in order, by title.
+// Placement lists the holders of each title: sorted box IDs, by title.
 type Placement map[string][]string
 
-// Distances between two boxes, in the paper's sense: the links that a session crosses. Its proxies' trees
-// are zones and racks here.
+// Distances between two boxes as the paper defines them: the number of links that a session crosses. The paper's trees
+// of proxies correspond to zones and racks here.
 const (
-	distanceSameBox   = 1 // the box itself
+	distanceSameBox   = 1 // the same box
 	distanceSameRack  = 2
 	distanceSameZone  = 3
 	distanceOtherZone = 4
-	distanceNoHolder  = 6 // held by nobody yet: farther than any
+	distanceNoHolder  = 6 // no box holds the title yet: larger than any distance
 )
 
-// Distance from viewers at one box to a title at another.
+// Distance returns the distance from viewers at one box to a title at another.
 func Distance(a, b *Box) int {
 	switch {
 	case a.ID == b.ID:
@@ -54,8 +54,8 @@
 	return distanceOtherZone
 }
 
-// Sequential is the paper's map to compare with: each box takes the next titles in their order, around
-// and around, until its disk is full.
+// Sequential is the paper's baseline placement: each box takes the next titles in order, starting over after the last,
+// until its disk is full.
 func Sequential(boxes []Box, titles []Title) Placement {
 	placement, nextTitle := Placement{}, 0
 	for _, b := range boxes {
@@ -72,14 +72,14 @@
 	return placement
 }
 
-// Heuristic is the paper's: box by box, those titles are taken that are farthest from the box, given what
-// earlier boxes hold; of those equally far, the most wanted. Kept beyond the paper: a title whose viewers
-// ask more than its holders' links give stays as far as one that nobody holds, so that the most wanted
-// titles get copies by what is asked of them (the paper leaves that to caches beside its mirrors).
+// Heuristic is the paper's placement: each box in turn takes the titles that are farthest from it, given the holders so
+// far; among titles at the same distance, those with the highest demand. One rule goes beyond the paper: a title whose
+// viewers request more than its holders' links can give keeps the distance of a title without holders, so that the
+// most popular titles get copies in proportion to their demand (the paper leaves that to caches next to its mirrors).
 func Heuristic(boxes []Box, titles []Title) Placement {
 	placement := Placement{}
 	share := demandShare(boxes, titles)
-	supplied := make([]float64, len(titles)) // of what a title's viewers ask, what its holders give
+	supplied := make([]float64, len(titles)) // part of each title's demand that its holders supply
 	nearest := make([][]int, len(boxes))
 	for i := range nearest {
 		nearest[i] = make([]int, len(titles))
@@ -101,7 +101,8 @@
 		}
 		shortfall := func(j int) float64 { return titles[j].Demand - supplied[j] }
 		slices.SortStableFunc(order, func(x, y int) int {
-			return cmp.Or(cmp.Compare(effectiveDistance(y), effectiveDistance(x)), cmp.Compare(shortfall(y), shortfall(x)), cmp.Compare(titles[y].Demand, titles[x].Demand),
+			return cmp.Or(cmp.Compare(effectiveDistance(y), effectiveDistance(x)), cmp.Compare(shortfall(y), shortfall(x)),
+				cmp.Compare(titles[y].Demand, titles[x].Demand),
 				strings.Compare(titles[x].Name, titles[y].Name))
 		})
 		freeDisk, linkRate := b.DiskCapacity, b.LinkCapacity*share
@@ -124,8 +125,8 @@
 	return placement
 }
 
-// linkShare is the part of the links that all viewers together will use: a box is thought to give each of
-// its titles a part of that.
+// demandShare returns the total demand as a share of all links. Each box is assumed to give its titles that share of
+// its link.
 func demandShare(boxes []Box, titles []Title) float64 {
 	links, demand := 0.0, 0.0
 	for _, b := range boxes {
@@ -140,7 +141,7 @@
 	return demand / links
 }
 
-// give shares a box's link among the titles that it took, as much as each still lacks, evenly.
+// distributeLink divides a box's link evenly among the titles that it took, up to the shortfall of each.
 func distributeLink(taken []int, titles []Title, supplied []float64, link float64) {
 	for remaining := len(taken); remaining > 0 && link > 0; {
 		share, filled := link/float64(remaining), 0
@@ -162,6 +163,7 @@
 	}
 }
 
+// add makes a box a holder of a title.
 func (m Placement) add(title, box string) {
 	i, found := slices.BinarySearch(m[title], box)
 	if !found {
@@ -169,13 +171,13 @@
 	}
 }
 
-// Has tells whether a box holds a title.
+// Has reports whether a box holds a title.
 func (m Placement) Has(title, box string) bool {
 	_, ok := slices.BinarySearch(m[title], box)
 	return ok
 }
 
-// MeanDistance is the paper's measure: from every box to every title, weighed by what is wanted.
+// MeanDistance is the paper's measure: the mean distance from every box to every title, weighted by demand.
 func MeanDistance(boxes []Box, titles []Title, placement Placement) float64 {
 	sum, weight := 0.0, 0.0
 	for _, t := range titles {
--- a/internal/mapping/mapping_test.go
+++ b/internal/mapping/mapping_test.go
@@ -13,7 +13,8 @@
 	"rainpulley/internal/peaks"
 )
 
-// fleet is boxes in racks and zones, titles wanted by Zipf's law, each disk holding a part of them.
+// newTestFleet returns boxes in racks and zones, and titles with a demand by Zipf's law. Each disk has space for the
+// given part of the titles.
 func newTestFleet(boxes, titles int, zipf, diskShare float64) ([]Box, []Title) {
 	var bs []Box
 	var ts []Title
@@ -23,18 +24,20 @@
 	}
 	links := 0.0
 	for i := range boxes {
-		b := Box{ID: fmt.Sprintf("b%03d", i), Zone: i % 3, Rack: i / 4, Cell: i, LinkCapacity: float64(4000 + 2000*(i%3)), FreeStreams: 40, DiskCapacity: diskShare * float64(titles) * 100}
+		b := Box{ID: fmt.Sprintf("b%03d", i), Zone: i % 3, Rack: i / 4, Cell: i,
+			LinkCapacity: float64(4000 + 2000*(i%3)), FreeStreams: 40, DiskCapacity: diskShare * float64(titles) * 100}
 		links += b.LinkCapacity
 		bs = append(bs, b)
 	}
 	for i := range titles {
-		ts = append(ts, Title{Name: fmt.Sprintf("t%03d", i), Size: 100, Demand: 0.8 * links / math.Pow(float64(i+1), zipf) / sum})
+		ts = append(ts, Title{Name: fmt.Sprintf("t%03d", i), Size: 100,
+			Demand: 0.8 * links / math.Pow(float64(i+1), zipf) / sum})
 	}
 	return bs, ts
 }
 
-// Both maps fill disks and never beyond, and the heuristic brings titles nearer than the sequential map, as
-// the paper's Table 1 has it.
+// Both placements fill the disks and never exceed them, and the heuristic has a smaller mean distance than the
+// sequential placement, as in Table 1 of the paper.
 func TestPlacementsOfDoublePTreePaper(t *testing.T) {
 	for _, zipf := range []float64{0.7, 0.8, 1} {
 		boxes, titles := newTestFleet(63, 100, zipf, 0.2)
@@ -43,7 +46,7 @@
 			used := map[string]float64{}
 			for _, x := range titles {
 				if len(m[x.Name]) == 0 {
-					t.Errorf("%s: %s lies nowhere", name, x.Name)
+					t.Errorf("%s: %s has no holder", name, x.Name)
 				}
 				for _, b := range m[x.Name] {
 					used[b] += x.Size
@@ -51,23 +54,29 @@
 			}
 			for _, b := range boxes {
 				if used[b.ID] > b.DiskCapacity || used[b.ID] < b.DiskCapacity-100 {
-					t.Errorf("%s: disk of %s holds %v of %v", name, b.ID, used[b.ID], b.DiskCapacity)
+					t.Errorf("%s: the disk of %s holds %v kB of %v kB", name, b.ID, used[b.ID], b.DiskCapacity)
 				}
 			}
 		}
 		far, near := MeanDistance(boxes, titles, sequential), MeanDistance(boxes, titles, heuristic)
 		if near >= far {
-			t.Errorf("Zipf %v: mean distance %.3f by the heuristic, %.3f in sequence", zipf, near, far)
+			t.Errorf("Zipf %v: mean distance %.3f with the heuristic, %.3f with the sequential placement", zipf, near, far)
 		}
-		t.Logf("Zipf %v: mean distance %.3f in sequence, %.3f by the heuristic", zipf, far, near)
+		t.Logf("Zipf %v: mean distance %.3f with the sequential placement, %.3f with the heuristic", zipf, far, near)
 	}
 }
 
-func newTitleDemands(boxes []Box, peakCount, titles int, span int, rate float64) ([]TitleDemand, []peaks.Demand, *peaks.Fleet) {
-	f := &peaks.Fleet{Uplinks: make([]float64, len(boxes)/4+1), Cells: len(boxes), Edges: 300, Ladder: []float64{260, 460, 810, 1440, 2540},
-		RungWorths: []float64{0.17, 0.41, 0.61, 0.81, 1}, Classes: []peaks.Class{{RateFactor: 1.2, TopRung: 4, Worth: 2}, {RateFactor: 0.7, TopRung: 3, Worth: 1}}}
+// newTitleDemands returns the demands of peakCount peaks with the given number of titles each, with span holders per
+// title, in the types of both packages, and their fleet.
+func newTitleDemands(boxes []Box, peakCount, titles int, span int,
+	rate float64) ([]TitleDemand, []peaks.Demand, *peaks.Fleet) {
+	f := &peaks.Fleet{Uplinks: make([]float64, len(boxes)/4+1), Cells: len(boxes), Edges: 300,
+		Ladder:     []float64{260, 460, 810, 1440, 2540},
+		RungWorths: []float64{0.17, 0.41, 0.61, 0.81, 1},
+		Classes:    []peaks.Class{{RateFactor: 1.2, TopRung: 4, Worth: 2}, {RateFactor: 0.7, TopRung: 3, Worth: 1}}}
 	for _, b := range boxes {
-		f.Boxes = append(f.Boxes, peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, LinkCapacity: b.LinkCapacity, MaxStreams: 30, LinkLoad: b.LinkLoad, ActiveSessions: 5, RampShare: 1})
+		f.Boxes = append(f.Boxes, peaks.Box{ID: b.ID, Rack: b.Rack, Cell: b.Cell, LinkCapacity: b.LinkCapacity,
+			MaxStreams: 30, LinkLoad: b.LinkLoad, ActiveSessions: 5, RampShare: 1})
 	}
 	var titleDemands []TitleDemand
 	var demands []peaks.Demand
@@ -79,7 +88,8 @@
 			}
 			slices.Sort(d.Holders)
 			r := f.EvenShareRung(&d)
-			titleDemands = append(titleDemands, TitleDemand{Peak: d.Peak, Title: d.Title, Size: 360_000, Rate: rate * f.Ladder[r] * 1.2, Sessions: rate, Worth: rate * 2 * f.RungWorths[r],
+			titleDemands = append(titleDemands, TitleDemand{Peak: d.Peak, Title: d.Title, Size: 360_000,
+				Rate: rate * f.Ladder[r] * 1.2, Sessions: rate, Worth: rate * 2 * f.RungWorths[r],
 				DurationSeconds: 90, Zone: -1, Holders: d.Holders})
 			demands = append(demands, d)
 		}
@@ -99,8 +109,8 @@
 	return out
 }
 
-// An hour of which the titles' holders lack room gets copies, and is worth more with them; one that lacks
-// none, comes too soon, or costs more than it earns, gets none.
+// A peak whose holders lack capacity gets copies and is worth more with them. There are no copies if the holders have
+// enough capacity, the peak starts too soon, copies cost more than they earn, disks are full, or the budget is spent.
 func TestChooseCopies(t *testing.T) {
 	boxes, _ := newTestFleet(48, 1, 1, 1)
 	for i := range boxes {
@@ -113,7 +123,7 @@
 	}
 	again := ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute)
 	if !slices.Equal(again.Copies, full.Copies) {
-		t.Error("another choice for the same input")
+		t.Error("the same input led to a different choice")
 	}
 	soon, expensive, lowDemands := bounds(), bounds(), titleDemands
 	soon.SecondsUntilPeak, expensive.PricePerKB = 10, 1
@@ -123,12 +133,15 @@
 	}
 	noDisk := map[string]float64{}
 	for name, c := range map[string]Choice{
-		"too soon":     ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), soon, "lp", time.Now, time.Minute),
-		"too dear":     ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), expensive, "lp", time.Now, time.Minute),
-		"room enough":  ChooseCopies(f, demands, lowDemands, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute),
-		"disks full":   ChooseCopies(f, demands, titleDemands, boxes, noDisk, bounds(), "lp", time.Now, time.Minute),
-		"no time left": ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), bounds(), "lp", steppingClock(time.Hour), time.Second),
-		"told not to":  ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), bounds(), "none", time.Now, time.Minute),
+		"too soon": ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), soon, "lp", time.Now, time.Minute),
+		"too expensive": ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), expensive, "lp", time.Now,
+			time.Minute),
+		"enough capacity": ChooseCopies(f, demands, lowDemands, boxes, disks(boxes), bounds(), "lp", time.Now, time.Minute),
+		"disks full":      ChooseCopies(f, demands, titleDemands, boxes, noDisk, bounds(), "lp", time.Now, time.Minute),
+		"no time left": ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), bounds(), "lp",
+			steppingClock(time.Hour), time.Second),
+		"method none": ChooseCopies(f, demands, titleDemands, boxes, disks(boxes), bounds(), "none", time.Now,
+			time.Minute),
 	} {
 		if len(c.Copies) != 0 || c.Method != "none" {
 			t.Errorf("%s: %+v", name, c)
@@ -136,14 +149,14 @@
 	}
 }
 
-// clockOf steps so far at each reading.
+// steppingClock returns a clock that advances by step at each reading.
 func steppingClock(step time.Duration) func() time.Time {
 	now := time.Unix(0, 0)
 	return func() time.Time { now = now.Add(step); return now }
 }
 
-// Copies go where their title is not, where disk and room are, at most so many; two hours that want the same
-// spare boxes share them out within their disks.
+// Copies go to boxes that do not hold the title, stay within the disk space and the maximum number of copies per title,
+// and earn more than they cost, also when several peaks compete for the same boxes.
 func TestGreedyCopiesLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes, _ := newTestFleet(rapid.IntRange(6, 30).Draw(t, "boxes"), 1, 1, 1)
@@ -153,7 +166,8 @@
 			boxes[i].FreeStreams = float64(rapid.IntRange(0, 30).Draw(t, "streams"))
 			free[boxes[i].ID] = float64(rapid.IntRange(0, 3).Draw(t, "disk")) * 360_000
 		}
-		titleDemands, _, _ := newTitleDemands(boxes, rapid.IntRange(1, 3).Draw(t, "peaks"), rapid.IntRange(1, 3).Draw(t, "titles"), 3, float64(rapid.IntRange(1, 80).Draw(t, "rate")))
+		titleDemands, _, _ := newTitleDemands(boxes, rapid.IntRange(1, 3).Draw(t, "peaks"),
+			rapid.IntRange(1, 3).Draw(t, "titles"), 3, float64(rapid.IntRange(1, 80).Draw(t, "rate")))
 		b := bounds()
 		b.MaxCopiesPerTitle = rapid.IntRange(0, 6).Draw(t, "most")
 		used, made := map[string]float64{}, map[string]int{}
@@ -165,13 +179,13 @@
 			titleDemands[i].Holders = append(titleDemands[i].Holders, c.Box)
 			used[c.Box] += titleDemands[i].Size
 			if made[c.Title]++; made[c.Title] > b.MaxCopiesPerTitle || used[c.Box] > free[c.Box] {
-				t.Fatalf("%d copies of %s, %v kB at %s", made[c.Title], c.Title, used[c.Box], c.Box)
+				t.Fatalf("%d copies of %s, %v kB on %s", made[c.Title], c.Title, used[c.Box], c.Box)
 			}
 		}
 	})
 }
 
-// Popularity that drifts gets copies, a few at a time, and they are given back when it is gone.
+// A title whose popularity rises gets copies, a few per pass, and they are released when its popularity is gone.
 func TestDriftTracker(t *testing.T) {
 	boxes, _ := newTestFleet(24, 1, 1, 1)
 	var titles []TitleDemand
@@ -197,53 +211,57 @@
 			was := n
 			n = len(d.PlanCopies(boxes, disks(boxes), titles, bounds()))
 			if n > was+maxCopiesPerPass && was > 0 {
-				t.Errorf("%d copies after %d", n, was)
+				t.Errorf("%d copies after %d in one pass", n, was)
 			}
 		}
 		return n
 	}
 	if n := run(10, 10); n != 0 {
-		t.Errorf("%d copies of titles wanted alike", n)
+		t.Errorf("%d copies although all titles are equally popular", n)
 	}
 	if n := run(120, 30); n == 0 {
-		t.Error("no copy of a title that everyone wants")
+		t.Error("no copy of the most popular title")
 	}
 	if n := run(10, 60); n != 0 {
-		t.Errorf("%d copies stay", n)
+		t.Errorf("%d copies not released", n)
 	}
 }
 
+// A decision remains in effect until the announcement changes, a target stops accepting work or more boxes accept work.
+// Copies on boxes that still accept work are kept.
 func TestDecisions(t *testing.T) {
 	b, all := NewDecisions(), func(string) bool { return true }
 	if !b.NeedsDecision("p", 1, 4, all) {
-		t.Error("a new hour is not open")
+		t.Error("a new peak needs no decision")
 	}
-	b.Record("p", 1, 4, all, []Copy{{Peak: "p", Title: "t", Box: "b1"}, {Peak: "p", Title: "t", Box: "b2"}, {Peak: "q", Title: "t", Box: "b3"}})
+	b.Record("p", 1, 4, all, []Copy{{Peak: "p", Title: "t", Box: "b1"}, {Peak: "p", Title: "t", Box: "b2"},
+		{Peak: "q", Title: "t", Box: "b3"}})
 	if b.NeedsDecision("p", 1, 4, all) || !b.NeedsDecision("p", 2, 4, all) || len(b.Copies()) != 2 {
 		t.Errorf("copies %v", b.Copies())
 	}
 	drained := func(id string) bool { return id != "b1" }
 	if !b.NeedsDecision("p", 1, 3, drained) {
-		t.Error("a drained target does not open the hour")
+		t.Error("no new decision although a target drains")
 	}
 	b.Record("p", 1, 3, drained, []Copy{{Peak: "p", Title: "t", Box: "b4"}})
-	if got := b.Copies(); len(got) != 2 || got[0].Box != "b2" || got[1].Box != "b4" || b.NeedsDecision("p", 1, 3, drained) {
+	if got := b.Copies(); len(got) != 2 || got[0].Box != "b2" || got[1].Box != "b4" ||
+		b.NeedsDecision("p", 1, 3, drained) {
 		t.Errorf("copies %v", got)
 	}
 	if !b.NeedsDecision("p", 1, 4, drained) {
-		t.Error("more boxes do not open the hour")
+		t.Error("no new decision although more boxes accept work")
 	}
 	b.Retain(func(string) bool { return false })
 	if len(b.Copies()) != 0 {
-		t.Error("copies of an hour that is over")
+		t.Error("copies of a peak that is over were kept")
 	}
 }
 
-// What the map is worth beside cell and span with the same storage: kB/s that the fleet gives when viewers ask
-// 0.95 of all links, by maximum flow (a linear program).
+// With the same storage, the heuristic serves at least as much as placement by home cell and cell span. Measured is the
+// rate that the fleet can give when viewers request 0.95 of all links, as a maximum flow (a linear program).
 func TestHeuristicServesMoreThanCells(t *testing.T) {
 	if testing.Short() {
-		t.Skip("some seconds")
+		t.Skip("takes several seconds")
 	}
 	for _, zipf := range []float64{0.8, 0.9, 1} {
 		boxes, titles := newTestFleet(48, 120, zipf, 0)
@@ -253,7 +271,8 @@
 		cells, stored := Placement{}, map[string]float64{}
 		rnd := rand.New(rand.NewPCG(1, 1))
 		for _, x := range titles {
-			home, span := rnd.IntN(48), max(3, int(math.Round(1.4*x.Demand/6000))) // as the users' titles: by what usual viewers need
+			// The span is derived from the usual demand, as for the titles in use.
+			home, span := rnd.IntN(48), max(3, int(math.Round(1.4*x.Demand/6000)))
 			for k := range min(span, 48) {
 				cells.add(x.Name, boxes[(home+k)%48].ID)
 				stored[boxes[(home+k)%48].ID] += x.Size
@@ -266,22 +285,27 @@
 		}
 		heuristic := Heuristic(boxes, titles)
 		a, b := servedShare(t, boxes, titles, cells), servedShare(t, boxes, titles, heuristic)
-		t.Logf("Zipf %v: given of asked %.3f by cell and span, %.3f by the map (%+.1f%%), storage %.0f", zipf, a, b, 100*(b/a-1), sum)
+		t.Logf("Zipf %v: share of the demand served %.3f by cell and span, %.3f by the heuristic (%+.1f%%), storage %.0f",
+			zipf, a, b, 100*(b/a-1), sum)
 		if b < a {
-			t.Errorf("Zipf %v: the map gives less", zipf)
+			t.Errorf("Zipf %v: the heuristic serves less", zipf)
 		}
 	}
 }
 
+// servedShare returns the share of the demand that the holders of a placement can serve.
 func servedShare(t *testing.T, boxes []Box, titles []Title, m Placement) float64 {
-	f := &peaks.Fleet{NoCompetingLoad: true, Cells: len(boxes), Uplinks: make([]float64, len(boxes)), Ladder: []float64{1}, RungWorths: []float64{1}, Classes: []peaks.Class{{RateFactor: 1, Worth: 1}}}
+	f := &peaks.Fleet{NoCompetingLoad: true, Cells: len(boxes), Uplinks: make([]float64, len(boxes)),
+		Ladder: []float64{1}, RungWorths: []float64{1}, Classes: []peaks.Class{{RateFactor: 1, Worth: 1}}}
 	for _, b := range boxes {
-		f.Boxes = append(f.Boxes, peaks.Box{ID: b.ID, Rack: b.Rack, LinkCapacity: b.LinkCapacity / peaks.MaxUtilization, MaxStreams: 1e9, RampShare: 1})
+		f.Boxes = append(f.Boxes, peaks.Box{ID: b.ID, Rack: b.Rack, LinkCapacity: b.LinkCapacity / peaks.MaxUtilization,
+			MaxStreams: 1e9, RampShare: 1})
 	}
 	var demands []peaks.Demand
 	requested := 0.0
 	for _, x := range titles {
-		demands = append(demands, peaks.Demand{Peak: "all", Title: x.Name, Sessions: x.Demand, Worth: 1, Holders: append([]string{}, m[x.Name]...)})
+		demands = append(demands, peaks.Demand{Peak: "all", Title: x.Name, Sessions: x.Demand, Worth: 1,
+			Holders: append([]string{}, m[x.Name]...)})
 		requested += x.Demand
 	}
 	p, err := peaks.SolveLP(f, demands)
--- a/internal/mapping/spread.go
+++ b/internal/mapping/spread.go
@@ -5,36 +5,36 @@
 	"slices"
 )
 
-// Hour is what one title of an announced hour will ask, and where it lies.
+// TitleDemand is the expected demand for one title of an announced peak, and the title's holders.
 type TitleDemand struct {
 	Peak, Title     string
 	Size            float64 // kB
-	Rate            float64 // kB/s that all its viewers ask together, at the rung that is aimed for
-	Sessions        float64 // sessions at once
-	Worth           float64 // earned a second, in all
-	DurationSeconds float64 // seconds that the hour lasts, from its first viewer to its last
-	Zone            int     // of most of its viewers; -1: of all
+	Rate            float64 // kB/s that all its viewers request together at the target rung
+	Sessions        float64 // concurrent sessions
+	Worth           float64 // total worth per second
+	DurationSeconds float64 // duration of the peak in seconds, from its first viewer to its last
+	Zone            int     // zone of most of its viewers; -1: all zones
 	Holders         []string
 }
 
-// Copy is a copy that should be made.
+// Copy is a copy to be made.
 type Copy struct {
 	Peak, Title, Box string
-	Gain             float64 // worth that it is thought to earn over the hour
-	Cost             float64 // worth that copying it takes from those who play meanwhile
+	Gain             float64 // worth that it is expected to earn during the peak
+	Cost             float64 // worth that sessions playing during the transfer lose
 }
 
-// Bounds of a spread.
+// Bounds limits a choice of copies.
 type Bounds struct {
-	MaxUtilization    float64 // part of a link that plans fill
-	PricePerKB        float64 // worth of a kB that viewers would have had
-	MaxCopiesPerTitle int     // at most, of one title
-	MaxCopies         int     // at most, of all titles; 0: no limit
-	CopyRate          float64 // kB/s at which one copy can be made: says what can be whole in time
-	SecondsUntilPeak  float64 // seconds until the hour
+	MaxUtilization    float64 // share of a link that plans use
+	PricePerKB        float64 // worth that viewers lose per kB copied
+	MaxCopiesPerTitle int     // at most, for one title
+	MaxCopies         int     // at most, for all titles together; 0: no limit
+	CopyRate          float64 // kB/s at which one copy can be made; decides which copies are complete in time
+	SecondsUntilPeak  float64 // seconds until the peak starts
 }
 
-// state of a spread: what each box has left.
+// spreadState is the capacity that each box has left during a choice of copies.
 type spreadState struct {
 	boxes       []Box
 	indexByID   map[string]int
@@ -54,10 +54,11 @@
 	return s
 }
 
-// Spread is the greedy choice of copies, to beat and to fall back on. Each title's viewers are poured over
-// its holders to an even level. While titles lack room, the one that lacks most worth gets a copy at the
-// box with most room left, racks and zones with fewest holders of it first, if that is thought to earn
-// more than copying costs. Disk is what boxes have free, in kB.
+// GreedyCopies returns the greedy choice of copies, the baseline and the fallback of the linear program. It distributes
+// each title's viewers over its holders so that they are evenly utilized. While titles have a shortfall, the one that
+// loses the most worth gets a copy if that is expected to earn more than the copying costs. The copy goes to the box
+// with the largest available capacity, in the viewers' zone and in racks with the fewest holders of the title first.
+// freeDisk is the free disk space of the boxes in kB.
 func GreedyCopies(boxes []Box, freeDisk map[string]float64, demands []TitleDemand, bounds Bounds) []Copy {
 	state := newSpreadState(boxes, freeDisk, bounds.MaxUtilization)
 	holders := make([][]int, len(demands))
@@ -85,7 +86,8 @@
 		demand := &demands[best]
 		box := state.chooseBox(demand, holders[best], shortfalls[best], spare)
 		cost := bounds.PricePerKB * demand.Size
-		if box < 0 || copiesMade[best] >= bounds.MaxCopiesPerTitle || len(holders[best]) == 0 || !finishesInTime(demand, len(holders[best])-copiesMade[best], copiesMade[best]+1, bounds) {
+		if box < 0 || copiesMade[best] >= bounds.MaxCopiesPerTitle || len(holders[best]) == 0 ||
+			!finishesInTime(demand, len(holders[best])-copiesMade[best], copiesMade[best]+1, bounds) {
 			settled[best] = true
 			continue
 		}
@@ -101,10 +103,11 @@
 	}
 }
 
-// perKB is the worth that each kB earns.
+// worthPerKB is the worth that each kB earns.
 func worthPerKB(demand *TitleDemand) float64 { return demand.Worth / max(demand.Rate, 1e-9) }
 
-// inTime tells whether so many copies can be whole by the hour, each new one being a source of more.
+// finishesInTime reports whether the given number of copies can be complete before the peak starts. Each new copy is
+// also a source for further ones.
 func finishesInTime(demand *TitleDemand, sources, copies int, bounds Bounds) bool {
 	if bounds.CopyRate <= 0 {
 		return false
@@ -113,17 +116,17 @@
 	return max(rounds, 1)*demand.Size/bounds.CopyRate <= bounds.SecondsUntilPeak
 }
 
-// Of pouring.
+// Constants of distribute.
 const (
-	distributionRounds = 16   // rounds of evening out
-	minShortfallShare  = 0.03 // of what a title's viewers ask: less is no lack, as rounds leave some unevenness
+	distributionRounds = 16   // rounds of evening out the utilization
+	minShortfallShare  = 0.03 // share of a title's demand: less is ignored, as the rounds leave some imbalance
 )
 
-// pour shares what each hour asks out over its holders so that boxes come to like levels: from shares by room,
-// each round moves every title's viewers from its fuller holders to its emptier ones. It returns what each
-// title lacks and what each box has left, in kB/s.
+// distribute divides each title's demand among its holders so that the utilization of the boxes becomes similar. It
+// starts with shares in proportion to the usable rates; each round moves viewers of every title from its more utilized
+// holders to its less utilized ones. It returns the shortfall of each title and the spare rate of each box, in kB/s.
 func (s *spreadState) distribute(demands []TitleDemand, holders [][]int) (shortfalls, spare []float64) {
-	shares := make([][]float64, len(demands)) // of an hour's rate, by holder
+	shares := make([][]float64, len(demands)) // shares of a title's rate, by holder
 	for i, boxes := range holders {
 		shares[i] = make([]float64, len(boxes))
 		for n, box := range boxes {
@@ -171,12 +174,12 @@
 	return shortfalls, spare
 }
 
-// can is what a box may give an hour's viewers, by its link and its streams.
+// usableRate is the rate that a box can give a title's viewers within its free link rate and its free streams.
 func (s *spreadState) usableRate(box int, demand *TitleDemand) float64 {
 	return min(s.freeLink[box], s.freeStreams[box]*demand.Rate/max(demand.Sessions, 1))
 }
 
-// even scales parts to a sum of 1; where all are nothing, they become alike.
+// normalize scales shares to a sum of 1. If all are 0, they become equal.
 func normalize(shares []float64) {
 	sum := 0.0
 	for _, share := range shares {
@@ -191,8 +194,9 @@
 	}
 }
 
-// target is the box for a title's next copy: in the rack with fewest holders of it, that with most room. A box
-// whose room would hardly serve one session is none.
+// chooseBox returns the box for a title's next copy, or -1. Boxes in the viewers' zone come first, then those in the
+// racks with the fewest holders of the title, then those with the largest spare rate. A box that could not serve at
+// least one session is skipped.
 func (s *spreadState) chooseBox(demand *TitleDemand, holders []int, shortfall float64, spare []float64) int {
 	holdersByRack := map[int]int{}
 	for _, box := range holders {
@@ -211,7 +215,8 @@
 		return spare[a] > spare[c]
 	}
 	for box := range s.boxes {
-		if spare[box] < min(sessionRate, shortfall) || s.freeStreams[box] < 1 || s.freeDisk[box] < demand.Size || slices.Contains(holders, box) {
+		if spare[box] < min(sessionRate, shortfall) || s.freeStreams[box] < 1 || s.freeDisk[box] < demand.Size ||
+			slices.Contains(holders, box) {
 			continue
 		}
 		if best < 0 || better(box, best) {
--- a/internal/peaks/book.go
+++ b/internal/peaks/book.go
@@ -1,5 +1,5 @@
-// Package peaks decides what room to hold ahead of announced hours: it keeps the announcements, follows
-// what arrives of them, and works out how much of which box is held. It does no I/O and reads no clock.
+// Package peaks decides what capacity to hold for announced peaks: it stores the announcements, follows the arrivals of
+// each peak, and plans how much capacity of each box is held. It does no I/O and reads no clock.
 package peaks
 
 import (
@@ -12,23 +12,23 @@
 	"rainpulley/internal/timeconv"
 )
 
-// Announcement is an hour that was announced. Times are Unix milliseconds, lengths milliseconds.
+// Announcement announces a peak. Times are Unix milliseconds, durations milliseconds.
 type Announcement struct {
 	ID              string   `json:"id"`
-	Version         uint64   `json:"version"` // a higher one replaces; the same again changes nothing
+	Version         uint64   `json:"version"` // a higher one replaces the announcement; a repeated one changes nothing
 	Titles          []string `json:"titles"`
 	Class           string   `json:"class"`
-	Zone            string   `json:"zone,omitempty"`         // of the viewers; "" all
-	Start           int64    `json:"start_ms"`               // when they begin to come
-	Uncertainty     int64    `json:"uncertain_ms,omitempty"` // so much earlier or later
-	Rate            float64  `json:"rate"`                   // new sessions a second, at all titles together
-	Duration        int64    `json:"length_ms"`              // how long they keep coming
-	SessionDuration int64    `json:"session_ms,omitempty"`   // how long each plays; 0: the title's length
-	Worth           float64  `json:"worth,omitempty"`        // of a second at a rung of worth 1; 0: the class's
+	Zone            string   `json:"zone,omitempty"`         // zone of the viewers; empty: all zones
+	Start           int64    `json:"start_ms"`               // when the viewers start to arrive
+	Uncertainty     int64    `json:"uncertain_ms,omitempty"` // the start may be this much earlier or later
+	Rate            float64  `json:"rate"`                   // new sessions per second for all titles together
+	Duration        int64    `json:"length_ms"`              // how long viewers keep arriving
+	SessionDuration int64    `json:"session_ms,omitempty"`   // how long each session plays; 0: the title's length
+	Worth           float64  `json:"worth,omitempty"`        // per second at a rung of worth 1; 0: the worth of the class
 	Cancelled       bool     `json:"cancelled,omitempty"`
 }
 
-// Bounds of an announcement.
+// Limits of an announcement.
 const (
 	maxPeaks         = 1000
 	maxTitles        = 1000
@@ -38,25 +38,27 @@
 	maxLeadMs        = 366 * 24 * 3600 * 1000
 )
 
-// Known are the names that an announcement may use.
+// KnownNames lists the names that an announcement may use.
 type KnownNames struct {
 	Classes, Zones []string
 	Titles         map[string]bool
 }
 
-// FieldError names the field at fault.
+// FieldError reports the field of an announcement that is invalid.
 type FieldError struct{ Field, Reason string }
 
 func (e *FieldError) Error() string { return "peak: " + e.Field + ": " + e.Reason }
 
+// newFieldError returns a FieldError with a formatted reason.
 func newFieldError(field, format string, args ...any) error {
 	return &FieldError{field, fmt.Sprintf(format, args...)}
 }
 
-// Check finds what cannot be in an announcement. now is Unix milliseconds.
+// Validate returns a FieldError for the first invalid field of the announcement. now is Unix milliseconds.
 func (a *Announcement) Validate(known KnownNames, now int64) error {
 	switch {
-	case a.ID == "" || len(a.ID) > 64 || strings.ContainsFunc(a.ID, func(r rune) bool { return r <= ' ' || r == '/' || r > '~' }):
+	case a.ID == "" || len(a.ID) > 64 ||
+		strings.ContainsFunc(a.ID, func(r rune) bool { return r <= ' ' || r == '/' || r > '~' }):
 		return newFieldError("id", "%q: 1 to 64 printable characters without blanks and slashes", a.ID)
 	case a.Version == 0:
 		return newFieldError("version", "must be above 0")
@@ -94,15 +96,16 @@
 	return nil
 }
 
-// Book keeps announcements by id. A cancelled one stays, so that an older version cannot bring it back.
+// AnnouncementStore holds the announcements by ID. A cancelled one is kept, so that an older version cannot restore it.
 type AnnouncementStore struct{ byID map[string]*Announcement }
 
-// NewBook is empty.
+// NewAnnouncementStore returns an empty store.
 func NewAnnouncementStore() *AnnouncementStore {
 	return &AnnouncementStore{byID: map[string]*Announcement{}}
 }
 
-// Announce takes an announcement, a change or a cancellation. changed is false where it says nothing new.
+// Announce stores an announcement, a change or a cancellation. changed is false if the version is not newer than the
+// stored one.
 func (b *AnnouncementStore) Announce(a Announcement, known KnownNames, now int64) (changed bool, err error) {
 	if err := a.Validate(known, now); err != nil {
 		return false, err
@@ -124,13 +127,14 @@
 	return true, nil
 }
 
+// equal reports whether two announcements have the same content.
 func (a *Announcement) equal(b *Announcement) bool {
 	x, y := *a, *b
 	x.Titles, y.Titles = nil, nil
 	return fmt.Sprint(x) == fmt.Sprint(y) && slices.Equal(a.Titles, b.Titles)
 }
 
-// List is all of it, by id.
+// List returns all announcements, sorted by ID.
 func (b *AnnouncementStore) List() []Announcement {
 	out := make([]Announcement, 0, len(b.byID))
 	for _, a := range b.byID {
@@ -140,7 +144,7 @@
 	return out
 }
 
-// Get is one announcement.
+// Get returns the announcement with an ID.
 func (b *AnnouncementStore) Get(id string) (Announcement, bool) {
 	a := b.byID[id]
 	if a == nil {
@@ -149,7 +153,7 @@
 	return *a, true
 }
 
-// Forget drops what has been over for a day.
+// RemoveExpired removes the announcements whose peak has been over for a day.
 func (b *AnnouncementStore) RemoveExpired(now int64) {
 	for id, a := range b.byID {
 		if a.Start+a.Duration+a.Uncertainty < now-maxDurationMs {
@@ -158,4 +162,5 @@
 	}
 }
 
+// milliseconds converts a number of milliseconds to a duration.
 func milliseconds(n int64) time.Duration { return timeconv.Milliseconds(n) }
--- a/internal/peaks/follow.go
+++ b/internal/peaks/follow.go
@@ -6,24 +6,30 @@
 	"time"
 )
 
-// What is believed of a peak that is announced for an hour, until it is seen to come.
+// Parameters of the forecast for a peak, before and after its start is observed.
 const (
-	leadDivisor      = 3 // held for this part of a session's length before the earliest start: others make room as they end
-	maxLead          = 20 * time.Second
-	minStartArrivals = 3.0              // arrivals in the window that tell a peak has begun, at the least
-	earlyStartShare  = 0.3              // and this part of what is announced for the window: its titles are wanted
-	dueStartShare    = 0.15             // at other times too; from the earliest start on, less will do
-	arrivalWindow    = 5 * time.Second  // arrivals are counted over this
-	lateGrace        = 20 * time.Second // after the latest start, it is given up by halves
-	lateHalfLife     = 10 * time.Second
-	minRateFactor    = 0.1 // of the announced rate is believed at the least while a peak runs
-	maxRateFactor    = 2.0 // and so many times it at the most
-	minForecastShare = 0.05
+	// Holds begin this fraction (1/leadDivisor) of a session's length before the earliest start, at most maxLead:
+	// sessions that end in the meantime free capacity.
+	leadDivisor = 3
+	maxLead     = 20 * time.Second
+	// A peak counts as started when the window has at least minStartArrivals arrivals and at least this share of the
+	// announced ones. Its titles are requested outside the peak too, so the share is higher before the earliest start.
+	minStartArrivals = 3.0
+	earlyStartShare  = 0.3
+	dueStartShare    = 0.15
+	arrivalWindow    = 5 * time.Second // arrivals are counted over this time
+	// The expected rate of a late peak decays once lateGrace has passed since the latest start.
+	lateGrace    = 20 * time.Second
+	lateHalfLife = 10 * time.Second
+	// Bounds of the expected rate of a running peak, relative to the announced rate.
+	minRateFactor    = 0.1
+	maxRateFactor    = 2.0
+	minForecastShare = 0.05 // a late peak whose rate decayed below this share is no longer expected
 )
 
-// Follower knows how a peak really goes. All times are Unix milliseconds.
+// Follower compares the arrivals of a peak with its announcement. All times are Unix milliseconds.
 type Follower struct {
-	startedAt     int64 // 0: not seen to come yet
+	startedAt     int64 // 0: the start was not observed yet
 	arrivals      []arrivalCount
 	totalArrivals float64
 }
@@ -33,9 +39,10 @@
 	n  float64
 }
 
-// Saw takes arrivals of the peak since the last call.
+// RecordArrivals records the arrivals of the peak since the last call.
 func (f *Follower) RecordArrivals(now int64, count float64, announcement *Announcement) {
-	f.arrivals = slices.DeleteFunc(f.arrivals, func(c arrivalCount) bool { return c.at <= now-arrivalWindow.Milliseconds() })
+	f.arrivals = slices.DeleteFunc(f.arrivals,
+		func(c arrivalCount) bool { return c.at <= now-arrivalWindow.Milliseconds() })
 	if !(count > 0) {
 		return
 	}
@@ -45,11 +52,14 @@
 	if now >= announcement.Start-announcement.Uncertainty {
 		share = dueStartShare
 	}
-	if f.startedAt == 0 && f.recentArrivals() >= max(minStartArrivals, share*announcement.Rate*arrivalWindow.Seconds()) && now >= announcement.Start-announcement.Uncertainty-60_000 {
+	if f.startedAt == 0 &&
+		f.recentArrivals() >= max(minStartArrivals, share*announcement.Rate*arrivalWindow.Seconds()) &&
+		now >= announcement.Start-announcement.Uncertainty-60_000 {
 		f.startedAt = now
 	}
 }
 
+// recentArrivals returns the number of arrivals in the window.
 func (f *Follower) recentArrivals() (n float64) {
 	for _, c := range f.arrivals {
 		n += c.n
@@ -57,17 +67,18 @@
 	return n
 }
 
-// Begun tells a peak that was seen to come.
+// Started reports whether the start of the peak was observed.
 func (f *Follower) Started() bool { return f.startedAt > 0 }
 
-// Expect is what is still believed of a peak at a moment.
+// Forecast is what is still expected of a peak at a given time.
 type Forecast struct {
-	Rate      float64       // new sessions a second
-	Remaining time.Duration // for so long
+	Rate      float64       // new sessions per second
+	Remaining time.Duration // how long new sessions keep arriving
 }
 
-// Expect weighs the announcement against what was seen: a peak that is late is waited for, and given up
-// by halves; one that runs (its sessions play for so long each) is believed at the rate that is seen, within bounds, for as long as announced.
+// Forecast weighs the announcement against the observed arrivals. A late peak is expected in full during a grace
+// period, then its expected rate decays exponentially. A running peak is expected at its observed rate, within bounds,
+// for the announced duration. sessionLength is how long each of its sessions plays.
 func (f *Follower) Forecast(now int64, announcement *Announcement, sessionLength time.Duration) Forecast {
 	if announcement.Cancelled {
 		return Forecast{}
@@ -90,7 +101,8 @@
 	rate := announcement.Rate
 	if observedSeconds >= 1 {
 		rate = min(max(f.recentArrivals()/observedSeconds, minRateFactor*announcement.Rate), maxRateFactor*announcement.Rate)
-		weight := observedSeconds / arrivalWindow.Seconds() // the longer it was watched, the more it is believed
+		// The weight of the observed rate grows with the time of observation.
+		weight := observedSeconds / arrivalWindow.Seconds()
 		rate = weight*rate + (1-weight)*announcement.Rate
 	}
 	if remaining <= 0 {
--- a/internal/peaks/ledger.go
+++ b/internal/peaks/ledger.go
@@ -6,36 +6,37 @@
 	"strings"
 )
 
-// Key names a hold.
+// Key identifies a hold.
 type Key struct{ Peak, Title, Box string }
 
-// Use is what sessions of a peak's title take on a box, at one edge. Rate in kB/s.
+// Usage is what the sessions of a peak's title use on a box, as one edge reports it. Rate is in kB/s.
 type Usage struct {
 	Key
 	Rate    float64 `json:"rate"`
 	Streams float64 `json:"streams"`
 }
 
-// Size of a box: what its link gives in kB/s, its streams, and what it says all sessions take of both.
+// BoxCapacity is the capacity of a box in kB/s and streams, and the part of both that all sessions use, as the box
+// reports it.
 type BoxCapacity struct{ Rate, Streams, Busy, Playing float64 }
 
-// others is what sessions outside any peak take: what the box says less what edges say of peaks. The two
-// words come at different moments, and must not count a session twice.
+// otherUsage returns what sessions outside peaks use: the usage that the box reports minus the usage for peaks that
+// edges report. The reports arrive at different times; the subtraction keeps a session from being counted twice.
 func (s BoxCapacity) otherUsage(usage Usage) (rate, streams float64) {
 	return max(s.Busy-usage.Rate, 0), max(s.Playing-usage.Streams, 0)
 }
 
-// Account is where a box's room stands: Held + Used + Free = Size. Free is below 0 where more is used
-// than there is; then nothing is held.
+// Account is the division of a box's capacity: Held + Used + Free = Size. Free is negative if the usage exceeds the
+// capacity; then nothing is held.
 type Account struct{ Size, Held, Used, Free float64 }
 
-// Ledger proves what is held. What edges use they report whole, so that a report that comes twice, or
-// late, gives nothing back twice; one that comes no more expires.
+// Ledger accounts for the held capacity. Edges report their complete usage, so that a repeated or late report releases
+// nothing twice. The report of an edge that stops reporting expires.
 type Ledger struct {
 	capacities       map[string]BoxCapacity
 	plannedHolds     map[Key]Hold
 	reports          map[string]*report
-	expectedSessions map[string]float64 // sessions still to come, by peak and title; none: not limited
+	expectedSessions map[string]float64 // sessions still expected, by PeakTitleKey; no entry: no limit
 }
 
 type report struct {
@@ -44,15 +45,16 @@
 	usage      map[Key]Usage
 }
 
-// NewLedger is empty.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{capacities: map[string]BoxCapacity{}, plannedHolds: map[Key]Hold{}, reports: map[string]*report{}, expectedSessions: map[string]float64{}}
+	return &Ledger{capacities: map[string]BoxCapacity{}, plannedHolds: map[Key]Hold{}, reports: map[string]*report{},
+		expectedSessions: map[string]float64{}}
 }
 
-// Resize tells the boxes that may get new work. What is held on others falls away.
+// SetCapacities replaces the boxes that may get new work. Holds on other boxes are released.
 func (l *Ledger) SetCapacities(capacities map[string]BoxCapacity) { l.capacities = capacities }
 
-// SetPlan replaces the plan.
+// SetPlan replaces the planned holds. Holds with a negative rate or number of streams are ignored.
 func (l *Ledger) SetPlan(holds []Hold) {
 	l.plannedHolds = make(map[Key]Hold, len(holds))
 	for _, h := range holds {
@@ -62,13 +64,14 @@
 	}
 }
 
-// Coming bounds what is held by the sessions that are still expected: by peak and title.
+// SetExpectedSessions limits the holds to the sessions that are still expected, by PeakTitleKey.
 func (l *Ledger) SetExpectedSessions(expected map[string]float64) { l.expectedSessions = expected }
 
-// PeakTitle is the key of Coming.
+// PeakTitleKey returns the key of a peak's title for SetExpectedSessions.
 func PeakTitleKey(peak, title string) string { return peak + "\x00" + title }
 
-// Report takes what an edge uses. One that is not newer than the last of that edge changes nothing.
+// RecordReport replaces the usage that an edge reported. It ignores a report that is not newer than the edge's last
+// one, and then returns false.
 func (l *Ledger) RecordReport(edge string, seq uint64, now int64, usage []Usage) bool {
 	if r := l.reports[edge]; r != nil && seq <= r.seq {
 		return false
@@ -83,10 +86,10 @@
 	return true
 }
 
-// Drop forgets an edge: another instance stands in its place.
+// RemoveEdge removes an edge's report, because another instance has replaced the edge.
 func (l *Ledger) RemoveEdge(edge string) { delete(l.reports, edge) }
 
-// Expire drops reports older than a time.
+// ExpireReports removes the reports that were received before the given time.
 func (l *Ledger) ExpireReports(before int64) {
 	for e, r := range l.reports {
 		if r.receivedAt < before {
@@ -95,7 +98,7 @@
 	}
 }
 
-// used sums up what is used under each key.
+// usageByKey returns the usage of all edges, summed by key.
 func (l *Ledger) usageByKey() map[Key]Usage {
 	out := map[Key]Usage{}
 	for _, r := range l.reports {
@@ -108,9 +111,10 @@
 	return out
 }
 
-// PeakUse is what sessions of peaks take on each box.
+// UsageByBox returns what the sessions of peaks use on each box.
 func (l *Ledger) UsageByBox() map[string]Usage { return sumByBox(l.usageByKey()) }
 
+// sumByBox sums usage by box.
 func sumByBox(usage map[Key]Usage) map[string]Usage {
 	out := map[string]Usage{}
 	for k, u := range usage {
@@ -121,7 +125,8 @@
 	return out
 }
 
-// Held is what of the plan is not used yet, within what each box has left and what is still expected.
+// RemainingHolds returns the planned holds minus their usage, limited to the free capacity of each box and to the
+// sessions that are still expected.
 func (l *Ledger) RemainingHolds() []Hold {
 	used := l.usageByKey()
 	var out []Hold
@@ -148,15 +153,17 @@
 	return slices.DeleteFunc(out, func(h Hold) bool { return h.Streams < 1e-6 })
 }
 
+// scale multiplies the hold's rate and streams by a factor.
 func (h *Hold) scale(factor float64) { h.Rate, h.Streams = h.Rate*factor, h.Streams*factor }
 
-// fit cuts holds down to what their boxes have left.
+// limitToCapacity scales the holds of each box down to its free capacity.
 func (l *Ledger) limitToCapacity(holds []Hold, used map[Key]Usage) {
 	freeRate, freeStreams := map[string]float64{}, map[string]float64{}
 	usageByBox := sumByBox(used)
 	for box, s := range l.capacities {
 		otherRate, otherStreams := s.otherUsage(usageByBox[box])
-		freeRate[box], freeStreams[box] = s.Rate-otherRate-usageByBox[box].Rate, s.Streams-otherStreams-usageByBox[box].Streams
+		freeRate[box], freeStreams[box] = s.Rate-otherRate-usageByBox[box].Rate,
+			s.Streams-otherStreams-usageByBox[box].Streams
 	}
 	heldRate, heldStreams := map[string]float64{}, map[string]float64{}
 	for _, h := range holds {
@@ -175,7 +182,7 @@
 	}
 }
 
-// Accounts are all boxes' accounts, of their links.
+// Accounts returns the accounts of all boxes, for the rates of their links.
 func (l *Ledger) Accounts() map[string]Account {
 	out := map[string]Account{}
 	usageByBox := l.UsageByBox()
--- a/internal/peaks/lp.go
+++ b/internal/peaks/lp.go
@@ -10,39 +10,39 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Solver works plans out by linear programming, within a budget of time. The program, for sessions n of
-// demand d at box b and rung r, and kB/s z taken from those playing at b:
+// Solver computes plans by linear programming within a time budget. The program, for n sessions of demand d at box b
+// and rung r, and a rate z in kB/s that sessions playing at b give up:
 //
 //	maximise   sum (worth(d,b) worth(r) - price rate(d,r)) n(d,b,r) - price sum z(b)
-//	such that  sum over b, r of n(d,b,r) <= count(d)                      for each demand (within its seats)
-//	           sum over d, r of rate(d,r) n(d,b,r) - z(b) <= link room(b)  for each box
-//	           sum over d, r of n(d,b,r) <= streams left(b)                for each box where it can bind
-//	           sum in the rack of rate n - z <= uplink room                for each rack where it can bind
-//	           z(b) <= a share of what plays at b                          for each box
-//	           sum over r of n(d,b,r) <= most y(d,b), y <= 1               where a copy is offered, at its cost
+//	such that  sum over b, r of n(d,b,r) <= sessions(d)                   for each demand (within its seats)
+//	           sum over d, r of rate(d,r) n(d,b,r) - z(b) <= free link(b)  for each box
+//	           sum over d, r of n(d,b,r) <= free streams(b)                for each box where it can bind
+//	           sum in the rack of rate n - z <= free uplink                for each rack where it can bind
+//	           z(b) <= a share of the link load of b                       for each box
+//	           sum over r of n(d,b,r) <= limit y(d,b), y <= 1              where a copy is offered, at its cost
 //
-// The price is what a kB/s earns in the cheapest step of other sessions: held room is room that they do
-// not rise into. Parts that share no box and no binding rack are solved apart. A solver that is still at work on an
-// earlier plan is not started again: the greedy plan stands in.
+// The price is what a kB/s earns in the cheapest step between rungs of other sessions, which cannot step up into held
+// capacity. Groups of demands that share no box and no binding uplink are solved separately. While an earlier run is
+// still in progress, no other is started and the greedy plan is used.
 type Solver struct {
 	Budget time.Duration
-	idle   chan struct{} // holds one token while free
+	idle   chan struct{} // holds one token while no run is in progress
 }
 
-// NewSolver makes one with a budget.
+// NewSolver returns a solver with a time budget.
 func NewSolver(budget time.Duration) *Solver {
 	s := &Solver{Budget: budget, idle: make(chan struct{}, 1)}
 	s.idle <- struct{}{}
 	return s
 }
 
-// Plan is the best plan that the budget allows. The reason tells why it is the greedy one.
+// Plan returns the optimal plan, or the greedy plan and the reason if there is none within the budget.
 func (s *Solver) Plan(fleet *Fleet, demands []Demand) (*Plan, error) {
 	greedy := SolveGreedy(fleet, demands)
 	select {
 	case <-s.idle:
 	default:
-		return greedy, errors.New("peaks: the solver is still at work")
+		return greedy, errors.New("peaks: an earlier run of the solver is still in progress")
 	}
 	done := make(chan *Plan, 1)
 	failed := make(chan error, 1)
@@ -65,11 +65,11 @@
 	case err := <-failed:
 		return greedy, err
 	case <-timer.C:
-		return greedy, fmt.Errorf("peaks: solver budget of %v spent", s.Budget)
+		return greedy, fmt.Errorf("peaks: the solver exceeded its budget of %v", s.Budget)
 	}
 }
 
-// LP is the optimal plan.
+// SolveLP returns the optimal plan.
 func SolveLP(fleet *Fleet, demands []Demand) (*Plan, error) {
 	var allocations []allocation
 	var selected []SelectedOffer
@@ -95,7 +95,7 @@
 	return plan, nil
 }
 
-// parts are the demands that share boxes, or racks whose uplink could bind.
+// independentGroups groups the demands that share boxes, or racks whose uplink can bind.
 func (f *Fleet) independentGroups(demands []Demand) [][]int {
 	parent := make([]int, len(f.Boxes)+len(f.Uplinks))
 	for i := range parent {
@@ -142,7 +142,7 @@
 	return out
 }
 
-// binds tells whether a rack's uplink can hold its links back.
+// uplinkCanBind reports whether a rack's uplink can limit the links of its boxes.
 func (f *Fleet) uplinkCanBind(rack int) bool {
 	if f.Uplinks[rack] <= 0 {
 		return false
@@ -156,34 +156,40 @@
 	return sum > MaxUtilization*f.Uplinks[rack]
 }
 
-// program is a linear program that grows by rows and columns.
+// linearProgram is a linear program to which variables and constraints are added one by one.
 type linearProgram struct {
 	costs       []float64
 	constraints []constraint
 }
 
+// constraint is an upper bound on a linear combination of variables.
 type constraint struct {
 	variables    []int
 	coefficients []float64
 	bound        float64
 }
 
+// addVariable adds a variable with its cost in the objective, which is minimised, and returns its index.
 func (p *linearProgram) addVariable(cost float64) int {
 	p.costs = append(p.costs, cost)
 	return len(p.costs) - 1
 }
 
+// addConstraint adds a constraint without variables and returns its index.
 func (p *linearProgram) addConstraint(bound float64) int {
 	p.constraints = append(p.constraints, constraint{bound: bound})
 	return len(p.constraints) - 1
 }
 
+// setCoefficient adds a variable with its coefficient to a constraint.
 func (p *linearProgram) setCoefficient(row, variable int, value float64) {
-	p.constraints[row].variables, p.constraints[row].coefficients = append(p.constraints[row].variables, variable), append(p.constraints[row].coefficients, value)
+	p.constraints[row].variables, p.constraints[row].coefficients = append(p.constraints[row].variables, variable),
+		append(p.constraints[row].coefficients, value)
 }
 
-// run solves it with a slack for each row, from the corner at which nothing is held. Rows are scaled to
-// like sizes, which the simplex needs for its tolerances.
+// solve runs the simplex algorithm with a slack variable for each constraint, starting from the vertex at which nothing
+// is held. It returns the values of the variables and the maximum. Constraints are scaled to similar magnitudes, which
+// the simplex needs for its tolerances.
 func (p *linearProgram) solve() ([]float64, float64, error) {
 	n, m := len(p.costs), len(p.constraints)
 	a := mat.NewDense(m, n+m, nil)
@@ -199,20 +205,22 @@
 			a.Set(i, variable, a.At(i, variable)+row.coefficients[j]/scale)
 		}
 		a.Set(i, n+i, 1)
-		// rows of no room at all are many, and equal corners lead the simplex into singular bases: each
-		// row gets a little more, no two the same
+		// Many constraints have a bound of 0, and such degenerate vertices lead the simplex into singular bases.
+		// Therefore each bound is raised by a small amount that differs from constraint to constraint.
 		b[i], basis[i] = max(row.bound, 0)/scale+perturbation*(1+float64(i)/float64(m)), n+i
 	}
 	minimum, x, err := lp.Simplex(c, a, b, 1e-9, basis)
 	if err != nil {
-		return nil, 0, fmt.Errorf("peaks: simplex over %d rows and %d columns: %w", m, n+m, err)
+		return nil, 0, fmt.Errorf("peaks: simplex with %d constraints and %d variables: %w", m, n+m, err)
 	}
 	return x[:n], -minimum, nil
 }
 
+// perturbation is the smallest amount that solve adds to the scaled bound of a constraint.
 const perturbation = 1e-6
 
-// solve sets up and solves the program of one part.
+// solveGroup builds and solves the program of one group of demands. In the result, an allocation with a demand of -2-d
+// is an offered copy of demand d: its box is the index of the offer and its sessions are the fraction of the copy.
 func (f *Fleet) solveGroup(demands []Demand, group []int) ([]allocation, float64, error) {
 	program := &linearProgram{}
 	linkRows, streamRows, uplinkRows := map[int]int{}, map[int]int{}, map[int]int{}
@@ -232,7 +240,7 @@
 				f.addBoxConstraints(program, b, price, linkRows, streamRows, uplinkRows)
 			}
 			copyRow := -1
-			if offer >= 0 { // sum of n(d,b,r) - most y <= 0, y <= 1
+			if offer >= 0 { // sum of n(d,b,r) - limit y <= 0, y <= 1
 				copyVariable := program.addVariable(demand.Offers[offer].Cost)
 				for len(variables) < copyVariable {
 					variables = append(variables, allocation{demand: -1})
@@ -240,13 +248,15 @@
 				variables = append(variables, allocation{demand: -2 - d, box: offer})
 				_, freeStreams := box.freeCapacity()
 				copyRow = program.addConstraint(0)
-				program.setCoefficient(copyRow, copyVariable, -max(min(freeStreams, f.sessionsWithinSeats(demand)), 1e-3))
+				program.setCoefficient(copyRow, copyVariable,
+					-max(min(freeStreams, f.sessionsWithinSeats(demand)), 1e-3))
 				program.setCoefficient(program.addConstraint(1), copyVariable, 1)
 			}
 			for r := class.FloorRung; r <= class.TopRung; r++ {
-				variable := program.addVariable(price*f.sessionRate(demand, r) - f.sessionWorth(demand, box)*f.RungWorths[r])
+				variable := program.addVariable(price*f.sessionRate(demand, r) -
+					f.sessionWorth(demand, box)*f.RungWorths[r])
 				for len(variables) < variable {
-					variables = append(variables, allocation{demand: -1}) // columns of z
+					variables = append(variables, allocation{demand: -1}) // variables z
 				}
 				variables = append(variables, allocation{d, b, r, 0})
 				program.setCoefficient(sessionsRow, variable, 1)
@@ -267,7 +277,7 @@
 	}
 	out := variables[:0]
 	for i, v := range variables {
-		if v.demand != -1 { // not a column of z
+		if v.demand != -1 { // not a variable z
 			v.sessions = solution[i]
 			out = append(out, v)
 		}
@@ -275,8 +285,9 @@
 	return out, net, nil
 }
 
-// addBox adds a box's rows, and what those playing there could give up.
-func (f *Fleet) addBoxConstraints(program *linearProgram, b int, price float64, linkRows, streamRows, uplinkRows map[int]int) {
+// addBoxConstraints adds the constraints of a box, and the variable z for the rate that its other sessions give up.
+func (f *Fleet) addBoxConstraints(program *linearProgram, b int, price float64,
+	linkRows, streamRows, uplinkRows map[int]int) {
 	box := &f.Boxes[b]
 	freeLink, freeStreams := box.freeCapacity()
 	linkRows[b], streamRows[b] = program.addConstraint(freeLink), program.addConstraint(freeStreams)
--- a/internal/peaks/pays.go
+++ b/internal/peaks/pays.go
@@ -1,10 +1,11 @@
 package peaks
 
-// Paying is what of a plan's holds is worth holding. What is held lies idle until its viewers come, and
-// keeps others from stepping up meanwhile; so a hold pays only for what cannot be had at once when they
-// do come. Room on a link can: the module steps others down as newcomers arrive, in the same instant.
-// Streams cannot: a session ends when it ends. So streams are held, no rate, and only where the hour is thought to
-// need all that a box has left, for sessions that earn more than those they keep out.
+// KeepProfitableHolds returns the plan with only those holds that are worth their cost. Held capacity is idle until the
+// viewers arrive and keeps other sessions from stepping up in the meantime, so a hold is only worthwhile for capacity
+// that cannot be freed immediately when they arrive. Link capacity can: the module steps other sessions down at the
+// moment new ones arrive. Streams cannot, as they are free only when a session ends. Therefore only streams are held,
+// no rate, and only where the peak is expected to need all streams that a box has left, for sessions that earn more
+// than those they displace.
 func KeepProfitableHolds(fleet *Fleet, demands []Demand, plan *Plan) *Plan {
 	worth := map[string]float64{}
 	for _, d := range demands {
@@ -33,4 +34,5 @@
 	return &out
 }
 
-const scarceStreamsShare = 0.98 // of the streams that a box has left: an hour that is thought to take so many takes all
+// scarceStreamsShare is the share of a box's free streams from which a plan counts as using all of them.
+const scarceStreamsShare = 0.98
--- a/internal/peaks/peaks_test.go
+++ b/internal/peaks/peaks_test.go
@@ -13,29 +13,41 @@
 
 const now = int64(1_800_000_000_000)
 
-var knownNames = KnownNames{Classes: []string{"play"}, Zones: []string{"z"}, Titles: map[string]bool{"a": true, "b": true}}
+var knownNames = KnownNames{Classes: []string{"play"}, Zones: []string{"z"},
+	Titles: map[string]bool{"a": true, "b": true}}
 
 func testAnnouncement() Announcement {
-	return Announcement{ID: "p", Version: 1, Titles: []string{"a"}, Class: "play", Start: now + 60_000, Uncertainty: 5000, Rate: 10, Duration: 30_000}
+	return Announcement{ID: "p", Version: 1, Titles: []string{"a"}, Class: "play", Start: now + 60_000,
+		Uncertainty: 5000, Rate: 10, Duration: 30_000}
 }
 
+// Invalid announcements are rejected with the name of the invalid field. A newer version replaces an older one, a
+// repeated or older one changes nothing, and the same version with different content is an error.
 func TestAnnouncementStore(t *testing.T) {
 	for _, c := range []struct {
 		field  string
 		change func(*Announcement)
 	}{
-		{"id", func(a *Announcement) { a.ID = "" }}, {"id", func(a *Announcement) { a.ID = "a/b" }}, {"version", func(a *Announcement) { a.Version = 0 }},
-		{"titles", func(a *Announcement) { a.Titles = nil }}, {"titles[0]", func(a *Announcement) { a.Titles = []string{"x"} }},
-		{"titles[1]", func(a *Announcement) { a.Titles = []string{"a", "a"} }}, {"class", func(a *Announcement) { a.Class = "x" }},
-		{"zone", func(a *Announcement) { a.Zone = "x" }}, {"rate", func(a *Announcement) { a.Rate = math.Inf(1) }}, {"rate", func(a *Announcement) { a.Rate = math.NaN() }},
-		{"rate", func(a *Announcement) { a.Rate = -1 }}, {"length_ms", func(a *Announcement) { a.Duration = 0 }}, {"length_ms", func(a *Announcement) { a.Duration = math.MaxInt64 }},
-		{"session_ms", func(a *Announcement) { a.SessionDuration = -1 }}, {"uncertain_ms", func(a *Announcement) { a.Uncertainty = 1 << 40 }},
+		{"id", func(a *Announcement) { a.ID = "" }}, {"id", func(a *Announcement) { a.ID = "a/b" }},
+		{"version", func(a *Announcement) { a.Version = 0 }},
+		{"titles", func(a *Announcement) { a.Titles = nil }},
+		{"titles[0]", func(a *Announcement) { a.Titles = []string{"x"} }},
+		{"titles[1]", func(a *Announcement) { a.Titles = []string{"a", "a"} }},
+		{"class", func(a *Announcement) { a.Class = "x" }},
+		{"zone", func(a *Announcement) { a.Zone = "x" }}, {"rate", func(a *Announcement) { a.Rate = math.Inf(1) }},
+		{"rate", func(a *Announcement) { a.Rate = math.NaN() }},
+		{"rate", func(a *Announcement) { a.Rate = -1 }}, {"length_ms", func(a *Announcement) { a.Duration = 0 }},
+		{"length_ms", func(a *Announcement) { a.Duration = math.MaxInt64 }},
+		{"session_ms", func(a *Announcement) { a.SessionDuration = -1 }},
+		{"uncertain_ms", func(a *Announcement) { a.Uncertainty = 1 << 40 }},
 		{"worth", func(a *Announcement) { a.Worth = math.NaN() }}, {"start_ms", func(a *Announcement) { a.Start = 5 }},
-		{"start_ms", func(a *Announcement) { a.Start = math.MaxInt64 }}, {"start_ms", func(a *Announcement) { a.Start = now - 40_000 }},
+		{"start_ms", func(a *Announcement) { a.Start = math.MaxInt64 }},
+		{"start_ms", func(a *Announcement) { a.Start = now - 40_000 }},
 	} {
 		b, a := NewAnnouncementStore(), testAnnouncement()
 		c.change(&a)
-		if _, err := b.Announce(a, knownNames, now); err == nil || !strings.Contains(err.Error(), "peak: "+c.field+":") || len(b.List()) != 0 {
+		if _, err := b.Announce(a, knownNames, now); err == nil ||
+			!strings.Contains(err.Error(), "peak: "+c.field+":") || len(b.List()) != 0 {
 			t.Errorf("%s: %v, %v", c.field, err, b.List())
 		}
 	}
@@ -51,35 +63,38 @@
 	}
 	announce(true, "", func(*Announcement) {})
 	announce(false, "", func(*Announcement) {})
-	announce(false, "same version, another content", func(a *Announcement) { a.Rate = 11 })
+	announce(false, "same version, different content", func(a *Announcement) { a.Rate = 11 })
 	announce(true, "", func(a *Announcement) { a.Version, a.Rate = 3, 12 })
 	announce(false, "", func(a *Announcement) { a.Version = 2 })
 	announce(true, "", func(a *Announcement) { a.Version, a.Cancelled = 4, true })
 	announce(false, "", func(a *Announcement) { a.Version = 3 })
 	if a, _ := b.Get("p"); !a.Cancelled {
-		t.Error("an older version brought a cancelled peak back")
+		t.Error("an older version restored a cancelled peak")
 	}
 }
 
-// A peak that comes as announced, early, late, larger, smaller, or never.
+// Forecasts of a peak that arrives as announced, early, late, larger, smaller, or never.
 func TestFollower(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		from    int64 // arrivals begin so long after the start
+		from    int64 // start of the arrivals, in ms after the announced start
 		rate    float64
-		at      int64 // asked then, after the start
+		at      int64 // time of the forecast, in ms after the announced start
 		lo, hi  float64
 		seconds float64
 	}{
-		{"long before", 0, 10, -30_000, 0, 0, 0}, {"held before it comes", 0, 10, -10_000, 10, 10, 30},
-		{"as announced", 0, 10, 10_000, 9, 11, 20}, {"early", -30_000, 10, -20_000, 9, 11, 20}, {"late", 12_000, 10, 22_000, 9, 11, 20},
-		{"larger", 0, 30, 10_000, 19, 20, 20}, {"smaller", 0, 3, 12_000, 2.5, 4, 18}, {"over", 0, 10, 31_000, 0, 0, 0},
-		{"not yet", 99_000, 10, 20_000, 10, 10, 30}, {"hardly any more", 99_000, 10, 45_000, 1, 6, 30}, {"never", 999_000, 10, 80_000, 0, 0, 0},
+		{"long before the start", 0, 10, -30_000, 0, 0, 0}, {"shortly before the start", 0, 10, -10_000, 10, 10, 30},
+		{"as announced", 0, 10, 10_000, 9, 11, 20}, {"early", -30_000, 10, -20_000, 9, 11, 20},
+		{"late", 12_000, 10, 22_000, 9, 11, 20},
+		{"larger", 0, 30, 10_000, 19, 20, 20}, {"smaller", 0, 3, 12_000, 2.5, 4, 18},
+		{"after the end", 0, 10, 31_000, 0, 0, 0},
+		{"late, within the grace period", 99_000, 10, 20_000, 10, 10, 30},
+		{"late, expected rate decays", 99_000, 10, 45_000, 1, 6, 30}, {"never arrives", 999_000, 10, 80_000, 0, 0, 0},
 	} {
 		a := testAnnouncement()
 		f := &Follower{}
 		for ms := int64(-60_000); ms <= c.at; ms += 1000 {
-			n := 0.2 // its titles are wanted at other times too
+			n := 0.2 // the titles are requested outside the peak too
 			if ms%3000 == 0 {
 				n = 1.2
 			}
@@ -90,22 +105,26 @@
 		}
 		e := f.Forecast(a.Start+c.at, &a, 30*time.Second)
 		if e.Rate < c.lo || e.Rate > c.hi || math.Abs(e.Remaining.Seconds()-c.seconds) > 1.5 {
-			t.Errorf("%s: %.1f a second for %v, want %v to %v for %v s", c.name, e.Rate, e.Remaining, c.lo, c.hi, c.seconds)
+			t.Errorf("%s: %.1f sessions per second for %v, want %v to %v for %v s", c.name, e.Rate, e.Remaining, c.lo,
+				c.hi, c.seconds)
 		}
 	}
 	a := testAnnouncement()
 	a.Cancelled = true
 	if e := (&Follower{}).Forecast(a.Start, &a, time.Minute); e.Rate != 0 {
-		t.Error("a cancelled peak is expected")
+		t.Error("forecast for a cancelled peak is not 0")
 	}
 }
 
-// fleet of n boxes in racks of four, each holding what its cell says.
+// newTestFleet returns n boxes in racks of four. Each box holds the titles of its cell.
 func newTestFleet(n int) *Fleet {
-	f := &Fleet{Cells: n, Edges: 3, Ladder: []float64{260, 460, 810, 1440, 2540}, RungWorths: []float64{0.17, 0.41, 0.61, 0.81, 1},
-		Classes: []Class{{RateFactor: 1, TopRung: 4, Worth: 1}, {RateFactor: 1.2, TopRung: 4, Worth: 2, Seats: 10}, {RateFactor: 1, FloorRung: 1, TopRung: 3, Worth: 2}}}
+	f := &Fleet{Cells: n, Edges: 3, Ladder: []float64{260, 460, 810, 1440, 2540},
+		RungWorths: []float64{0.17, 0.41, 0.61, 0.81, 1},
+		Classes: []Class{{RateFactor: 1, TopRung: 4, Worth: 1}, {RateFactor: 1.2, TopRung: 4, Worth: 2, Seats: 10},
+			{RateFactor: 1, FloorRung: 1, TopRung: 3, Worth: 2}}}
 	for i := range n {
-		f.Boxes = append(f.Boxes, Box{ID: fmt.Sprintf("b%03d", i), Rack: i / 4, Cell: i, LinkCapacity: 9000 + float64(i%3)*3000, MaxStreams: 27, RampShare: 1,
+		f.Boxes = append(f.Boxes, Box{ID: fmt.Sprintf("b%03d", i), Rack: i / 4, Cell: i,
+			LinkCapacity: 9000 + float64(i%3)*3000, MaxStreams: 27, RampShare: 1,
 			LinkLoad: 3000 + float64(i%5)*1000, ActiveSessions: 5})
 	}
 	for range (n + 3) / 4 {
@@ -114,7 +133,8 @@
 	return f
 }
 
-// check finds what a plan breaks.
+// checkLimits returns an error if a plan exceeds a limit. mayStepDown allows holds to use capacity that sessions give up
+// by stepping down.
 func checkLimits(f *Fleet, demands []Demand, p *Plan, mayStepDown bool) error {
 	link, streams, rack, count := map[string]float64{}, map[string]float64{}, map[int]float64{}, map[string]float64{}
 	box := map[string]*Box{}
@@ -147,7 +167,7 @@
 	}
 	for r, kb := range rack {
 		if kb > max(MaxUtilization*f.Uplinks[r]-busy[r], 0)+stepDownShare*busy[r]+1 {
-			return fmt.Errorf("rack %d: %v kB/s", r, kb)
+			return fmt.Errorf("rack %d: %v kB/s exceed the uplink", r, kb)
 		}
 	}
 	for _, d := range demands {
@@ -158,16 +178,18 @@
 	return nil
 }
 
+// randomDemands returns n demands with drawn classes, cells and sessions.
 func randomDemands(f *Fleet, n int, draw func(int) int) (out []Demand) {
 	for i := range n {
 		c := draw(3)
-		out = append(out, Demand{Peak: fmt.Sprint("p", i), Title: "t", Class: c, HomeCell: draw(f.Cells), CellSpan: 3 + draw(3), Sessions: float64(5 + draw(60)),
+		out = append(out, Demand{Peak: fmt.Sprint("p", i), Title: "t", Class: c, HomeCell: draw(f.Cells),
+			CellSpan: 3 + draw(3), Sessions: float64(5 + draw(60)),
 			Worth: f.Classes[c].Worth})
 	}
 	return out
 }
 
-// net is a plan's worth less the price of the room it holds.
+// netValue is a plan's value minus the price of the capacity that it holds.
 func netValue(f *Fleet, p *Plan) float64 {
 	v := p.Value
 	for _, h := range p.Holds {
@@ -176,7 +198,7 @@
 	return v
 }
 
-// Both plans keep every limit on any fleet and demand, and the solver's is worth no less than the greedy one.
+// Both plans respect every limit for any fleet and demands, and the optimal plan is worth no less than the greedy one.
 func TestPlansKeepLimits(t *testing.T) {
 	solved, failed := 0, 0
 	defer func() {
@@ -203,7 +225,7 @@
 			rt.Fatalf("greedy: %v", err)
 		}
 		p, err := SolveLP(f, d)
-		if err != nil { // the solver's floating point gave up: the greedy plan stands in
+		if err != nil { // numerical failure of the simplex: the greedy plan is used
 			failed++
 			return
 		}
@@ -212,12 +234,12 @@
 			rt.Fatalf("lp: %v", err)
 		}
 		if x, y := netValue(f, p), netValue(f, g); x < y-1e-3 {
-			rt.Fatalf("lp %v, greedy %v after the price of what they hold", x, y)
+			rt.Fatalf("net value %v of the linear program, %v of the greedy plan", x, y)
 		}
 	})
 }
 
-// More seats are held than a clip has: no more than its seats at all edges.
+// Holds for a title do not exceed the seats of its class at all edges together, even if the demand does.
 func TestSeatsBoundHolds(t *testing.T) {
 	f := newTestFleet(8)
 	d := []Demand{{Peak: "p", Title: "t", Class: 1, CellSpan: 8, Sessions: 500, Worth: 2}}
@@ -227,11 +249,12 @@
 			sum += h.Streams
 		}
 		if math.Abs(sum-30) > 1e-3 {
-			t.Errorf("%s holds %v of 30 seats", p.By, sum)
+			t.Errorf("%s holds %v seats, want 30", p.By, sum)
 		}
 	}
 }
 
+// mustPlan panics if there is no plan.
 func mustPlan(p *Plan, err error) *Plan {
 	if err != nil {
 		panic(err)
@@ -239,16 +262,17 @@
 	return p
 }
 
-// Two peaks want the same holders and do not both fit: the dearer one is served first, by both plans, and
-// cold or dead holders leave it to the others.
+// Two peaks need the same holders, which have too little capacity for both. Both plans serve the one of higher worth
+// first, use no removed box, and use a box in slow start only up to its ramp share.
 func TestTwoPeaksShareHolders(t *testing.T) {
 	f := newTestFleet(8)
 	for i := range f.Boxes {
 		f.Boxes[i].LinkLoad, f.Boxes[i].ActiveSessions = 0, 0
 	}
-	d := []Demand{{Peak: "cheap", Title: "t", HomeCell: 0, CellSpan: 4, Sessions: 200, Worth: 1}, {Peak: "dear", Title: "u", HomeCell: 0, CellSpan: 4, Sessions: 60, Worth: 3}}
+	d := []Demand{{Peak: "cheap", Title: "t", HomeCell: 0, CellSpan: 4, Sessions: 200, Worth: 1},
+		{Peak: "dear", Title: "u", HomeCell: 0, CellSpan: 4, Sessions: 60, Worth: 3}}
 	f.Boxes[0].RampShare = 0.25
-	f.Boxes = slices.Delete(f.Boxes, 1, 2) // gone
+	f.Boxes = slices.Delete(f.Boxes, 1, 2) // removed
 	for _, p := range []*Plan{SolveGreedy(f, d), mustPlan(SolveLP(f, d))} {
 		n, cold := map[string]float64{}, 0.0
 		for _, h := range p.Holds {
@@ -257,16 +281,16 @@
 				cold += h.Streams
 			}
 			if h.Box == "b001" {
-				t.Errorf("%s holds on a box that is gone", p.By)
+				t.Errorf("%s holds capacity on a removed box", p.By)
 			}
 		}
 		if n["dear"] < 40 || n["cheap"] > n["dear"]/4 || cold > 0.25*27+1e-3 {
-			t.Errorf("%s: %v, %.1f on the cold box", p.By, n, cold)
+			t.Errorf("%s: %v, %.1f on the box in slow start", p.By, n, cold)
 		}
 	}
 }
 
-// A solver whose budget is spent gives the greedy plan, and the next plan is solved again.
+// A solver that exceeds its budget returns the greedy plan, and solves again once the earlier run is over.
 func TestSolverBudget(t *testing.T) {
 	f := newTestFleet(40)
 	i := 0
@@ -276,7 +300,7 @@
 		t.Errorf("%s %v", p.By, err)
 	}
 	if p, err := s.Plan(f, d); err == nil || p.By != "greedy" {
-		t.Errorf("while at work: %s %v", p.By, err)
+		t.Errorf("during an earlier run: %s %v", p.By, err)
 	}
 	s.Budget = time.Minute
 	for range 1000 {
@@ -288,11 +312,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Error("the solver never came back")
+	t.Error("the solver did not finish its earlier run")
 }
 
-// Whatever comes in whatever order, held + used + free = size, nothing held is below 0 or beyond the plan,
-// and telling a release twice gives nothing back twice.
+// Under any sequence of events, held + used + free = size, no hold is negative or exceeds the plan, and a repeated
+// report releases nothing twice.
 func TestLedgerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger()
@@ -300,14 +324,15 @@
 		draw := func(name string) float64 { return rapid.Float64Range(0, 100).Draw(t, name) }
 		sizes := map[string]BoxCapacity{}
 		key := func() Key {
-			return Key{rapid.SampledFrom([]string{"p", "q"}).Draw(t, "peak"), rapid.SampledFrom(titles).Draw(t, "title"), rapid.SampledFrom(boxes).Draw(t, "box")}
+			return Key{rapid.SampledFrom([]string{"p", "q"}).Draw(t, "peak"), rapid.SampledFrom(titles).Draw(t, "title"),
+				rapid.SampledFrom(boxes).Draw(t, "box")}
 		}
 		seq := uint64(0)
 		var last []Usage
 		plan := map[Key]Hold{}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
-			case 0: // announce or change
+			case 0: // an announcement or a change
 				plan = map[Key]Hold{}
 				var holds []Hold
 				for range rapid.IntRange(0, 5).Draw(t, "holds") {
@@ -318,27 +343,27 @@
 					holds = append(holds, h)
 				}
 				l.SetPlan(holds)
-			case 1: // cancel
+			case 1: // a cancellation
 				plan = map[Key]Hold{}
 				l.SetPlan(nil)
-			case 2: // arrive, leave
+			case 2: // sessions start or end
 				seq++
 				last = nil
 				for range rapid.IntRange(0, 4).Draw(t, "uses") {
 					last = append(last, Usage{key(), draw("used"), draw("used streams")})
 				}
 				l.RecordReport("e"+fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "edge")), seq, int64(step), last)
-			case 3: // a report told again, or older, changes nothing
+			case 3: // a repeated or older report changes nothing
 				before := fmt.Sprint(l.Accounts())
 				for e, r := range l.reports {
 					if l.RecordReport(e, r.seq, int64(step), nil) {
-						t.Fatal("an old report was taken")
+						t.Fatal("an old report was accepted")
 					}
 				}
 				if after := fmt.Sprint(l.Accounts()); before != after {
-					t.Fatalf("%s became %s", before, after)
+					t.Fatalf("accounts %s became %s", before, after)
 				}
-			case 4: // drain, die, return
+			case 4: // boxes drain, fail or return
 				sizes = map[string]BoxCapacity{}
 				for _, b := range boxes {
 					if rapid.Bool().Draw(t, "listed") {
@@ -346,7 +371,7 @@
 					}
 				}
 				l.SetCapacities(sizes)
-			case 5: // an edge restarts or falls silent
+			case 5: // an edge restarts or stops reporting
 				l.ExpireReports(int64(step - 3))
 			case 6:
 				l.SetExpectedSessions(map[string]float64{PeakTitleKey("p", "t"): draw("coming")})
@@ -366,7 +391,7 @@
 	})
 }
 
-// At 280 boxes, 300 edges and 20 peaks.
+// Planning time of both solvers for 280 boxes, 300 edges and 20 peaks.
 func BenchmarkPlan(b *testing.B) {
 	f := newTestFleet(280)
 	f.Edges = 300
--- a/internal/peaks/plan.go
+++ b/internal/peaks/plan.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// Box is what the plan knows of a box. Rates in kB/s.
+// Box describes a box for a plan. Rates are in kB/s.
 type Box struct {
 	ID             string
 	Rack           int
 	Cell           int
 	Zone           int
-	LinkCapacity   float64 // what it gives
-	MaxStreams     float64 // at most
-	LinkLoad       float64 // asked of the link by sessions that belong to no peak
-	ActiveSessions float64 // such sessions
-	RampShare      float64 // share of its capacity that a freshly started one has; 1: all
+	LinkCapacity   float64 // rate that the link can carry
+	MaxStreams     float64 // maximum number of concurrent streams
+	LinkLoad       float64 // rate that sessions outside peaks request
+	ActiveSessions float64 // number of those sessions
+	RampShare      float64 // share of its capacity that a box may use while it ramps up after a start; 1: all
 }
 
-// Class is what the plan knows of a class.
+// Class describes a class of sessions for a plan.
 type Class struct {
-	RateFactor         float64 // its rates over those of the ladder
+	RateFactor         float64 // ratio of its rates to those of the ladder
 	FloorRung, TopRung int
 	Worth              float64
-	Seats              int // of one title at one edge; 0: no limit
+	Seats              int // for one title at one edge; 0: no limit
 }
 
-// Fleet is what holds are planned on. Boxes are those that may get new work.
+// Fleet is the input of a plan. Boxes are those that may get new work.
 type Fleet struct {
 	Boxes           []Box
 	Uplinks         []float64 // by rack; 0: no limit
@@ -38,36 +38,36 @@
 	Ladder          []float64
 	RungWorths      []float64
 	Classes         []Class
-	CrossZoneCost   float64 // part of a session's worth that crossing zones costs
-	NoCompetingLoad bool    // nobody else wants the room: it has no price
+	CrossZoneCost   float64 // share of a session's worth that is lost when it crosses zones
+	NoCompetingLoad bool    // no other sessions need the capacity, so it has no price
 }
 
-// Demand is what one title of a peak is expected to need.
+// Demand is the expected demand for one title of a peak.
 type Demand struct {
 	Peak, Title        string
 	Class              int
 	HomeCell, CellSpan int
-	Sessions           float64 // sessions at once
+	Sessions           float64 // concurrent sessions
 	Worth              float64
-	Holders            []string // boxes that have it, in order; nil: those of its cells
+	Holders            []string // sorted IDs of the boxes that have the title; nil: the boxes of its cells
 	HasZone            bool     // most of its viewers are in Zone
 	Zone               int
 	Offers             []CopyOffer // copies that the linear program may choose
 }
 
-// Offer is a copy of a demand's title that may be made at a box, at a cost in worth a second.
+// CopyOffer is a copy of a demand's title that may be made on a box, at a cost in worth per second.
 type CopyOffer struct {
 	Box  string
 	Cost float64
 }
 
-// Buy is the part of an offered copy that the linear program takes.
+// SelectedOffer is the fraction of an offered copy that the linear program takes.
 type SelectedOffer struct {
 	Demand, Offer int
 	Part          float64
 }
 
-// has tells whether a box has a demand's title.
+// holdsTitle reports whether a box has a demand's title.
 func (f *Fleet) holdsTitle(d *Demand, b *Box) bool {
 	if d.Holders == nil {
 		return b.holdsCells(d.HomeCell, d.CellSpan, f.Cells)
@@ -76,7 +76,8 @@
 	return ok
 }
 
-// worth of a second of a demand's session at a box and rung of worth 1: less where its viewers cross zones.
+// sessionWorth returns the worth of a second of a demand's session on a box at a rung of worth 1. It is lower where
+// viewers cross zones.
 func (f *Fleet) sessionWorth(d *Demand, b *Box) float64 {
 	if d.HasZone && d.Zone != b.Zone {
 		return d.Worth * (1 - f.CrossZoneCost)
@@ -84,7 +85,7 @@
 	return d.Worth
 }
 
-// offer is the place of a box among a demand's offers; -1 where it has the title, or none is offered there.
+// offerIndex returns the index of a box among a demand's offers, or -1 if the box has the title or no offer.
 func (f *Fleet) offerIndex(d *Demand, b *Box) int {
 	if len(d.Offers) == 0 || f.holdsTitle(d, b) {
 		return -1
@@ -92,41 +93,42 @@
 	return slices.IndexFunc(d.Offers, func(o CopyOffer) bool { return o.Box == b.ID })
 }
 
-// Hold is room on a box for one title of a peak. Rate in kB/s.
+// Hold is capacity on a box that is reserved for one title of a peak. Rate is in kB/s.
 type Hold struct {
 	Peak, Title, Box string
 	Class            int
 	Rate, Streams    float64
 }
 
-// Plan is a set of holds with what it is thought to be worth, in worth a second.
+// Plan is a set of holds and its expected worth per second.
 type Plan struct {
 	Holds []Hold
 	Value float64
 	By    string // "lp" or "greedy"
 	Took  time.Duration
 	Buys  []SelectedOffer
-	Net   float64 // Value less what the room would earn others and what copies cost, of the linear program
+	Net   float64 // objective of the linear program: Value minus the price of the capacity and the cost of copies
 }
 
+// Parameters of plans.
 const (
-	MaxUtilization      = 0.88 // part of links and uplinks that plans fill, as the module fills them
-	maxStepDownShare    = 0.5  // of what plays on a box may be asked to step down for a hold, at the most
-	copyImpactShare     = 0.1  // of a copy's rate is felt by viewers all the same: yielding takes a moment
-	stepDownPriceFactor = 1.2  // a kB/s taken from those playing costs so many times what it earned: switches cost too
+	MaxUtilization      = 0.88 // share of links and uplinks that plans use, the same as the module uses
+	maxStepDownShare    = 0.5  // maximum share of a box's link load that may step down for a hold
+	copyImpactShare     = 0.1  // share of a copy's rate that viewers lose, because copies yield to them with a delay
+	stepDownPriceFactor = 1.2  // cost of a kB/s taken from sessions relative to its worth: rung switches cost too
 )
 
-// room is what a plan may use of a box's link without anyone stepping down, and of its streams.
+// freeCapacity returns the link rate that a plan may use without any session stepping down, and the free streams.
 func (b *Box) freeCapacity() (link, streams float64) {
 	return max(MaxUtilization*b.LinkCapacity*b.RampShare-b.LinkLoad, 0), max(b.MaxStreams*b.RampShare-b.ActiveSessions, 0)
 }
 
-// holds tells whether a box has a title.
+// holdsCells reports whether a box's cell is one of the cellSpan cells from homeCell on.
 func (b *Box) holdsCells(homeCell, cellSpan, cells int) bool {
 	return cells <= 0 || ((b.Cell-homeCell)%cells+cells)%cells < cellSpan
 }
 
-// count is the demand within its seats.
+// sessionsWithinSeats returns the sessions of a demand, limited by the seats of its class.
 func (f *Fleet) sessionsWithinSeats(d *Demand) float64 {
 	n := max(d.Sessions, 0)
 	if seats := f.Classes[d.Class].Seats; seats > 0 {
@@ -135,11 +137,13 @@
 	return n
 }
 
+// sessionRate returns the rate in kB/s of a demand's session at a rung.
 func (f *Fleet) sessionRate(d *Demand, rung int) float64 {
 	return f.Ladder[rung] * f.Classes[d.Class].RateFactor
 }
 
-// stepPrice is the worth that a kB/s earns where those playing would give it up: the cheapest step.
+// stepDownPrice returns the price of a kB/s that playing sessions give up: the worth per kB/s of the cheapest step
+// between two rungs, times stepDownPriceFactor.
 func (f *Fleet) stepDownPrice() float64 {
 	if f.NoCompetingLoad {
 		return 0
@@ -153,11 +157,12 @@
 	return stepDownPriceFactor * lowest
 }
 
-// Wanted is a demand's count within its seats.
+// SessionsWithinSeats returns the sessions of a demand, limited by the seats of its class.
 func (f *Fleet) SessionsWithinSeats(d *Demand) float64 { return f.sessionsWithinSeats(d) }
 
-// CopyPrice is the worth of a kB that copying takes from viewers. Copies are lower effort and get what viewers
-// leave, on two links; what they still cost is taken as a part that grows with how full links are.
+// CopyPricePerKB returns the worth that viewers lose per kB copied. Copies are transferred at a lower priority and use
+// capacity that viewers leave, on two links. The remaining cost is modelled as a share that grows with the utilization
+// of the links.
 func (f *Fleet) CopyPricePerKB() float64 {
 	totalLoad, totalLink := 0.0, 0.0
 	for _, b := range f.Boxes {
@@ -166,7 +171,7 @@
 	return 2 * copyImpactShare * f.stepDownPrice() * min(totalLoad/max(totalLink, 1e-9), 1)
 }
 
-// EvenRung is the rung that an hour's sessions would have if they and all that plays shared all links evenly.
+// EvenShareRung returns the rung of a demand's sessions if they and all playing sessions shared all links evenly.
 func (f *Fleet) EvenShareRung(d *Demand) int {
 	totalLink, sessions := 0.0, d.Sessions
 	for _, b := range f.Boxes {
@@ -180,13 +185,13 @@
 	return rung
 }
 
-// piece is a variable of both plans: sessions of a demand at a box and rung.
+// allocation is a number of sessions of a demand on a box at a rung, a variable of both kinds of plan.
 type allocation struct {
 	demand, box, rung int
 	sessions          float64
 }
 
-// collect makes a plan of pieces.
+// buildPlan combines allocations into a plan.
 func (f *Fleet) buildPlan(demands []Demand, allocations []allocation, method string) *Plan {
 	type key struct{ demand, box int }
 	holds := map[key]*Hold{}
@@ -213,13 +218,15 @@
 	return plan
 }
 
-// left is what a greedy plan has still to give.
+// remainingCapacity is the capacity that a greedy plan has not allocated yet: by box for links and streams, by rack for
+// uplinks.
 type remainingCapacity struct {
 	links, streams, racks []float64
 }
 
-// Greedy is the plan to beat: demands by their worth, each shared out over its holders, those with most
-// room first, all at their lowest rung, and then raised rung by rung while room is left. Nobody steps down.
+// SolveGreedy returns the baseline plan. Demands are placed in order of their worth, each on its holders with the most
+// free capacity first, all at their lowest rung. Then they are raised rung by rung while capacity is left. No playing
+// session steps down.
 func SolveGreedy(fleet *Fleet, demands []Demand) *Plan {
 	remaining := remainingCapacity{racks: make([]float64, len(fleet.Uplinks))}
 	for r, u := range fleet.Uplinks {
@@ -247,7 +254,7 @@
 	return fleet.buildPlan(demands, allocations, "greedy")
 }
 
-// lowest places one session after the other at the holder with most room.
+// placeAtFloor places the sessions of a demand one by one, each on the holder with the most free link capacity.
 func (f *Fleet) placeAtFloor(demand *Demand, index int, remaining *remainingCapacity) (out []allocation) {
 	allocationOfBox := map[int]int{}
 	floor := f.Classes[demand.Class].FloorRung
@@ -256,7 +263,8 @@
 		amount, best := min(unplaced, 1), -1
 		for b := range f.Boxes {
 			box := &f.Boxes[b]
-			if f.holdsTitle(demand, box) && remaining.links[b] >= amount*sessionRate && remaining.streams[b] >= amount && remaining.racks[box.Rack] >= amount*sessionRate &&
+			if f.holdsTitle(demand, box) && remaining.links[b] >= amount*sessionRate &&
+				remaining.streams[b] >= amount && remaining.racks[box.Rack] >= amount*sessionRate &&
 				(best < 0 || f.prefersBox(demand, box, &f.Boxes[best], remaining.links[b] > remaining.links[best])) {
 				best = b
 			}
@@ -264,7 +272,9 @@
 		if best < 0 {
 			break
 		}
-		remaining.links[best], remaining.streams[best], remaining.racks[f.Boxes[best].Rack] = remaining.links[best]-amount*sessionRate, remaining.streams[best]-amount, remaining.racks[f.Boxes[best].Rack]-amount*sessionRate
+		remaining.links[best], remaining.streams[best], remaining.racks[f.Boxes[best].Rack] =
+			remaining.links[best]-amount*sessionRate, remaining.streams[best]-amount,
+			remaining.racks[f.Boxes[best].Rack]-amount*sessionRate
 		i, ok := allocationOfBox[best]
 		if !ok {
 			i = len(out)
@@ -275,7 +285,7 @@
 	return out
 }
 
-// nearer tells whether box a is before b for a demand: those of its zone first, then by what else tells them apart.
+// prefersBox reports whether a demand prefers box a to box b: boxes of its zone first, otherwise by the given result.
 func (f *Fleet) prefersBox(d *Demand, a, b *Box, otherwise bool) bool {
 	if aInZone, bInZone := a.Zone == d.Zone, b.Zone == d.Zone; d.HasZone && f.CrossZoneCost > 0 && aInZone != bInZone {
 		return aInZone
@@ -283,16 +293,18 @@
 	return otherwise
 }
 
-// raise moves all of a demand's sessions at a box up while there is room for all of them.
+// raiseRungs raises all of a demand's sessions on a box together, as long as there is capacity for all of them.
 func (f *Fleet) raiseRungs(demand *Demand, index int, allocations []allocation, remaining *remainingCapacity) {
 	for i := range allocations {
 		placed := &allocations[i]
 		for placed.demand == index && placed.rung < f.Classes[demand.Class].TopRung {
 			extraRate := placed.sessions * (f.sessionRate(demand, placed.rung+1) - f.sessionRate(demand, placed.rung))
-			if rack := f.Boxes[placed.box].Rack; extraRate > remaining.links[placed.box] || extraRate > remaining.racks[rack] {
+			if rack := f.Boxes[placed.box].Rack; extraRate > remaining.links[placed.box] ||
+				extraRate > remaining.racks[rack] {
 				break
 			} else {
-				remaining.links[placed.box], remaining.racks[rack] = remaining.links[placed.box]-extraRate, remaining.racks[rack]-extraRate
+				remaining.links[placed.box], remaining.racks[rack] = remaining.links[placed.box]-extraRate,
+					remaining.racks[rack]-extraRate
 			}
 			placed.rung++
 		}
