--- a/bench/reload_test.go
+++ b/bench/reload_test.go
@@ -1,6 +1,6 @@
-// Package bench compares the edge's media playlist reloads with the same body served by net/http, by
-// fasthttp and by a bare loop with a fixed answer, over one keep-alive connection on loopback. It is a
-// module of its own, so that the peers are no dependencies of the product.
+// Package bench compares media playlist reloads served by the edge with the same body served by net/http, by
+// fasthttp and by a bare loop that writes a fixed answer, over one keep-alive loopback connection. It is a separate
+// module so that fasthttp is not a dependency of the main module.
 package bench
 
 import (
@@ -26,6 +26,7 @@
 	"rainpulley/internal/standin"
 )
 
+// listen returns a listener on a free loopback port.
 func listen(b testing.TB) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,13 +35,14 @@
 	return l
 }
 
-func free(b testing.TB) string {
+// freeAddr returns a free loopback address.
+func freeAddr(b testing.TB) string {
 	l := listen(b)
 	defer l.Close()
 	return l.Addr().String()
 }
 
-// client sends one request again and again and reads the answers without allocating.
+// client sends the same request repeatedly and reads the answers without allocating.
 type client struct {
 	conn    net.Conn
 	r       *bufio.Reader
@@ -71,7 +73,7 @@
 			b.Fatal(err)
 		}
 		if first && !bytes.HasPrefix(line, []byte("HTTP/1.1 200")) {
-			b.Fatalf("%s", line)
+			b.Fatalf("status line is %q, want status 200", line)
 		}
 		if len(line) == 2 {
 			break
@@ -84,7 +86,7 @@
 		}
 	}
 	if n < 0 {
-		b.Fatal("no length")
+		b.Fatal("answer without Content-Length")
 	}
 	if _, err := io.ReadFull(c.r, c.body[:n]); err != nil {
 		b.Fatal(err)
@@ -92,22 +94,22 @@
 	return c.body[:n]
 }
 
-func sec(s float64) config.Duration { return config.Duration(s * float64(time.Second)) }
+func seconds(s float64) config.Duration { return config.Duration(s * float64(time.Second)) }
 
-// startEdge plays one long session, and returns the edge's address and the path of its media playlist.
-// What is published is as much from the first reload on.
+// startEdge starts an edge with one long session, and returns the edge's address and the path of the media playlist.
+// The playlist has its full length from the first reload on.
 func startEdge(b testing.TB) (addr, path string) {
 	s := &config.Site{Zones: []string{"z"}, Cells: 1, Racks: 1, Kinds: []config.Kind{{Name: "k", Streams: 20}},
 		Ladder: []config.Rung{{Rate: 300, Worth: 1}}, Links: config.Links{PerWeight: 20000, Uplink: 20000},
-		Classes:  []config.Class{{Name: "play", Effect: "repeatable", Aim: sec(1), Deadline: sec(4), Worth: 1}},
-		Rules:    config.Rules{DrainGrace: sec(1), AnswerSlack: sec(0.04)},
-		Attempts: config.Attempts{Most: 5, ConnectTimeout: sec(0.25)}, Notes: config.Notes{Reports: "answers"},
-		Planner:  config.Planner{Listen: free(b), CheckEvery: sec(0.05), CheckFor: sec(1), GoneAfter: 3},
-		Playback: config.Playback{Ahead: sec(9), Behind: sec(1), Silence: sec(600)},
+		Classes:  []config.Class{{Name: "play", Effect: "repeatable", Aim: seconds(1), Deadline: seconds(4), Worth: 1}},
+		Rules:    config.Rules{DrainGrace: seconds(1), AnswerSlack: seconds(0.04)},
+		Attempts: config.Attempts{Most: 5, ConnectTimeout: seconds(0.25)}, Notes: config.Notes{Reports: "answers"},
+		Planner:  config.Planner{Listen: freeAddr(b), CheckEvery: seconds(0.05), CheckFor: seconds(1), GoneAfter: 3},
+		Playback: config.Playback{Ahead: seconds(9), Behind: seconds(1), Silence: seconds(600)},
 		Limits:   config.Limits{Connections: 100, Sessions: 100, Queue: 64},
-		Titles:   []config.Title{{Name: "clip", Span: 1, Length: sec(3600)}},
-		Boxes:    []config.Box{{Addr: free(b), Zone: "z", Kind: "k", Weight: 1}},
-		Edges:    []config.Edge{{Zone: "z", Listen: free(b)}}}
+		Titles:   []config.Title{{Name: "clip", Span: 1, Length: seconds(3600)}},
+		Boxes:    []config.Box{{Addr: freeAddr(b), Zone: "z", Kind: "k", Weight: 1}},
+		Edges:    []config.Edge{{Zone: "z", Listen: freeAddr(b)}}}
 	ctx, stop := context.WithCancel(context.Background())
 	log := slog.New(slog.DiscardHandler)
 	f := standin.NewFleet(s, audit.NewLog(), 1)
@@ -118,10 +120,10 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	over := make(chan struct{}, 2)
-	go func() { _ = planner.New(planner.Options{Site: s, Log: log}).Run(ctx); over <- struct{}{} }()
-	go func() { _ = e.Run(ctx); over <- struct{}{} }()
-	b.Cleanup(func() { stop(); <-over; <-over; f.Wait() })
+	done := make(chan struct{}, 2)
+	go func() { _ = planner.New(planner.Options{Site: s, Log: log}).Run(ctx); done <- struct{}{} }()
+	go func() { _ = e.Run(ctx); done <- struct{}{} }()
+	b.Cleanup(func() { stop(); <-done; <-done; f.Wait() })
 	addr = s.Edges[0].Listen
 	for range 200 {
 		if r, err := http.Get("http://" + addr + "/play/clip/index.m3u8?key=bench"); err == nil {
@@ -135,11 +137,11 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	b.Fatal("no session")
+	b.Fatal("no session started within 200 requests")
 	return "", ""
 }
 
-const kind = "application/vnd.apple.mpegurl"
+const contentType = "application/vnd.apple.mpegurl"
 
 func BenchmarkReload(b *testing.B) {
 	addr, path := startEdge(b)
@@ -148,7 +150,7 @@
 	std := listen(b)
 	stdServer := &http.Server{ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, WriteTimeout: 10 * time.Second,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Type", kind)
+			w.Header().Set("Content-Type", contentType)
 			w.Header().Set("Cache-Control", "no-store")
 			w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 			_, _ = w.Write(body)
@@ -159,7 +161,7 @@
 	fast := listen(b)
 	fastServer := &fasthttp.Server{ReadTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, WriteTimeout: 10 * time.Second,
 		Handler: func(c *fasthttp.RequestCtx) {
-			c.SetContentType(kind)
+			c.SetContentType(contentType)
 			c.Response.Header.Set("Cache-Control", "no-store")
 			c.SetBody(body)
 		}}
@@ -168,7 +170,7 @@
 
 	bare := listen(b)
 	answer := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: %s\r\nCache-Control: no-store\r\nAccess-Control-Allow-Origin: *\r\nContent-Length: %d\r\n\r\n%s",
-		kind, len(body), body)
+		contentType, len(body), body)
 	go bareLoop(bare, answer)
 	defer bare.Close()
 
@@ -186,7 +188,8 @@
 	}
 }
 
-// bareLoop reads up to the empty line and writes a fixed answer: what the loop on net and bufio costs alone.
+// bareLoop reads each request up to its empty line and writes a fixed answer. It measures the cost of net and bufio
+// alone.
 func bareLoop(ln net.Listener, answer []byte) {
 	for {
 		c, err := ln.Accept()
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -17,9 +17,10 @@
 			BudgetSpan: d(10), BudgetFree: 1, BudgetShare: 0.5}}
 }
 
-// run is the entries of a day in order; each has its second.
+// timeline is the entries of a run. Its methods return it with entries appended.
 type timeline []Entry
 
+// at appends an entry at a time in seconds.
 func (r timeline) at(seconds float64, e Entry) timeline {
 	e.TimeMicros = int64(seconds * 1e6)
 	return append(r, e)
@@ -38,7 +39,7 @@
 	return e
 }
 
-// attempt is one that ran.
+// withAttempt appends a set-up attempt that ran.
 func (r timeline) withAttempt(from, to float64, box, id string, attempt int) timeline {
 	return r.at(from, boxEntry(SetUpReceived, box, id, attempt)).at(to, modified(boxEntry(SetUpEnded, box, id, attempt), func(e *Entry) { e.Text = "playing" }))
 }
@@ -47,7 +48,7 @@
 	return Entry{Observer: "relay", Subject: box, Event: StatePublished, Edge: edge, Text: state}
 }
 
-// Each planted breach is named with its rule, box and session; beside it stands the same day without it.
+// Judge reports each breach with its rule, box and session, and reports none for similar runs without the breach.
 func TestJudgeFindsBreaches(t *testing.T) {
 	atMostOnce := func(e *Entry) { e.Class = "paid" }
 	base := timeline{}.at(0, viewerEntry(RequestSent, "q")).withAttempt(0.1, 0.2, "b1", "s1", 0).at(0.3, viewerEntry(AnswerReceived, "q"))
@@ -55,58 +56,58 @@
 		name, rule, box, session string
 		day                      timeline
 	}{
-		{"quiet", "", "", "", base},
+		{"no breach", "", "", "", base},
 		{"no answer", NoSessionLost, "", "q2", base.at(1, viewerEntry(RequestSent, "q2"))},
 		{"no answer, edge killed", "", "", "", base.at(1, viewerEntry(RequestSent, "q2")).at(2, Entry{Observer: "script", Subject: "0", Event: EdgeKilled}).at(2, viewerEntry(Unanswered, "q2"))},
 		{"another edge killed", NoSessionLost, "", "q2", base.at(1, viewerEntry(RequestSent, "q2")).at(2, Entry{Observer: "script", Subject: "1", Event: EdgeKilled}).at(2, viewerEntry(Unanswered, "q2"))},
 		{"late answer", NoSessionLost, "", "q2", base.at(1, viewerEntry(RequestSent, "q2")).at(5.3, viewerEntry(AnswerReceived, "q2"))},
-		{"answer in the slack", "", "", "", base.at(1, viewerEntry(RequestSent, "q2")).at(5.1, viewerEntry(AnswerReceived, "q2"))},
-		{"gave up early", "", "", "", base.at(1, viewerEntry(RequestSent, "q2")).at(3, viewerEntry(ViewerGaveUp, "q2"))},
-		{"gave up unanswered", NoSessionLost, "", "q2", base.at(1, viewerEntry(RequestSent, "q2")).at(9, viewerEntry(ViewerGaveUp, "q2"))},
+		{"answer within the tolerance", "", "", "", base.at(1, viewerEntry(RequestSent, "q2")).at(5.1, viewerEntry(AnswerReceived, "q2"))},
+		{"gave up before the deadline", "", "", "", base.at(1, viewerEntry(RequestSent, "q2")).at(3, viewerEntry(ViewerGaveUp, "q2"))},
+		{"gave up after the deadline", NoSessionLost, "", "q2", base.at(1, viewerEntry(RequestSent, "q2")).at(9, viewerEntry(ViewerGaveUp, "q2"))},
 		{"two answers", NoSessionLost, "", "q", base.at(0.4, viewerEntry(AnswerReceived, "q"))},
 		{"bytes after the answer", NoSessionLost, "", "q", base.at(0.4, viewerEntry(ExtraBytes, "q"))},
-		{"overlap", NoDuplicateSetUp, "b2", "s2", base.at(1, boxEntry(SetUpReceived, "b1", "s2", 0)).withAttempt(1.5, 1.6, "b2", "s2", 1).at(2, boxEntry(SetUpEnded, "b1", "s2", 0))},
-		{"never over", NoDuplicateSetUp, "b2", "s2", base.at(1, boxEntry(SetUpReceived, "b1", "s2", 0)).withAttempt(1.5, 1.6, "b2", "s2", 1)},
-		{"one after the other", "", "", "", base.withAttempt(1, 1.5, "b1", "s2", 0).withAttempt(1.5, 1.6, "b2", "s2", 1)},
-		{"paid again", NoDuplicateSetUp, "b2", "s2", base.at(1, modified(boxEntry(SetUpReceived, "b1", "s2", 0), atMostOnce)).at(1.1, modified(boxEntry(SetUpEnded, "b1", "s2", 0), atMostOnce)).
+		{"overlapping attempts", NoDuplicateSetUp, "b2", "s2", base.at(1, boxEntry(SetUpReceived, "b1", "s2", 0)).withAttempt(1.5, 1.6, "b2", "s2", 1).at(2, boxEntry(SetUpEnded, "b1", "s2", 0))},
+		{"attempt without an end", NoDuplicateSetUp, "b2", "s2", base.at(1, boxEntry(SetUpReceived, "b1", "s2", 0)).withAttempt(1.5, 1.6, "b2", "s2", 1)},
+		{"consecutive attempts", "", "", "", base.withAttempt(1, 1.5, "b1", "s2", 0).withAttempt(1.5, 1.6, "b2", "s2", 1)},
+		{"at-most-once set-up sent again", NoDuplicateSetUp, "b2", "s2", base.at(1, modified(boxEntry(SetUpReceived, "b1", "s2", 0), atMostOnce)).at(1.1, modified(boxEntry(SetUpEnded, "b1", "s2", 0), atMostOnce)).
 			at(1.2, modified(boxEntry(SetUpReceived, "b2", "s2", 1), atMostOnce)).at(1.3, modified(boxEntry(SetUpEnded, "b2", "s2", 1), atMostOnce))},
-		{"paid again after never", "", "", "", base.at(1, modified(boxEntry(SetUpReceived, "b1", "s2", 0), atMostOnce)).at(1.1, modified(boxEntry(SetUpNotRun, "b1", "s2", 0), atMostOnce)).
+		{"at-most-once set-up sent again after one that did not run", "", "", "", base.at(1, modified(boxEntry(SetUpReceived, "b1", "s2", 0), atMostOnce)).at(1.1, modified(boxEntry(SetUpNotRun, "b1", "s2", 0), atMostOnce)).
 			at(1.1, modified(boxEntry(SetUpEnded, "b1", "s2", 0), atMostOnce)).at(1.2, modified(boxEntry(SetUpReceived, "b2", "s2", 1), atMostOnce)).at(1.3, modified(boxEntry(SetUpEnded, "b2", "s2", 1), atMostOnce))},
-		{"draining", DrainsRespected, "b1", "s2", base.at(1, stateEntry("0", "b1", "draining")).withAttempt(2.2, 2.3, "b1", "s2", 0)},
-		{"gone, told again as draining", DrainsRespected, "b1", "s2", base.at(1, stateEntry("0", "b1", "draining")).at(2, stateEntry("0", "b1", "gone")).withAttempt(2.2, 2.3, "b1", "s2", 0)},
-		{"draining, within the grace", "", "", "", base.at(1, stateEntry("0", "b1", "draining")).withAttempt(1.9, 2, "b1", "s2", 0)},
-		{"draining, told another edge", "", "", "", base.at(1, stateEntry("1", "b1", "draining")).withAttempt(3, 3.1, "b1", "s2", 0)},
+		{"set-up on a draining box", DrainsRespected, "b1", "s2", base.at(1, stateEntry("0", "b1", "draining")).withAttempt(2.2, 2.3, "b1", "s2", 0)},
+		{"gone after draining", DrainsRespected, "b1", "s2", base.at(1, stateEntry("0", "b1", "draining")).at(2, stateEntry("0", "b1", "gone")).withAttempt(2.2, 2.3, "b1", "s2", 0)},
+		{"draining, within the grace period", "", "", "", base.at(1, stateEntry("0", "b1", "draining")).withAttempt(1.9, 2, "b1", "s2", 0)},
+		{"draining, reported to another edge", "", "", "", base.at(1, stateEntry("1", "b1", "draining")).withAttempt(3, 3.1, "b1", "s2", 0)},
 		{"draining, ready again", "", "", "", base.at(1, stateEntry("0", "b1", "draining")).at(2, stateEntry("0", "b1", "ready")).withAttempt(3, 3.1, "b1", "s2", 0)},
-		{"fell", ColdBoxesProtected, "b1", "", base.at(1, Entry{Observer: "box", Subject: "b1", Event: BoxOverloaded})},
-		{"floor", ClassTermsRespected, "b1", "s2", base.at(1, modified(boxEntry(RungSet, "b1", "s2", 0), func(e *Entry) { e.Rung = 0 }))},
-		{"seats", ClassTermsRespected, "b2", "s3", base.withAttempt(1, 1.1, "b1", "s2", 0).withAttempt(2, 2.1, "b2", "s3", 0)},
+		{"cold box crashed", ColdBoxesProtected, "b1", "", base.at(1, Entry{Observer: "box", Subject: "b1", Event: BoxOverloaded})},
+		{"rung below the floor", ClassTermsRespected, "b1", "s2", base.at(1, modified(boxEntry(RungSet, "b1", "s2", 0), func(e *Entry) { e.Rung = 0 }))},
+		{"more sessions than seats", ClassTermsRespected, "b2", "s3", base.withAttempt(1, 1.1, "b1", "s2", 0).withAttempt(2, 2.1, "b2", "s3", 0)},
 		{"seats of another edge", "", "", "", base.withAttempt(1, 1.1, "b1", "s2", 0).at(2, modified(boxEntry(SetUpReceived, "b2", "s3", 0), func(e *Entry) { e.Edge = "1.b" }))},
-		{"seat given back", "", "", "", base.withAttempt(1, 1.1, "b1", "s2", 0).at(1.5, boxEntry(SessionEnd, "b1", "s1", 0)).withAttempt(2, 2.1, "b2", "s3", 0)},
-		{"budget", AttemptBudgetRespected, "b2", "s3", base.withAttempt(1, 1.1, "b2", "s1", 1).withAttempt(1.2, 1.3, "b2", "s3", 1)},
-		{"budget, later", "", "", "", base.withAttempt(1, 1.1, "b2", "s1", 1).withAttempt(12, 12.1, "b2", "s3", 1)},
+		{"seat released", "", "", "", base.withAttempt(1, 1.1, "b1", "s2", 0).at(1.5, boxEntry(SessionEnd, "b1", "s1", 0)).withAttempt(2, 2.1, "b2", "s3", 0)},
+		{"attempts beyond the budget", AttemptBudgetRespected, "b2", "s3", base.withAttempt(1, 1.1, "b2", "s1", 1).withAttempt(1.2, 1.3, "b2", "s3", 1)},
+		{"attempts in different windows", "", "", "", base.withAttempt(1, 1.1, "b2", "s1", 1).withAttempt(12, 12.1, "b2", "s3", 1)},
 	} {
 		v := Judge(testSite(), c.day)
 		if c.rule == "" {
 			if len(v.Breaches) > 0 {
-				t.Errorf("%s: %+v", c.name, v.Breaches)
+				t.Errorf("%s: unexpected breaches %+v", c.name, v.Breaches)
 			}
 			continue
 		}
 		if len(v.Breaches) == 0 {
-			t.Errorf("%s: not seen", c.name)
+			t.Errorf("%s: no breach reported", c.name)
 			continue
 		}
 		if b := v.Breaches[len(v.Breaches)-1]; b.Rule != c.rule || b.Box != c.box || b.Session != c.session || b.Reason == "" {
-			t.Errorf("%s: %+v", c.name, b)
+			t.Errorf("%s: reported breach is %+v", c.name, b)
 		}
 		if got := v.BrokenRules(); len(got) != 1 || got[0] != c.rule {
-			t.Errorf("%s: broken %v", c.name, got)
+			t.Errorf("%s: broken rules are %v, want only the rule of the case", c.name, got)
 		}
 	}
 }
 
-// A cold box with 20 streams and a ramp of 10 s stands 2/s at warm, half at its start: twice that for a
-// second is 2 set-ups, and 3 for chance.
+// A box with 20 stream slots and a slow start of 10 s has a ramp rate of 2 set-ups/s at the end and half of it at
+// the start. A burst factor of 2 over 1 s allows 2 set-ups at the start, plus 3 for random variation.
 func TestSlowStartLimit(t *testing.T) {
 	start := timeline{}.at(0, Entry{Observer: "box", Subject: "b", Event: BoxStarted, Value: 20})
 	burst := func(r timeline, n int, from float64) timeline {
@@ -119,10 +120,10 @@
 		name string
 		day  timeline
 		bad  bool
-	}{{"few", burst(start, 5, 0.1), false}, {"many", burst(start, 6, 0.1), true}, {"warmer", burst(start, 6, 9), false},
-		{"warm", burst(start, 20, 11), false}, {"was warm", burst(timeline{}.at(0, Entry{Observer: "box", Subject: "b", Event: BoxStarted, Value: 20, Text: "warm"}), 9, 0.1), false}} {
+	}{{"within the limit", burst(start, 5, 0.1), false}, {"beyond the limit", burst(start, 6, 0.1), true}, {"late in the slow start", burst(start, 6, 9), false},
+		{"after the slow start", burst(start, 20, 11), false}, {"started warm", burst(timeline{}.at(0, Entry{Observer: "box", Subject: "b", Event: BoxStarted, Value: 20, Text: "warm"}), 9, 0.1), false}} {
 		if v := Judge(testSite(), c.day); (len(v.Breaches) > 0) != c.bad {
-			t.Errorf("%s: %+v", c.name, v.Breaches)
+			t.Errorf("%s: breaches are %+v", c.name, v.Breaches)
 		}
 	}
 }
@@ -135,7 +136,7 @@
 	}
 	read, err := Read(&b)
 	if err != nil || !reflect.DeepEqual([]Entry(entries), read) {
-		t.Errorf("%v %v", read, err)
+		t.Errorf("read %v, %v, want the entries written", read, err)
 	}
 	if _, err := Read(strings.NewReader("{\"t\":1}\n{")); err == nil || !strings.Contains(err.Error(), "entry 2") {
 		t.Error(err)
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -10,7 +10,7 @@
 	"rainpulley/internal/config"
 )
 
-// Breach is one breaking of a rule.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule       string `json:"rule"`
 	TimeMicros int64  `json:"t"`
@@ -19,9 +19,9 @@
 	Reason     string `json:"why"`
 }
 
-// Verdict is what became of each rule.
+// Verdict is the result of checking a run against the rules.
 type Verdict struct {
-	Checks              map[string]int `json:"checks"` // how often each rule was checked
+	Checks              map[string]int `json:"checks"` // number of checks by rule
 	Breaches            []Breach       `json:"breaches"`
 	OverlappingAttempts int            `json:"overlapping_attempts"`
 	DuplicateOutcomes   int            `json:"double_outcomes"`
@@ -37,12 +37,13 @@
 	AttemptBudgetRespected = "attempt budget kept"
 )
 
-// Rules are all of them, in their order.
+// Rules returns the names of all rules in a fixed order.
 func Rules() []string {
-	return []string{NoSessionLost, NoDuplicateSetUp, DrainsRespected, ColdBoxesProtected, ClassTermsRespected, AttemptBudgetRespected}
+	return []string{NoSessionLost, NoDuplicateSetUp, DrainsRespected, ColdBoxesProtected, ClassTermsRespected,
+		AttemptBudgetRespected}
 }
 
-// Broken are the rules that were broken.
+// BrokenRules returns the names of the rules with breaches, in the order of Rules.
 func (v *Verdict) BrokenRules() []string {
 	out := []string{}
 	for _, r := range Rules() {
@@ -53,21 +54,22 @@
 	return out
 }
 
-// Tolerances: logs are written by several goroutines on both sides of a socket, so two entries of one
-// moment may stand in either order. All in microseconds.
+// Tolerances in microseconds. Several goroutines on both ends of a socket write the logs, so entries of
+// simultaneous events may be in either order.
 const (
-	orderSlack   = 30_000  // between a close at one end and its notice at the other
-	answerSlack  = 150_000 // beside the site's own: scheduling of a busy machine
-	budgetSlack  = 150_000 // an edge takes a request so long after its viewer sent it, a box logs an attempt so long after it went
+	orderSlack   = 30_000  // from the close of a connection at one end to its detection at the other
+	answerSlack  = 150_000 // added to the site's AnswerSlack for scheduling delays on a busy machine
+	budgetSlack  = 150_000 // from a viewer's request to its acceptance, and from an attempt to the box's log
 	publishSlack = 100_000 // from the relay's write to the edge's read
 )
 
-// checker goes through a run.
+// checker collects the verdict of a run.
 type checker struct {
 	site    *config.Site
 	verdict *Verdict
 }
 
+// addBreach records a breach at entry e.
 func (c *checker) addBreach(rule string, e Entry, format string, args ...any) {
 	box := e.Subject
 	if e.Observer != "box" && e.Observer != "relay" {
@@ -82,7 +84,7 @@
 
 func (c *checker) countCheck(rule string) { c.verdict.Checks[rule]++ }
 
-// Judge goes through a run's entries.
+// Judge checks the entries of a run against all rules. The entries may be in any order.
 func Judge(site *config.Site, entries []Entry) *Verdict {
 	c := &checker{site, &Verdict{Checks: map[string]int{}, Breaches: []Breach{}}}
 	ordered := slices.Clone(entries)
@@ -96,13 +98,14 @@
 	return c.verdict
 }
 
+// edgePosition returns the position of an edge given as "position.instance" or "position".
 func edgePosition(edge string) string {
 	p, _, _ := strings.Cut(edge, ".")
 	return p
 }
 
-// answers: every request that a running edge took has one answer, in time. None is owed where the viewer
-// hung up before its time was over, or the edge was killed.
+// checkAnswers checks that every request accepted by a running edge gets exactly one answer by its deadline. No answer
+// is due if the viewer disconnected before the deadline, or if the edge was killed.
 func (c *checker) checkAnswers(entries []Entry) {
 	openRequests := map[string]Entry{}
 	killTimes := map[string][]int64{}
@@ -126,13 +129,15 @@
 			delete(openRequests, e.Session)
 			c.countCheck(NoSessionLost)
 			lateness := e.TimeMicros - req.TimeMicros - int64(req.Value*1e6) - c.site.Rules.AnswerSlack.Std().Microseconds() - answerSlack
-			killed := slices.ContainsFunc(killTimes[edgePosition(req.Edge)], func(t int64) bool { return t >= req.TimeMicros-orderSlack && t <= e.TimeMicros+orderSlack })
+			killed := slices.ContainsFunc(killTimes[edgePosition(req.Edge)], func(t int64) bool {
+				return t >= req.TimeMicros-orderSlack && t <= e.TimeMicros+orderSlack
+			})
 			switch {
 			case e.Event == Unanswered && !killed:
 				c.addBreach(NoSessionLost, e, "the connection ended without an answer")
 			case e.Event == AnswerReceived && lateness > 0:
 				c.addBreach(NoSessionLost, e, "answered %d ms too late", lateness/1000)
-			case e.Event == ViewerGaveUp && lateness > 0 && !killed: // it hung up because nothing had come in time
+			case e.Event == ViewerGaveUp && lateness > 0 && !killed: // no answer came by the deadline
 				c.addBreach(NoSessionLost, e, "no answer when the viewer gave up, %d ms past its time", lateness/1000)
 			}
 		}
@@ -146,12 +151,13 @@
 	}
 }
 
-// setups: attempts of one session never overlap, and a paid one goes out again only if no earlier one ran.
+// checkSetUps checks that attempts of one session never overlap, and that an at-most-once set-up is sent again only if
+// no earlier attempt can have run.
 func (c *checker) checkSetUps(entries []Entry) {
 	type setUpAttempt struct {
 		Entry
-		over  int64
-		never bool
+		endedAt int64
+		notRun  bool
 	}
 	attemptsBySession := map[string][]*setUpAttempt{}
 	find := func(e Entry) *setUpAttempt {
@@ -171,11 +177,11 @@
 			attemptsBySession[e.Session] = append(attemptsBySession[e.Session], &setUpAttempt{Entry: e})
 		case SetUpEnded:
 			if attempt := find(e); attempt != nil {
-				attempt.over = e.TimeMicros
+				attempt.endedAt = e.TimeMicros
 			}
 		case SetUpNotRun:
 			if attempt := find(e); attempt != nil {
-				attempt.never = true
+				attempt.notRun = true
 			}
 		}
 	}
@@ -184,18 +190,21 @@
 		for i, attempt := range attempts {
 			c.countCheck(NoDuplicateSetUp)
 			for _, earlier := range attempts[:i] {
-				if earlier.over == 0 || earlier.over > attempt.TimeMicros+orderSlack {
+				if earlier.endedAt == 0 || earlier.endedAt > attempt.TimeMicros+orderSlack {
 					c.verdict.OverlappingAttempts++
-					c.addBreach(NoDuplicateSetUp, attempt.Entry, "attempt %d goes out while attempt %d is out at %s", attempt.Attempt, earlier.Attempt, earlier.Subject)
+					c.addBreach(NoDuplicateSetUp, attempt.Entry, "attempt %d goes out while attempt %d is out at %s",
+						attempt.Attempt, earlier.Attempt, earlier.Subject)
 				}
-				if c.classEffect(attempt.Class) == "paid" && !earlier.never {
-					c.addBreach(NoDuplicateSetUp, attempt.Entry, "paid set-up sent again: attempt %d at %s may have run", earlier.Attempt, earlier.Subject)
+				if c.classEffect(attempt.Class) == "paid" && !earlier.notRun {
+					c.addBreach(NoDuplicateSetUp, attempt.Entry, "paid set-up sent again: attempt %d at %s may have run",
+						earlier.Attempt, earlier.Subject)
 				}
 			}
 		}
 	}
 }
 
+// classEffect returns the effect of a class, or "" for an unknown one.
 func (c *checker) classEffect(class string) string {
 	if index := c.site.ClassIndex(class); index >= 0 {
 		return c.site.Classes[index].Effect
@@ -203,7 +212,8 @@
 	return ""
 }
 
-// drains: nothing new to a box later than the grace after the edge was told that it drains or is gone.
+// checkDrains checks that an edge sends no set-up to a box later than the grace period after the planner reported
+// to that edge that the box drains or is gone.
 func (c *checker) checkDrains(entries []Entry) {
 	grace := c.site.Rules.DrainGrace.Std().Microseconds() + publishSlack
 	type key struct{ edge, box string }
@@ -217,7 +227,7 @@
 			} else if !known {
 				notReadySince[k] = e.TimeMicros
 			}
-		case e.Event == EdgeKilled: // what it was told is lost with it; it is told anew
+		case e.Event == EdgeKilled: // the edge lost its state and gets a new report
 			for k := range notReadySince {
 				if k.edge == e.Subject {
 					delete(notReadySince, k)
@@ -232,19 +242,20 @@
 	}
 }
 
-// coldSlack is allowed over the count in any window, for chance.
+// coldSetUpSlack is the number of set-ups allowed in any window beyond the computed limit, for random variation.
 const coldSetUpSlack = 3
 
-// cold: a started box gets set-ups no faster than the stated multiple of its pace, over any window.
+// checkColdBoxes checks that a box in slow start gets set-ups, over any window of FallSpan, at no more than FallFactor
+// times its ramp rate.
 func (c *checker) checkColdBoxes(entries []Entry) {
 	r := c.site.Rules
 	if r.Ramp <= 0 || r.FallSpan <= 0 {
 		return
 	}
 	type box struct {
-		started int64
-		streams float64
-		window  []int64
+		started      int64
+		streams      float64
+		recentSetUps []int64
 	}
 	boxes := map[string]*box{}
 	for _, e := range entries {
@@ -264,23 +275,24 @@
 				continue
 			}
 			c.countCheck(ColdBoxesProtected)
-			b.window = append(b.window, e.TimeMicros)
-			for b.window[0] <= e.TimeMicros-r.FallSpan.Std().Microseconds() {
-				b.window = b.window[1:]
+			b.recentSetUps = append(b.recentSetUps, e.TimeMicros)
+			for b.recentSetUps[0] <= e.TimeMicros-r.FallSpan.Std().Microseconds() {
+				b.recentSetUps = b.recentSetUps[1:]
 			}
 			rampShare := float64(e.TimeMicros-b.started) / float64(r.Ramp.Std().Microseconds())
 			rampRate := b.streams / r.Ramp.Std().Seconds() * (r.StartShare + (1-r.StartShare)*rampShare)
-			if allowed := r.FallFactor*rampRate*r.FallSpan.Std().Seconds() + coldSetUpSlack; float64(len(b.window)) > allowed {
-				c.addBreach(ColdBoxesProtected, e, "%d set-ups in %v, %.1f allowed", len(b.window), r.FallSpan.Std(), allowed)
+			if allowed := r.FallFactor*rampRate*r.FallSpan.Std().Seconds() + coldSetUpSlack; float64(len(b.recentSetUps)) > allowed {
+				c.addBreach(ColdBoxesProtected, e, "%d set-ups in %v, %.1f allowed", len(b.recentSetUps), r.FallSpan.Std(), allowed)
 			}
 		}
 	}
 }
 
-// terms: no rung under a class's floor, and no more sessions of a title and class at one edge than seats.
+// checkClassTerms checks that no rung is below the floor of its class, and that the sessions of a title and class
+// at one edge do not exceed the seats.
 func (c *checker) checkClassTerms(entries []Entry) {
 	type seatKey struct{ edge, title, class string }
-	endTimes := map[seatKey]map[string]int64{} // session to the time from which it may be let go
+	endTimes := map[seatKey]map[string]int64{} // by session; 0 while it runs
 	for _, e := range entries {
 		if e.Observer != "box" {
 			continue
@@ -310,7 +322,8 @@
 			}
 			endTimes[k][e.Session] = 0
 			if len(endTimes[k]) > class.Seats {
-				c.addBreach(ClassTermsRespected, e, "%d sessions of %s in %s at edge %s, seats %d", len(endTimes[k]), e.Title, e.Class, e.Edge, class.Seats)
+				c.addBreach(ClassTermsRespected, e, "%d sessions of %s in %s at edge %s, seats %d",
+					len(endTimes[k]), e.Title, e.Class, e.Edge, class.Seats)
 			}
 		case e.Event == SessionEnd, e.Event == SetUpEnded && e.Text != "playing":
 			if _, ok := endTimes[k][e.Session]; ok {
@@ -320,8 +333,9 @@
 	}
 }
 
-// budget: attempts beyond a session's first, over any window, against requests that the edge took. A
-// request counts for the whole window before and after its answer's travel.
+// checkAttemptBudget checks the number of attempts beyond the first of each session, over any window of BudgetSpan,
+// against the requests that the edge accepted in it. The tolerance widens the window of requests and narrows
+// that of attempts.
 func (c *checker) checkAttemptBudget(entries []Entry) {
 	r := c.site.Rules
 	if r.BudgetSpan <= 0 {
@@ -332,19 +346,22 @@
 	for _, e := range entries {
 		position := edgePosition(e.Edge)
 		switch {
-		case e.Observer == "viewer" && e.Event == RequestSent && e.Text != PlaylistReload: // most reloads are no request to the module
+		// Reloads do not count, because most of them are no request to the controller.
+		case e.Observer == "viewer" && e.Event == RequestSent && e.Text != PlaylistReload:
 			requests[position] = append(dropBefore(requests[position], e.TimeMicros-span-budgetSlack), e.TimeMicros)
 		case e.Observer == "box" && e.Event == SetUpReceived && e.Attempt > 0:
 			c.countCheck(AttemptBudgetRespected)
 			retries[position] = append(dropBefore(retries[position], e.TimeMicros-span+budgetSlack), e.TimeMicros)
 			allowed := r.BudgetFree + r.BudgetShare*float64(len(dropBefore(requests[position], e.TimeMicros-span-budgetSlack)))
 			if float64(len(retries[position])) > allowed {
-				c.addBreach(AttemptBudgetRespected, e, "%d further attempts of edge %s in %v, %.1f allowed", len(retries[position]), position, r.BudgetSpan.Std(), allowed)
+				c.addBreach(AttemptBudgetRespected, e, "%d further attempts of edge %s in %v, %.1f allowed",
+					len(retries[position]), position, r.BudgetSpan.Std(), allowed)
 			}
 		}
 	}
 }
 
+// dropBefore returns the part of ascending times from a time on.
 func dropBefore(times []int64, from int64) []int64 {
 	i := 0
 	for i < len(times) && times[i] < from {
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -1,5 +1,5 @@
-// Package baseline is a policy to compare the module with: a random holder at the class's lowest rung.
-// It serves no viewer outside demos and measurements.
+// Package baseline implements a placement policy to compare the controller with: it selects a random holder at the
+// class's lowest rung. It is used only in demos and measurements.
 package baseline
 
 import (
@@ -11,7 +11,8 @@
 	"rainpulley/control"
 )
 
-// Random sends each request to a random ready holder of its title, once more for those that never ran.
+// Random sends each request to a random ready holder of its title, and retries it once. A request that may have run
+// is retried only if its class is idempotent.
 type Random struct {
 	settings     control.Settings
 	rng          *rand.Rand
@@ -21,18 +22,20 @@
 	retries      int
 }
 
+// openRequest is a request that is not yet served, refused or failed.
 type openRequest struct {
 	control.Request
 	attempts   int
 	mayHaveRun bool
 }
 
-// New makes the policy of one front.
+// New returns the policy of one front.
 func New(settings control.Settings, seed uint64) *Random {
-	return &Random{settings: settings, rng: rand.New(rand.NewPCG(seed, 2)), servers: map[string]control.Server{}, openRequests: map[string]*openRequest{}}
+	return &Random{settings: settings, rng: rand.New(rand.NewPCG(seed, 2)), servers: map[string]control.Server{},
+		openRequests: map[string]*openRequest{}}
 }
 
-// Step takes events and answers with actions, as the module does.
+// Step handles events and returns actions, like the controller.
 func (p *Random) Step(_ time.Duration, events []control.Event) (out []control.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
@@ -63,6 +66,7 @@
 	return out
 }
 
+// trySend sends a request to a random holder, or refuses or fails it.
 func (p *Random) trySend(req *openRequest) []control.Action {
 	class := p.settings.Classes[req.Class]
 	var holders []string
--- a/internal/regret/regret.go
+++ b/internal/regret/regret.go
@@ -1,55 +1,55 @@
-// Package regret splits what a day did not deliver by cause. It takes each viewer's account of its
-// session and gives every second of worth that was asked and not delivered to one cause, so that the parts
-// add up to the whole.
+// Package regret attributes the worth that a run did not deliver to causes. For each viewer's session, it assigns
+// all worth that was asked and not delivered to causes, such that the losses by cause add up to the total loss.
 package regret
 
-// Cause of a loss.
+// Cause is a cause of lost worth.
 type Cause string
 
-// Causes.
+// The causes. The values appear in results.
 const (
-	RefusedCapacityElsewhere Cause = "refused, room elsewhere"    // boxes without the title had room
-	RefusedDespiteHolder     Cause = "refused, a holder had room" // a holder had room in truth: the front did not know, or kept off it
-	RefusedForStreams        Cause = "refused for streams"
-	RefusedForSeats          Cause = "refused for seats"
-	RefusedNoCapacity        Cause = "refused, no room anywhere"
-	LateStart                Cause = "late"   // from a request to its session, without a refusal
-	Interrupted              Cause = "broken" // between a session's loss and the next, and set-ups that failed
-	NotYetRaised             Cause = "climb not yet made"
-	SteppedDown              Cause = "stepped down" // below what it had before and would have again
-	LowShare                 Cause = "lower than its share, no room near"
-	Stalls                   Cause = "stalls"
-	RungChanges              Cause = "switches"
-	Remainder                Cause = "rest" // the end of a session that its viewer gave up, and what rounding leaves
+	RefusedCapacityElsewhere Cause = "refused, room elsewhere"            // only boxes without the title had capacity
+	RefusedDespiteHolder     Cause = "refused, a holder had room"         // a holder had capacity that the front did not know or did not use
+	RefusedForStreams        Cause = "refused for streams"                // no holder had a free stream slot
+	RefusedForSeats          Cause = "refused for seats"                  // all seats of the title and class at the edge were taken
+	RefusedNoCapacity        Cause = "refused, no room anywhere"          // no box had capacity
+	LateStart                Cause = "late"                               // time from a request to its session, without a refusal
+	Interrupted              Cause = "broken"                             // time between two sessions, and time of failed set-ups
+	NotYetRaised             Cause = "climb not yet made"                 // played below a rung that was reached only later
+	SteppedDown              Cause = "stepped down"                       // played below a rung that was reached both before and again later
+	LowShare                 Cause = "lower than its share, no room near" // played below the best rung, which was not reached again
+	Stalls                   Cause = "stalls"                             // time in which playback stalled
+	RungChanges              Cause = "switches"                           // cost of rung changes
+	Remainder                Cause = "rest"                               // the end of sessions that viewers gave up, and rounding errors
 )
 
-// Causes are all of them, in their order.
+// Causes returns all causes in a fixed order.
 func Causes() []Cause {
-	return []Cause{RefusedCapacityElsewhere, RefusedDespiteHolder, RefusedForStreams, RefusedForSeats, RefusedNoCapacity, LateStart, Interrupted, NotYetRaised, SteppedDown, LowShare, Stalls, RungChanges, Remainder}
+	return []Cause{RefusedCapacityElsewhere, RefusedDespiteHolder, RefusedForStreams, RefusedForSeats, RefusedNoCapacity,
+		LateStart, Interrupted, NotYetRaised, SteppedDown, LowShare, Stalls, RungChanges, Remainder}
 }
 
-// Played is a stretch of a session at one rung.
+// PlayedSpan is a time span of a session played at one rung.
 type PlayedSpan struct {
 	Rung    int
 	Seconds float64
 }
 
-// Account is one viewer's session.
+// SessionAccount is what one viewer's session asked for and what it got.
 type SessionAccount struct {
-	BestRung       int
-	WorthPerSecond []float64 // a second, by rung
-	WorthAsked     float64   // worth
+	BestRung       int       // highest rung that the viewer can play
+	WorthPerSecond []float64 // worth of one second of playback, by rung
+	WorthAsked     float64   // worth of the whole session at the best rung
 	WorthDelivered float64
-	WaitedSeconds  map[Cause]float64 // seconds without a session, by why
+	WaitedSeconds  map[Cause]float64 // time without a session, by cause
 	PlayedSpans    []PlayedSpan
-	StalledSeconds float64 // seconds
-	RungChangeCost float64 // worth paid for changes of rung
+	StalledSeconds float64
+	RungChangeCost float64 // worth subtracted for rung changes
 }
 
-// Parts are losses by cause, in worth.
+// LossByCause is the lost worth by cause.
 type LossByCause map[Cause]float64
 
-// Sum is all of them together.
+// Total returns the sum of all losses.
 func (l LossByCause) Total() (sum float64) {
 	for _, c := range Causes() {
 		sum += l[c]
@@ -57,9 +57,10 @@
 	return sum
 }
 
-// Split gives an account's loss to its causes. The rungs: what lies below the highest rung that it had
-// earlier is "stepped down" if it had that rung, or a higher one, again later, and else its share; what
-// lies below a rung that it reached later is climb; what it never reached is its share.
+// SplitLoss attributes the loss of a session to causes. Playing at a rung below the best one is split at two rungs:
+// the loss up to the highest rung that was reached both earlier and again later (or is played now) is SteppedDown,
+// the loss from there to the highest rung reached later is NotYetRaised, and the loss from there to the best rung,
+// which is never reached again, is LowShare.
 func SplitLoss(account SessionAccount) LossByCause {
 	losses := LossByCause{}
 	bestWorth := account.WorthPerSecond[account.BestRung]
@@ -68,7 +69,7 @@
 	}
 	losses[Stalls] += account.StalledSeconds * bestWorth
 	losses[RungChanges] += account.RungChangeCost
-	highestLater := make([]int, len(account.PlayedSpans)+1) // the highest rung from here on
+	highestLater := make([]int, len(account.PlayedSpans)+1) // highest rung from each span on; -1 after the last
 	highestLater[len(account.PlayedSpans)] = -1
 	for i := len(account.PlayedSpans) - 1; i >= 0; i-- {
 		highestLater[i] = max(highestLater[i+1], account.PlayedSpans[i].Rung)
@@ -77,7 +78,7 @@
 	for i, span := range account.PlayedSpans {
 		rung := min(span.Rung, account.BestRung)
 		reached := min(max(highestLater[i], rung), account.BestRung)
-		regained := min(reached, max(highestEarlier, rung)) // had it before, and has it again
+		regained := min(reached, max(highestEarlier, rung)) // reached before, and again later
 		losses[SteppedDown] += span.Seconds * (account.WorthPerSecond[regained] - account.WorthPerSecond[rung])
 		losses[NotYetRaised] += span.Seconds * (account.WorthPerSecond[reached] - account.WorthPerSecond[regained])
 		losses[LowShare] += span.Seconds * (bestWorth - account.WorthPerSecond[reached])
@@ -87,15 +88,15 @@
 	return losses
 }
 
-// Add adds up.
+// Add adds the losses of other to l.
 func (l LossByCause) Add(other LossByCause) {
 	for c, w := range other {
 		l[c] += w
 	}
 }
 
-// Towards is the distance to what a better plan would have delivered, split by cause: all losses shrink
-// alike, so that their sum is that distance. What even the better plan loses has no cause of ours.
+// ScaleToGap returns the losses scaled by one factor such that they add up to the gap to what a better plan would
+// have delivered. The factor leaves out the losses that even the better plan has.
 func (l LossByCause) ScaleToGap(asked, delivered, betterDelivered float64) LossByCause {
 	scaled := LossByCause{}
 	lost, gap := asked-delivered, betterDelivered-delivered
--- a/internal/regret/regret_test.go
+++ b/internal/regret/regret_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// The parts of any account add up to what it lost, and those towards a better plan to the distance.
+// The losses of any session add up to its total loss, and the scaled losses to the gap to a better plan.
 func TestPartsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawUpTo := func(most float64, what string) float64 { return rapid.Float64Range(0, most).Draw(t, what) }
@@ -26,28 +26,29 @@
 		}
 		losses := SplitLoss(account)
 		if math.Abs(losses.Total()-(account.WorthAsked-account.WorthDelivered)) > 1e-6 {
-			t.Fatalf("parts %v add up to %v, lost %v", losses, losses.Total(), account.WorthAsked-account.WorthDelivered)
+			t.Fatalf("losses %v add up to %v, want %v", losses, losses.Total(), account.WorthAsked-account.WorthDelivered)
 		}
 		for _, c := range []Cause{NotYetRaised, SteppedDown, LowShare} {
 			if losses[c] < -1e-9 {
-				t.Fatalf("%s is %v", c, losses[c])
+				t.Fatalf("loss %q is negative: %v", c, losses[c])
 			}
 		}
-		if account.WorthAsked > account.WorthDelivered+1e-3 { // below, the quotient is noise
+		if account.WorthAsked > account.WorthDelivered+1e-3 { // for smaller losses the quotient is dominated by rounding errors
 			better := account.WorthDelivered + drawUpTo(50, "better")
 			if d := losses.ScaleToGap(account.WorthAsked, account.WorthDelivered, better).Total(); math.Abs(d-(better-account.WorthDelivered)) > 1e-6*max(1, better) {
-				t.Fatalf("towards %v: %v", better-account.WorthDelivered, d)
+				t.Fatalf("losses scaled to a gap of %v differ from it in sum: %v", better-account.WorthDelivered, d)
 			}
 		}
 	})
 }
 
+// Playing rungs 0, 1, 0, 1 of 0 to 2 loses worth to a rung not yet raised, a step down and a low share.
 func TestSplitByRung(t *testing.T) {
 	worth := []float64{0.2, 0.5, 1}
 	losses := SplitLoss(SessionAccount{BestRung: 2, WorthPerSecond: worth, WorthAsked: 40, WorthDelivered: 20, PlayedSpans: []PlayedSpan{{0, 10}, {1, 10}, {0, 10}, {1, 10}}})
 	for c, want := range map[Cause]float64{NotYetRaised: 3, SteppedDown: 3, LowShare: 20, Remainder: -6} {
 		if math.Abs(losses[c]-want) > 1e-9 {
-			t.Errorf("%s: %v, want %v", c, losses[c], want)
+			t.Errorf("loss %q is %v, want %v", c, losses[c], want)
 		}
 	}
 }
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -1,6 +1,7 @@
-// Package standin has the stand-ins for outside systems, written from their public descriptions: clip
-// boxes with links and racks, viewers, and the relay between planner and edges. What they give is
-// simulated; what passes on their sockets is real, and is logged for the audit.
+// Package standin implements stand-ins for external systems, written from their public descriptions:
+// clip boxes with links and racks, viewers, the relay between planner and edges, and a Consul agent.
+// Link rates and media content are simulated. The traffic on the sockets is real; the boxes, viewers and
+// relays log it for the audit.
 package standin
 
 import (
@@ -21,68 +22,69 @@
 	"rainpulley/internal/regret"
 )
 
-// Fleet is a set of stand-in boxes that share racks.
+// Fleet is a set of stand-in boxes that share rack uplinks.
 type Fleet struct {
 	Site       *config.Site
 	Log        *audit.Log
-	ModelScale float64 // kB of the model for each kB that is sent
-	SetUpTime  time.Duration
+	ModelScale float64       // kB of simulated traffic for each kB sent on a socket
+	SetUpTime  time.Duration // time that a box takes to set up a session
 	Boxes      []*Box
-	DiskFactor float64 // of each box, as a multiple of what it holds at first
+	DiskFactor float64 // disk size of each box, as a multiple of the titles that it stores initially
 
 	mu             sync.Mutex
 	rng            *rand.Rand
-	uplinkRates    []float64 // kB/s that each rack's uplink gives
-	uplinkDivisors []float64 // divides an uplink
-	isolatedZone   int       // zone that is cut off from the others; -1: none
+	uplinkRates    []float64 // kB/s of each rack's uplink
+	uplinkDivisors []float64 // divides each rack's uplink rate; 1: the full rate
+	isolatedZone   int       // zone without connections to the other zones; -1: none
 	ctx            context.Context
 	tasks          sync.WaitGroup
 }
 
-// Box is one stand-in clip box.
+// Box is one stand-in clip box. The fleet's mutex guards its mutable fields.
 type Box struct {
 	fleet             *Fleet
 	Addr              string
 	Zone              int
 	rack              int
 	streamSlots       int
-	linkRate          float64
+	linkRate          float64 // kB/s
 	server            *http.Server
 	bootID            string
 	started           time.Time
 	state             string
 	running           bool
-	rateShare         float64
-	wasLimited        bool
-	linkUtilization   float64
+	rateShare         float64 // share of the requested rate that link and uplink can carry
+	wasLimited        bool    // rateShare was below 0.98 at the last full second
+	linkUtilization   float64 // requested rate of all sessions over the link rate
 	sessions          map[string]*session
-	eventStreams      map[string]*eventStream // by edge instance
-	recentSetUps      []time.Time             // set-ups, while cold
+	eventStreams      map[string]*eventStream // by edge (position.instance)
+	recentSetUps      []time.Time             // times of set-ups in the last FallSpan of slow start
 	faults            Faults
-	frozenUtilization map[string]float64
-	titles            map[string]*storedTitle // outlives a crash
-	titlesVersion     uint64                  // rises with every change of titles
-	plannerEpoch      uint64                  // of the planner that is obeyed
-	copySendRate      float64                 // kB/s that copies of its titles ask of its link
-	copyShare         float64                 // part of what copies ask that its link has for them
+	frozenUtilization map[string]float64      // last utilization sent to each edge, for FrozenNotes
+	titles            map[string]*storedTitle // kept on disk through a crash
+	titlesVersion     uint64                  // incremented at each change of titles
+	plannerEpoch      uint64                  // highest epoch of a planner that sent a copy command
+	copySendRate      float64                 // kB/s requested for copies of titles to other boxes
+	copyShare         float64                 // share of the requested copy rate that link and uplink can carry
 }
 
-// Faults of a box, set by the script.
+// Faults are the faults of a box that a scenario script sets.
 type Faults struct {
-	Hang            bool    // takes what comes, answers nothing
-	FalseHealth     bool    // with Hang: health checks are answered all the same
-	LostAnswerShare float64 // share of set-ups that run and whose answer is lost
-	ResetShare      float64 // share of set-ups that end in a reset, half of them having run
-	Refuse          bool    // turns set-ups away as full
-	LinkDivisor     float64 // divides its link; 0: as it is
-	NoteDelay       time.Duration
-	FrozenNotes     bool   // link notes repeat their last value
-	MediaPlaylist   string // served in place of every media playlist
-	Manifest        string // served in place of every multivariant playlist
-	ExtraSetUpTime  time.Duration
-	FullDisk        bool // nothing more fits
-}
-
+	Hang            bool          // accepts requests, but does not answer them
+	FalseHealth     bool          // with Hang: health checks are still answered
+	LostAnswerShare float64       // share of set-ups that run without an answer being sent
+	ResetShare      float64       // share of set-ups that end in a connection reset, half of them after the session started
+	Refuse          bool          // refuses set-ups as full
+	LinkDivisor     float64       // divides the link rate; 0: the full rate
+	NoteDelay       time.Duration // added to the site's delay of notes
+	FrozenNotes     bool          // notes about the link repeat the last value sent
+	MediaPlaylist   string        // served in place of every media playlist
+	Manifest        string        // served in place of every multivariant playlist
+	ExtraSetUpTime  time.Duration // added to the fleet's SetUpTime
+	FullDisk        bool          // no disk space is free
+}
+
+// session is a session that a box runs, or a set-up in progress.
 type session struct {
 	id, edge, title, class, viewer string
 	attempt, rung, bestRung        int
@@ -90,20 +92,22 @@
 	startedAt                      time.Time
 }
 
+// eventStream is the stream of notes to one edge.
 type eventStream struct {
 	lines    chan string
-	closedAt time.Time // the stream closed then; zero while it is open
+	closedAt time.Time // time at which the stream closed; zero while it is open
 }
 
 const (
 	tickInterval   = 100 * time.Millisecond
-	edgeTimeout    = 2 * time.Second // without its stream for so long, an edge's sessions are let go
-	SegmentSeconds = 1.024           // seconds: 48 frames of 1024 samples at 48 kHz
+	edgeTimeout    = 2 * time.Second // sessions of an edge end if its event stream is closed for longer
+	SegmentSeconds = 1.024           // duration of a segment: 48 frames of 1024 samples at 48 kHz
 )
 
-// NewFleet makes the boxes of a site, not yet serving.
+// NewFleet returns a fleet with the boxes of a site. Start makes them serve.
 func NewFleet(site *config.Site, log *audit.Log, seed uint64) *Fleet {
-	f := &Fleet{Site: site, Log: log, ModelScale: 200, DiskFactor: 2.5, SetUpTime: 20 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 7)), isolatedZone: -1}
+	f := &Fleet{Site: site, Log: log, ModelScale: 200, DiskFactor: 2.5, SetUpTime: 20 * time.Millisecond,
+		rng: rand.New(rand.NewPCG(seed, 7)), isolatedZone: -1}
 	for range site.Racks {
 		spread := 1 + 0.2*(2*f.rng.Float64()-1)
 		f.uplinkRates, f.uplinkDivisors = append(f.uplinkRates, float64(site.Links.Uplink)*spread), append(f.uplinkDivisors, 1)
@@ -118,7 +122,7 @@
 	return f
 }
 
-// Start serves until ctx ends.
+// Start starts all boxes, which run until ctx is done.
 func (f *Fleet) Start(ctx context.Context) error {
 	f.ctx = ctx
 	for _, b := range f.Boxes {
@@ -134,7 +138,7 @@
 	return nil
 }
 
-// Wait returns when all has ended after ctx.
+// Wait blocks until the fleet's goroutines have ended after ctx is done, then stops the boxes.
 func (f *Fleet) Wait() {
 	f.tasks.Wait()
 	for _, b := range f.Boxes {
@@ -142,11 +146,12 @@
 	}
 }
 
-// start opens a box. A cold one has just started; a warm one did so long ago.
+// start makes a box listen and serve. A cold box reports that it has just started, a warm one that it has
+// been up for an hour.
 func (b *Box) start(cold bool) error {
 	var ln net.Listener
 	var err error
-	for range 20 { // the port may still be held for a moment after a crash
+	for range 20 { // the port may stay in use for a moment after a crash
 		if ln, err = net.Listen("tcp", b.Addr); err == nil {
 			break
 		}
@@ -160,13 +165,15 @@
 	defer f.mu.Unlock()
 	b.bootID = strconv.FormatUint(f.rng.Uint64(), 36)
 	b.started, b.state, b.running, b.rateShare = time.Now(), "ready", true, 1
-	b.sessions, b.eventStreams, b.recentSetUps, b.frozenUtilization = map[string]*session{}, map[string]*eventStream{}, nil, map[string]float64{}
+	b.sessions, b.eventStreams, b.recentSetUps, b.frozenUtilization =
+		map[string]*session{}, map[string]*eventStream{}, nil, map[string]float64{}
 	b.faults = Faults{}
 	text := ""
 	if !cold {
 		b.started, text = b.started.Add(-time.Hour), "warm"
 	}
-	f.Log.Add(audit.Entry{Observer: "box", Subject: b.Addr, Event: audit.BoxStarted, Value: float64(b.streamSlots), Text: text})
+	f.Log.Add(audit.Entry{Observer: "box", Subject: b.Addr, Event: audit.BoxStarted, Value: float64(b.streamSlots),
+		Text: text})
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /sessions/{id}", b.handleSetUp)
 	mux.HandleFunc("PUT /sessions/{id}", b.handleSetRung)
@@ -182,13 +189,14 @@
 	return nil
 }
 
-// Crash ends the box at once: connections are reset and its sessions are lost.
+// Crash stops the box immediately: its connections are closed and its sessions are lost.
 func (b *Box) Crash() {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	b.crash("crash")
 }
 
+// crash stops the box; the caller holds the fleet's mutex.
 func (b *Box) crash(reason string) {
 	if !b.running {
 		return
@@ -202,10 +210,10 @@
 	go func() { _ = server.Close() }()
 }
 
-// Return starts a crashed box anew, cold.
+// Restart starts a crashed box again, cold.
 func (b *Box) Restart() error { return b.start(true) }
 
-// Drain lets sessions play and takes no new ones.
+// Drain starts or ends draining: a draining box keeps its sessions and refuses new ones.
 func (b *Box) Drain(on bool) {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
@@ -214,28 +222,28 @@
 	}
 }
 
-// Set changes a box's faults.
+// SetFaults calls change with the box's faults, with the fleet locked.
 func (b *Box) SetFaults(change func(*Faults)) {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	change(&b.faults)
 }
 
-// Weaken divides the uplink of a rack; 1 restores it.
+// DivideUplink divides the uplink rate of a rack; a divisor of 1 restores it.
 func (f *Fleet) DivideUplink(rack int, divisor float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.uplinkDivisors[rack] = divisor
 }
 
-// CutZone lets nothing through between a zone and the others, in either direction; -1 ends it.
+// IsolateZone blocks traffic between a zone and the others in both directions; -1 unblocks it.
 func (f *Fleet) IsolateZone(zone int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.isolatedZone = zone
 }
 
-// away tells that nothing comes through from an edge: it stands on the other side of a cut.
+// isCutOff reports whether requests of an edge cannot reach the box because IsolateZone separates their zones.
 func (b *Box) isCutOff(edge string) bool {
 	if b.fleet.isolatedZone < 0 {
 		return false
@@ -249,7 +257,7 @@
 	return (zone == b.fleet.isolatedZone) != (b.Zone == b.fleet.isolatedZone)
 }
 
-// Capacity is what all links give, in kB/s.
+// TotalLinkRate returns the sum of all link rates in kB/s.
 func (f *Fleet) TotalLinkRate() (sum float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -259,7 +267,8 @@
 	return sum
 }
 
-// True is the fleet as it really is, without anybody on it, for a plan that knows all.
+// ActualFleet returns the fleet with its actual link rates and without sessions, for a plan made with complete
+// knowledge.
 func (f *Fleet) ActualFleet() *peaks.Fleet {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -274,7 +283,8 @@
 	return actual
 }
 
-// Why is why a viewer of a title was refused at an edge, in truth.
+// RefusalCause returns why an edge refused a viewer of a title, judged by the actual state of all boxes rather than
+// by what the edge knows.
 func (f *Fleet) RefusalCause(title string, class, edge int) regret.Cause {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -295,7 +305,8 @@
 			continue
 		}
 		hasSlot := len(b.sessions) < b.streamSlots
-		hasCapacity := hasSlot && b.currentLinkRate()*(1-b.linkUtilization) >= minRate && f.uplinkRates[b.rack]/f.uplinkDivisors[b.rack]-rackDemand[b.rack] >= minRate
+		hasCapacity := hasSlot && b.currentLinkRate()*(1-b.linkUtilization) >= minRate &&
+			f.uplinkRates[b.rack]/f.uplinkDivisors[b.rack]-rackDemand[b.rack] >= minRate
 		if b.hasTitleLocked(title) {
 			holderHasSlot, holderHasCapacity = holderHasSlot || hasSlot, holderHasCapacity || hasCapacity
 		} else {
@@ -315,18 +326,20 @@
 	return regret.RefusedNoCapacity
 }
 
-// Sessions is how many a box runs.
+// SessionCount returns the number of sessions that the box runs.
 func (b *Box) SessionCount() int {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	return len(b.sessions)
 }
 
+// newEntry returns an audit entry of the box about a session.
 func (b *Box) newEntry(event string, s *session) audit.Entry {
-	return audit.Entry{Observer: "box", Subject: b.Addr, Event: event, Session: s.id, Edge: s.edge, Title: s.title, Class: s.class,
-		Rung: s.rung, Attempt: s.attempt, Viewer: s.viewer}
+	return audit.Entry{Observer: "box", Subject: b.Addr, Event: event, Session: s.id, Edge: s.edge, Title: s.title,
+		Class: s.class, Rung: s.rung, Attempt: s.attempt, Viewer: s.viewer}
 }
 
+// endSession removes a session and logs its end.
 func (b *Box) endSession(s *session, reason string) {
 	e := b.newEntry(audit.SessionEnd, s)
 	e.Text = reason
@@ -334,7 +347,7 @@
 	delete(b.sessions, s.id)
 }
 
-// present is what the box's link gives now.
+// currentLinkRate returns the link rate in kB/s, reduced by LinkDivisor.
 func (b *Box) currentLinkRate() float64 {
 	if b.faults.LinkDivisor > 0 {
 		return b.linkRate / b.faults.LinkDivisor
@@ -342,7 +355,7 @@
 	return b.linkRate
 }
 
-// run works out shares and sends notes.
+// run updates rate shares and sends notes at every tick until ctx is done.
 func (f *Fleet) run(ctx context.Context) {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -363,6 +376,7 @@
 	}
 }
 
+// updateShares computes for each box which share of the requested rates its link and uplink can carry.
 func (f *Fleet) updateShares() {
 	rackDemand := make([]float64, len(f.uplinkRates))
 	for _, b := range f.Boxes {
@@ -373,7 +387,8 @@
 		b.linkUtilization = demand / b.currentLinkRate()
 		rackDemand[b.rack] += min(demand, b.currentLinkRate())
 	}
-	// copies are lower effort (RFC 8622): they get what viewers leave, and are no part of what is told of links
+	// Copies are lower-effort traffic (RFC 8622): they get the rate that viewers leave unused, and do not count in
+	// the reported utilization of links.
 	remaining, copyDemand := make([]float64, len(f.uplinkRates)), make([]float64, len(f.uplinkRates))
 	for r := range remaining {
 		remaining[r] = max(f.uplinkRates[r]/f.uplinkDivisors[r]-rackDemand[r], 0)
@@ -394,6 +409,7 @@
 	}
 }
 
+// uplinkUtilization returns the rate requested by all sessions of a rack over the rate of its uplink.
 func (f *Fleet) uplinkUtilization(rack int) float64 {
 	sum := 0.0
 	for _, b := range f.Boxes {
@@ -404,7 +420,8 @@
 	return sum / max(f.uplinkRates[rack]/f.uplinkDivisors[rack], 1e-9)
 }
 
-// notes sends each edge with sessions here what the module's notes tell, on one session of each.
+// sendNotes sends the notes that are due at tick n to each edge. A note names one session of the edge; an edge without
+// sessions on this box gets keep-alive lines only.
 func (b *Box) sendNotes(n int) {
 	everySecond := n%10 == 0
 	linkNoteTicks := int(b.fleet.Site.Notes.LinkEvery.Std() / tickInterval)
@@ -454,11 +471,12 @@
 
 func (b *Box) noteDelay() time.Duration { return b.fleet.Site.Notes.Delay.Std() + b.faults.NoteDelay }
 
+// sendNote queues a line for an edge's event stream, after a delay.
 func (b *Box) sendNote(e *eventStream, line string, delay time.Duration) {
 	enqueue := func() {
 		select {
 		case e.lines <- line:
-		default: // an edge that does not read loses notes
+		default: // drops the note if the edge does not read
 		}
 	}
 	if delay > 0 {
@@ -468,7 +486,7 @@
 	enqueue()
 }
 
-// drop lets go the sessions of an edge that is gone.
+// endEdgeSessions releases all sessions of an edge whose event stream stayed closed for longer than edgeTimeout.
 func (b *Box) endEdgeSessions(edge string) {
 	for _, s := range b.sessions {
 		if s.edge == edge {
@@ -478,6 +496,8 @@
 	delete(b.eventStreams, edge)
 }
 
+// handleEvents streams notes to an edge. The first line has the edge's sessions, including those that it takes over
+// from an earlier instance at its position.
 func (b *Box) handleEvents(w http.ResponseWriter, r *http.Request) {
 	f, edge := b.fleet, r.URL.Query().Get("edge")
 	f.mu.Lock()
@@ -494,10 +514,10 @@
 		switch sessionPosition, _, _ := strings.Cut(s.edge, "."); {
 		case s.edge == edge:
 			ids = append(ids, s.id)
-		case sessionPosition == position: // of an earlier instance: handed over
+		case sessionPosition == position: // session of an earlier instance: the new one takes it over
 			s.edge = edge
-			takenOver = append(takenOver, map[string]any{"id": s.id, "title": s.title, "class": s.class, "viewer": s.viewer, "rung": s.rung,
-				"best": s.bestRung, "since_ms": time.Since(s.startedAt).Milliseconds()})
+			takenOver = append(takenOver, map[string]any{"id": s.id, "title": s.title, "class": s.class, "viewer": s.viewer,
+				"rung": s.rung, "best": s.bestRung, "since_ms": time.Since(s.startedAt).Milliseconds()})
 		}
 	}
 	boot := b.bootID
@@ -540,16 +560,18 @@
 	fmt.Fprintf(w, `{"state":%q,"boot":%q,"started_ms":%d,"titles_version":%d}`+"\n", state, boot, started, titlesVersion)
 }
 
-// load reports in the answer, as CMSD (CTA-5006) with keys of the project's own.
+// setLoadHeader reports the box's load in a CMSD header (CTA-5006) with custom keys.
 func (b *Box) setLoadHeader(w http.ResponseWriter) {
 	w.Header().Set("CMSD-Dynamic", fmt.Sprintf(`"box";example.rainpulley-streams=%d;example.rainpulley-link=%.4f;example.rainpulley-uplink=%.4f`,
 		len(b.sessions), b.linkUtilization, b.fleet.uplinkUtilization(b.rack)))
 }
 
-// setUp takes an attempt, in the order: hang, cold push, draining, full, set-up time, run.
+// handleSetUp handles a set-up attempt, in this order: overload check of a cold box, hang, refusal if draining or
+// full, set-up time, second refusal check, run.
 func (b *Box) handleSetUp(w http.ResponseWriter, r *http.Request) {
 	f, q := b.fleet, r.URL.Query()
-	s := &session{id: r.PathValue("id"), edge: q.Get("edge"), title: q.Get("title"), class: q.Get("class"), viewer: q.Get("viewer"), startedAt: time.Now()}
+	s := &session{id: r.PathValue("id"), edge: q.Get("edge"), title: q.Get("title"), class: q.Get("class"),
+		viewer: q.Get("viewer"), startedAt: time.Now()}
 	s.attempt, _ = strconv.Atoi(q.Get("attempt"))
 	s.rung, _ = strconv.Atoi(q.Get("rung"))
 	s.bestRung, _ = strconv.Atoi(q.Get("best"))
@@ -642,6 +664,7 @@
 	_, _ = w.Write([]byte(manifest))
 }
 
+// refusalReason returns the reason for refusing a set-up of a title, or "" if it can run.
 func (b *Box) refusalReason(title string) string {
 	if !b.hasTitleLocked(title) {
 		return "no such title"
@@ -657,7 +680,8 @@
 	return ""
 }
 
-// push counts set-ups while the box is cold; too many push it over.
+// checkColdLoad counts set-ups during slow start. The box crashes when more arrive within FallSpan than
+// FallFactor times its ramp rate allows, plus 3 for random variation.
 func (b *Box) checkColdLoad() {
 	r := b.fleet.Site.Rules
 	age := time.Since(b.started)
@@ -669,13 +693,15 @@
 	for now.Sub(b.recentSetUps[0]) >= r.FallSpan.Std() {
 		b.recentSetUps = b.recentSetUps[1:]
 	}
-	rampRate := float64(b.streamSlots) / r.Ramp.Std().Seconds() * (r.StartShare + (1-r.StartShare)*age.Seconds()/r.Ramp.Std().Seconds())
+	rampRate := float64(b.streamSlots) / r.Ramp.Std().Seconds() *
+		(r.StartShare + (1-r.StartShare)*age.Seconds()/r.Ramp.Std().Seconds())
 	if float64(len(b.recentSetUps)) > r.FallFactor*rampRate*r.FallSpan.Std().Seconds()+3 {
 		b.fleet.Log.Add(audit.Entry{Observer: "box", Subject: b.Addr, Event: audit.BoxOverloaded})
 		b.crash("fell")
 	}
 }
 
+// rungRate returns the rate of a rung for a class in kB/s.
 func (f *Fleet) rungRate(class, rung int) float64 {
 	factor := f.Site.Classes[class].RateFactor
 	if factor <= 0 {
--- a/internal/standin/catalogue.go
+++ b/internal/standin/catalogue.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Catalogue is a stand-in for a Consul agent, from its published HTTP API: health and catalogue of services with
-// blocking queries, the key-value store, agents' registrations with TTL checks, and faults on cue.
+// Catalogue is a stand-in for a Consul agent, written from Consul's published HTTP API: service health with
+// blocking queries, the key-value store, and service registration with TTL checks. Tests can inject faults.
 type Catalogue struct {
 	mu             sync.Mutex
 	index          uint64
@@ -30,35 +30,35 @@
 	addr           string
 }
 
-// Service is one registration. Checks are statuses by check id.
+// Service is a service registration.
 type Service struct {
 	ID, Name, Address string
 	Port              int
 	Meta              map[string]string
-	Checks            map[string]string
-	ttlDeadline       time.Time // of a TTL check
+	Checks            map[string]string // status by check ID
+	ttlDeadline       time.Time         // time at which the TTL check turns critical unless renewed
 	ttl               time.Duration
 }
 
-// CatalogueFault is a trouble of the catalogue.
+// CatalogueFault is a set of faults to inject.
 type CatalogueFault struct {
-	Hang          bool          // takes requests, answers nothing
-	Status        int           // answers this, whatever is asked
-	Truncate      bool          // half of each answer
-	TrickleDelay  time.Duration // pause after each 64 bytes
-	EmptyList     bool          // lists nothing
-	HalfList      bool          // lists every other entry
-	IndexDecrease uint64        // indexes are so much lower
-	LastContact   time.Duration // since the leader was heard
-	NoLeader      bool
+	Hang          bool          // accepts requests, but does not answer them
+	Status        int           // answers all requests with this HTTP status
+	Truncate      bool          // sends only the first half of each answer
+	TrickleDelay  time.Duration // pause after every 64 bytes of an answer
+	EmptyList     bool          // answers with empty lists
+	HalfList      bool          // omits every other service from lists
+	IndexDecrease uint64        // subtracted from the reported index
+	LastContact   time.Duration // reported time since the last contact with the leader
+	NoLeader      bool          // reports that there is no known leader
 }
 
-// NewCatalogue is empty; Start serves it.
+// NewCatalogue returns an empty catalogue. Start makes it serve.
 func NewCatalogue() *Catalogue {
 	return &Catalogue{index: 100, changed: make(chan struct{}), services: map[string]*Service{}, keys: map[string]string{}}
 }
 
-// Start listens on an address; "127.0.0.1:0" picks one.
+// Start serves on an address and returns the address used; port 0 selects a free port.
 func (c *Catalogue) Start(addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return ln.Addr().String(), nil
 }
 
-// Stop ends it at once; Start may follow on the same address.
+// Stop closes the listener and all connections immediately. Start may be called again with the same address.
 func (c *Catalogue) Stop() {
 	c.mu.Lock()
 	server := c.server
@@ -89,7 +89,7 @@
 	}
 }
 
-// Change does something to services and keys, under a new index.
+// Update calls change with the services and keys, then increments the index.
 func (c *Catalogue) Update(change func(services map[string]*Service, keys map[string]string)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,13 +97,14 @@
 	c.incrementIndex()
 }
 
+// incrementIndex increments the index and wakes blocking queries; the caller holds the mutex.
 func (c *Catalogue) incrementIndex() {
 	c.index++
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Set changes the trouble. Queries that wait are answered under it.
+// SetFault replaces the injected faults. It wakes blocking queries, which are then answered with these faults.
 func (c *Catalogue) SetFault(f CatalogueFault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +112,7 @@
 	c.incrementIndex()
 }
 
-// Token makes a token necessary; what waits is let go.
+// RequireToken makes all requests require an ACL token. It wakes blocking queries.
 func (c *Catalogue) RequireToken(token string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,14 +120,14 @@
 	c.incrementIndex()
 }
 
-// Asked are the moments of all requests so far, and how many wait now.
+// Requests returns the times of all requests so far and the number of blocking queries that wait now.
 func (c *Catalogue) Requests() (times []time.Time, waiting int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.requestTimes), c.waitingQueries
 }
 
-// Service is a registration as it stands, and whether there is one.
+// Service returns a copy of the registration with an ID, and whether it exists.
 func (c *Catalogue) Service(id string) (Service, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +141,7 @@
 	return out, true
 }
 
-// expire turns TTL checks critical that were not renewed.
+// expireChecks sets TTL checks to critical that were not renewed in time; the caller holds the mutex.
 func (c *Catalogue) expireChecks() {
 	for id, s := range c.services {
 		if s.ttl > 0 && time.Now().After(s.ttlDeadline) {
@@ -149,7 +150,8 @@
 	}
 }
 
-// begin notes a request and answers those that fail; false where it has.
+// admitRequest records a request. It returns false if it has failed the request because of an injected fault or a
+// missing token.
 func (c *Catalogue) admitRequest(w http.ResponseWriter, r *http.Request) (CatalogueFault, bool) {
 	c.mu.Lock()
 	c.requestTimes = append(c.requestTimes, time.Now())
@@ -169,7 +171,8 @@
 	return f, true
 }
 
-// block waits as a blocking query does: while the index is the one that the caller knows, up to its wait.
+// waitForChange implements blocking queries: it waits while the index is the one in the request, for at most the
+// requested time.
 func (c *Catalogue) waitForChange(ctx context.Context, r *http.Request) {
 	known, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
@@ -204,7 +207,7 @@
 	}
 }
 
-// answer writes a list with the headers of a query.
+// writeAnswer writes a list as JSON with Consul's query headers, and applies the faults that concern answers.
 func (c *Catalogue) writeAnswer(w http.ResponseWriter, f CatalogueFault, list any) {
 	body, err := json.Marshal(list)
 	if err != nil {
@@ -237,6 +240,7 @@
 	}
 }
 
+// handleHealth lists the instances of a service with their checks.
 func (c *Catalogue) handleHealth(w http.ResponseWriter, r *http.Request) {
 	if _, ok := c.admitRequest(w, r); !ok {
 		return
@@ -273,6 +277,7 @@
 	c.writeAnswer(w, f, list)
 }
 
+// handleListKeys lists the keys with a prefix.
 func (c *Catalogue) handleListKeys(w http.ResponseWriter, r *http.Request) {
 	if _, ok := c.admitRequest(w, r); !ok {
 		return
@@ -296,6 +301,7 @@
 	c.writeAnswer(w, f, list)
 }
 
+// handleRegister registers a service, with an optional TTL check.
 func (c *Catalogue) handleRegister(w http.ResponseWriter, r *http.Request) {
 	if _, ok := c.admitRequest(w, r); !ok {
 		return
@@ -313,7 +319,7 @@
 	s := &Service{ID: q.ID, Name: q.Name, Address: q.Address, Port: q.Port, Meta: q.Meta, Checks: map[string]string{}}
 	if ttl, err := time.ParseDuration(q.Check.TTL); err == nil {
 		s.ttl, s.ttlDeadline = ttl, time.Now().Add(ttl)
-		s.Checks["service:"+q.ID] = "critical" // until its first word, as published
+		s.Checks["service:"+q.ID] = "critical" // until the first renewal, as Consul documents it
 	}
 	c.Update(func(services map[string]*Service, _ map[string]string) { services[q.ID] = s })
 }
@@ -324,6 +330,7 @@
 	}
 }
 
+// handleCheckUpdate renews a TTL check and sets its status.
 func (c *Catalogue) handleCheckUpdate(w http.ResponseWriter, r *http.Request) {
 	if _, ok := c.admitRequest(w, r); !ok {
 		return
--- a/internal/standin/media.go
+++ b/internal/standin/media.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// segments of a title at least as long as it plays.
+// segmentCount returns the number of segments that cover the length of a title; 0 for an unknown title.
 func (f *Fleet) segmentCount(title string) int {
 	for _, t := range f.Site.Titles {
 		if t.Name == title {
@@ -20,7 +20,7 @@
 	return 0
 }
 
-// multivariant lists a variant for each rung, at the class's rates. Bandwidth in bits a second.
+// multivariantPlaylist lists one variant for each rung, with the rates of a class. BANDWIDTH is in bits per second.
 func (f *Fleet) multivariantPlaylist(class int) string {
 	var b strings.Builder
 	b.WriteString("#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-INDEPENDENT-SEGMENTS\n")
@@ -30,6 +30,7 @@
 	return b.String()
 }
 
+// handleMultivariantPlaylist serves a title's multivariant playlist with the rates of the first class.
 func (b *Box) handleMultivariantPlaylist(w http.ResponseWriter, r *http.Request) {
 	if r.PathValue("file") != "index.m3u8" || b.fleet.segmentCount(r.PathValue("title")) == 0 || !b.hasTitle(r.PathValue("title")) {
 		http.NotFound(w, r)
@@ -39,7 +40,7 @@
 	_, _ = w.Write([]byte(b.fleet.multivariantPlaylist(0)))
 }
 
-// media serves a rung's playlist and its segments.
+// handleMedia serves a rung's media playlist and its segments.
 func (b *Box) handleMedia(w http.ResponseWriter, r *http.Request) {
 	f := b.fleet
 	w.Header().Set("Access-Control-Allow-Origin", "*")
@@ -75,11 +76,11 @@
 		http.NotFound(w, r)
 		return
 	}
-	if s == nil { // segments are for sessions that are held here
+	if s == nil { // segments are served only to sessions that this box runs
 		http.Error(w, "no such session", http.StatusGone)
 		return
 	}
-	if share < 1 { // the link gives less than is asked: the segment takes longer than it plays
+	if share < 1 { // the link is overloaded: the transfer takes longer than the segment plays
 		wait := time.Duration(SegmentSeconds * (1/max(share, 0.05) - 1) * float64(time.Second))
 		select {
 		case <-r.Context().Done():
@@ -91,6 +92,7 @@
 	_, _ = w.Write(newSegment(n, int(rate*SegmentSeconds*1000/f.ModelScale)))
 }
 
+// mediaPlaylist returns a VOD media playlist with count segments.
 func mediaPlaylist(count int) string {
 	var b strings.Builder
 	b.WriteString("#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-TARGETDURATION:1\n#EXT-X-MEDIA-SEQUENCE:0\n#EXT-X-PLAYLIST-TYPE:VOD\n")
@@ -101,8 +103,8 @@
 	return b.String()
 }
 
-// segment is packed audio: an ID3 tag with the time stamp (RFC 8216, 3.4) and, as padding up to the
-// scaled size, a private frame; then 48 ADTS frames of silence (AAC-LC, 48 kHz, mono).
+// newSegment returns segment n as packed audio: an ID3 tag with the time stamp (RFC 8216, 3.4) and a private
+// frame that pads the segment to size, then 48 ADTS frames of silence (AAC-LC, 48 kHz, mono).
 func newSegment(n, size int) []byte {
 	const frames = 48
 	silence := []byte{0x00, 0xc8, 0x00, 0x80, 0x23, 0x80}
@@ -121,13 +123,14 @@
 	return append(append(out, tag...), body...)
 }
 
-// private is an ID3v2.4 PRIV frame.
+// privFrame returns an ID3v2.4 PRIV frame.
 func privFrame(owner string, data []byte) []byte {
 	out := append([]byte("PRIV"), syncSafe(len(owner)+1+len(data))...)
 	out = append(out, 0, 0)
 	return append(append(append(out, owner...), 0), data...)
 }
 
+// syncSafe encodes n as an ID3v2.4 synchsafe integer: 4 bytes of 7 bits each.
 func syncSafe(n int) []byte {
 	return []byte{byte(n >> 21 & 0x7f), byte(n >> 14 & 0x7f), byte(n >> 7 & 0x7f), byte(n & 0x7f)}
 }
--- a/internal/standin/ports.go
+++ b/internal/standin/ports.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// Ports gives out loopback ports below those that the kernel gives to outgoing connections, so that a
-// port stays free while the box that had it is down.
+// PortAllocator allocates loopback ports below the kernel's ephemeral range, so that no outgoing connection
+// takes the port of a box that is down.
 type PortAllocator struct {
 	mu        sync.Mutex
 	lastTried int
@@ -19,11 +19,12 @@
 	lastPort  = 32000
 )
 
-// Take finds a port that is free for TCP and UDP alike, and gives it out once.
+// Allocate returns the address of a port that is free for both TCP and UDP. It cycles through the range, so that a port
+// is not returned again until all others were tried.
 func (p *PortAllocator) Allocate() (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.lastTried == 0 { // processes at work beside each other begin apart
+	if p.lastTried == 0 { // concurrent processes start at different ports
 		p.lastTried = firstPort + os.Getpid()*131%(lastPort-firstPort)
 	}
 	for range lastPort - firstPort {
@@ -38,6 +39,7 @@
 	return "", fmt.Errorf("standin: no free port from %d to %d", firstPort, lastPort)
 }
 
+// isFree reports whether an address can be bound for both TCP and UDP.
 func isFree(addr string) bool {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -14,28 +14,28 @@
 	"rainpulley/internal/view"
 )
 
-// Relay stands between the planner and one edge. It passes bytes on, late if told so, and logs what the
-// edge was told about each box.
+// Relay is a TCP relay between the planner and one edge. It forwards bytes, with a configurable delay, and logs the
+// state of each box that the planner publishes to the edge.
 type Relay struct {
-	Edge   int
-	Target string
+	Edge   int    // position of the edge
+	Target string // address of the planner
 	Log    *audit.Log
 
 	mu         sync.Mutex
 	delay      time.Duration
 	blocked    bool
 	conns      map[net.Conn]bool
-	knownBoxes map[string]bool // ever told as ready
+	knownBoxes map[string]bool // boxes that were ever listed
 }
 
-// SetDelay holds lines back for so long.
+// SetDelay sets the delay of forwarded data.
 func (r *Relay) SetDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// Cut breaks and refuses connections, or lets them through again.
+// SetBlocked closes all connections and refuses new ones while on is true.
 func (r *Relay) SetBlocked(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// Serve relays until ctx ends.
+// Serve accepts and relays connections until ctx is done.
 func (r *Relay) Serve(ctx context.Context, ln net.Listener) {
 	r.conns, r.knownBoxes = map[net.Conn]bool{}, map[string]bool{}
 	defer context.AfterFunc(ctx, func() {
@@ -63,6 +63,7 @@
 	}
 }
 
+// forward relays one connection, and logs the updates that the planner sends on it.
 func (r *Relay) forward(in net.Conn) {
 	defer in.Close()
 	r.mu.Lock()
@@ -104,7 +105,7 @@
 	}
 }
 
-// note logs the lines that are complete and returns the rest.
+// logLines logs the complete lines of b and returns the remainder.
 func (r *Relay) logLines(b []byte) []byte {
 	for {
 		i := bytes.IndexByte(b, '\n')
@@ -115,12 +116,13 @@
 		b = b[i+1:]
 		var update view.Update
 		if len(line) == 0 || line[0] != '{' || json.Unmarshal(line, &update) != nil {
-			continue // heads and chunk sizes
+			continue // HTTP header or chunk size
 		}
 		r.logUpdate(update)
 	}
 }
 
+// logUpdate logs the state of each box in an update.
 func (r *Relay) logUpdate(update view.Update) {
 	add := func(box, state string) {
 		r.Log.Add(audit.Entry{Observer: "relay", Subject: box, Event: audit.StatePublished, Edge: strconv.Itoa(r.Edge), Text: state})
@@ -135,7 +137,7 @@
 	if !update.Full {
 		return
 	}
-	for id := range r.knownBoxes { // what a whole view does not name is gone
+	for id := range r.knownBoxes { // a box that a full view does not list is gone
 		if !listed[id] {
 			add(id, string(view.StateGone))
 		}
--- a/internal/standin/titles.go
+++ b/internal/standin/titles.go
@@ -16,16 +16,16 @@
 	"rainpulley/internal/audit"
 )
 
-// stored is a title on a box's disk: whole, or as much of it as was copied. Sizes in kB.
+// storedTitle is a title on a box's disk: the complete title, or the part copied so far.
 type storedTitle struct {
 	complete         bool
 	copiedKB, sizeKB float64
-	copyRate         float64            // kB/s that copying it asks of the link
-	cancelCopy       context.CancelFunc // while it is copied
-	lastError        string             // it stopped
+	copyRate         float64            // kB/s requested for the copy
+	cancelCopy       context.CancelFunc // nil unless a copy is in progress
+	lastError        string             // why the last copy failed
 }
 
-// size of a title with all its renditions.
+// titleSizeKB returns the size of a title with all its renditions in kB.
 func (f *Fleet) titleSizeKB(title string) float64 {
 	rate := 0.0
 	for _, r := range f.Site.Ladder {
@@ -39,7 +39,7 @@
 	return 0
 }
 
-// firstTitles are whole at a box of a cell when the day begins.
+// initialTitles returns the titles that a box of a cell stores completely at the start of a run.
 func (f *Fleet) initialTitles(cell int) map[string]*storedTitle {
 	out := map[string]*storedTitle{}
 	for _, t := range f.Site.Titles {
@@ -51,19 +51,21 @@
 	return out
 }
 
-// has tells whether a box has a title whole. Where nobody manages copies, titles lie where the planner is told.
+// hasTitleLocked reports whether the box stores a complete title. Where copies are not managed, every box serves every
+// title: the site's configuration alone says which boxes the planner uses. The caller holds the fleet's mutex.
 func (b *Box) hasTitleLocked(title string) bool {
 	s := b.titles[title]
 	return s != nil && s.complete || !b.fleet.Site.Copies.Managed
 }
 
+// hasTitle is hasTitleLocked for callers that do not hold the mutex.
 func (b *Box) hasTitle(title string) bool {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	return b.hasTitleLocked(title)
 }
 
-// copying is what copies to and from the box ask of its link.
+// copyRate returns the rate in kB/s that copies to and from the box request of its link.
 func (b *Box) copyRate() float64 {
 	sum := b.copySendRate
 	for _, s := range b.titles {
@@ -74,14 +76,14 @@
 	return sum
 }
 
-// free is what the disk has left.
+// freeDiskKB returns the free disk space in kB.
 func (b *Box) freeDiskKB() float64 {
 	if b.faults.FullDisk {
 		return 0
 	}
 	used, initial := 0.0, 0.0
 	for _, s := range b.titles {
-		used += max(s.sizeKB, s.copiedKB) // what is being copied has its room
+		used += max(s.sizeKB, s.copiedKB) // a copy in progress reserves its full size
 	}
 	average := 0.0
 	for _, t := range b.fleet.Site.Titles {
@@ -90,9 +92,10 @@
 	for _, s := range b.fleet.initialTitles(b.fleet.cellOf(b)) {
 		initial += s.sizeKB
 	}
-	return max(max(initial, average)*b.fleet.DiskFactor-used, 0) // one that holds little has as large a disk as most
+	return max(max(initial, average)*b.fleet.DiskFactor-used, 0) // a box with few titles has an average disk
 }
 
+// cellOf returns the cell of a box.
 func (f *Fleet) cellOf(b *Box) int {
 	for i, other := range f.Boxes {
 		if other == b {
@@ -102,6 +105,7 @@
 	return 0
 }
 
+// countSessions returns the number of sessions that play a title.
 func (b *Box) countSessions(title string) (n int) {
 	for _, s := range b.sessions {
 		if s.title == title {
@@ -111,7 +115,7 @@
 	return n
 }
 
-// stopCopies ends what is being copied here; what was copied stays on disk.
+// stopCopies cancels the copies to this box. Partial copies stay on disk.
 func (b *Box) stopCopies() {
 	for _, s := range b.titles {
 		if s.cancelCopy != nil {
@@ -122,6 +126,7 @@
 	b.titlesVersion++
 }
 
+// addTitleRoutes registers the handlers of the titles API.
 func (b *Box) addTitleRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /titles", b.handleListTitles)
 	mux.HandleFunc("PUT /titles/{title}", b.handleFetchTitle)
@@ -129,6 +134,7 @@
 	mux.HandleFunc("GET /titles/{title}/data", b.handleSendTitle)
 }
 
+// handleListTitles lists the titles on disk and the free disk space.
 func (b *Box) handleListTitles(w http.ResponseWriter, r *http.Request) {
 	type titleLine struct {
 		Name    string  `json:"name"`
@@ -147,7 +153,8 @@
 		Titles  []titleLine `json:"titles"`
 	}{b.bootID, b.titlesVersion, b.freeDiskKB(), []titleLine{}}
 	for name, s := range b.titles {
-		out.Titles = append(out.Titles, titleLine{name, s.complete, s.cancelCopy != nil, s.copiedKB, s.sizeKB, b.countSessions(name), s.lastError})
+		out.Titles = append(out.Titles,
+			titleLine{name, s.complete, s.cancelCopy != nil, s.copiedKB, s.sizeKB, b.countSessions(name), s.lastError})
 	}
 	hang := b.faults.Hang
 	b.fleet.mu.Unlock()
@@ -159,7 +166,7 @@
 	_ = json.NewEncoder(w).Encode(out)
 }
 
-// obeys refuses a planner older than one that spoke before.
+// checkEpoch refuses the command of a planner whose epoch is lower than one seen before.
 func (b *Box) checkEpoch(w http.ResponseWriter, r *http.Request) bool {
 	epoch, err := strconv.ParseUint(r.URL.Query().Get("epoch"), 10, 64)
 	if err != nil || epoch < b.plannerEpoch {
@@ -170,11 +177,13 @@
 	return true
 }
 
+// writeRefusal answers with an error status and the reason in a header.
 func writeRefusal(w http.ResponseWriter, code int, reason string) {
 	w.Header().Set("Rainpulley-Reason", reason)
 	http.Error(w, reason, code)
 }
 
+// handleFetchTitle starts copying a title from another box, or changes the source or rate of a copy in progress.
 func (b *Box) handleFetchTitle(w http.ResponseWriter, r *http.Request) {
 	f, q, title := b.fleet, r.URL.Query(), r.PathValue("title")
 	rate, err := strconv.ParseFloat(q.Get("rate"), 64)
@@ -192,7 +201,7 @@
 	case s == nil && b.freeDiskKB() < size:
 		writeRefusal(w, http.StatusInsufficientStorage, "disk full")
 		return
-	case s != nil && s.cancelCopy != nil: // from another box, or at another rate
+	case s != nil && s.cancelCopy != nil: // replaced by a copy from another box or at another rate
 		s.cancelCopy()
 	}
 	s := b.titles[title]
@@ -211,7 +220,7 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if ctx.Err() != nil && b.titles[title] != s || s.cancelCopy == nil && !s.complete {
-			return // stopped, dropped, or crashed
+			return // the copy was cancelled, the title was dropped, or the box crashed
 		}
 		if err != nil && ctx.Err() == nil {
 			s.cancelCopy, s.lastError = nil, err.Error()
@@ -221,7 +230,7 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// copyFrom reads what is missing from another box.
+// copyFrom reads the missing part of a title from another box.
 func (b *Box) copyFrom(ctx context.Context, from, title string, s *storedTitle, rate float64) error {
 	f := b.fleet
 	f.mu.Lock()
@@ -248,7 +257,7 @@
 		f.mu.Lock()
 		share := b.copyShare
 		f.mu.Unlock()
-		if share < 1 { // its own link is the narrower: the sender is held back by what is not read
+		if share < 1 { // the receiving link is the bottleneck: slower reads hold back the sender
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Duration(float64(n) * f.ModelScale / 1000 / rate / max(share, 0.01) * float64(time.Second))):
@@ -274,7 +283,8 @@
 	}
 }
 
-// sendTitle gives a whole title to another box, as fast as was asked and the link allows.
+// handleSendTitle sends a complete title to another box, from an offset and at the requested rate or as much of it as
+// the link has available.
 func (b *Box) handleSendTitle(w http.ResponseWriter, r *http.Request) {
 	f, title := b.fleet, r.PathValue("title")
 	from, err1 := strconv.ParseFloat(r.URL.Query().Get("from"), 64)
@@ -319,7 +329,7 @@
 	}
 }
 
-// dropTitle takes a title off the disk, unless sessions play it.
+// handleDropTitle deletes a title from the disk unless sessions play it.
 func (b *Box) handleDropTitle(w http.ResponseWriter, r *http.Request) {
 	f, title := b.fleet, r.PathValue("title")
 	f.mu.Lock()
@@ -343,7 +353,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Copying tells whether a box is copying any title.
+// IsCopying reports whether a copy to the box is in progress.
 func (b *Box) IsCopying() bool {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
@@ -355,5 +365,5 @@
 	return false
 }
 
-// Holds tells whether a box has a title whole.
+// HasTitle reports whether the box stores a complete title.
 func (b *Box) HasTitle(title string) bool { return b.hasTitle(title) }
--- a/internal/standin/viewer.go
+++ b/internal/standin/viewer.go
@@ -21,7 +21,7 @@
 	"rainpulley/internal/regret"
 )
 
-// Viewer is one stand-in viewer: it asks, plays, retries and gives up.
+// Viewer is one stand-in viewer, which requests a session, plays it, retries after failures and may give up.
 type Viewer struct {
 	Site          *config.Site
 	Log           *audit.Log
@@ -29,17 +29,18 @@
 	Title         string
 	Class         int
 	BestRung      int
-	Edges         []string // those of its zone, the preferred one first
-	EdgePositions []int    // of each of Edges
+	Edges         []string // addresses of the edges of its zone, the preferred one first
+	EdgePositions []int    // position of each of Edges in the site
 	SessionLength time.Duration
-	Retries       int           // after a refusal, a failure or a break
-	GiveUpAfter   time.Duration // gives a request up after so long; 0: the class's deadline
+	Retries       int           // maximum number of retries after a refusal, a failure or an interruption
+	GiveUpAfter   time.Duration // timeout of a request; 0: the class's deadline and 2 s more
 	Rand          *rand.Rand
 
-	RefusalCause func(title string, class, edge int) regret.Cause // of a refusal, in truth; nil: not asked
+	// RefusalCause returns the cause of a refusal from the actual state of the boxes. It may be nil.
+	RefusalCause func(title string, class, edge int) regret.Cause
 }
 
-// Report is what a viewer saw.
+// ViewerReport is the result of one viewer's session.
 type ViewerReport struct {
 	Class          int
 	Outcome        string // "played", "late", "refused", "failed"
@@ -52,18 +53,19 @@
 	Breaks         int
 	Segments       int
 	Stalled        time.Duration
-	PlayerErrors   []string // what a player could not follow
+	PlayerErrors   []string // errors in manifests and playlists
 	Account        regret.SessionAccount
 }
 
+// requestCount numbers the requests of all viewers, to give each a unique ID in the audit log.
 var requestCount atomic.Int64
 
-// seconds of worth at a rung
+// rungWorth returns the worth of one second of playback at a rung.
 func (v *Viewer) rungWorth(rung int) float64 {
 	return v.Site.Classes[v.Class].Worth * v.Site.Ladder[rung].Worth
 }
 
-// Run goes through the whole session.
+// Run plays the whole session, with retries, and returns when it is over or the viewer gives up.
 func (v *Viewer) Run(ctx context.Context) (report ViewerReport) {
 	begin := time.Now()
 	end := begin.Add(v.SessionLength)
@@ -75,14 +77,14 @@
 	defer func() {
 		report.Account.WorthAsked, report.Account.WorthDelivered = report.WorthAsked, report.WorthDelivered
 	}()
-	withoutSince, cause := begin, regret.LateStart // no session since, and for what cause
+	withoutSince, cause := begin, regret.LateStart // start and cause of the current time without a session
 	addWait := func(until time.Time) {
 		if until = minTime(until, end); until.After(withoutSince) {
 			report.Account.WaitedSeconds[cause] += until.Sub(withoutSince).Seconds()
 			withoutSince = until
 		}
 	}
-	defer func() { addWait(end) }() // one that gave up is without a session to the end, for the same cause
+	defer func() { addWait(end) }() // a viewer that gave up has no session until the end, for the same cause
 	lastOutcome := "failed"
 	for attempt := 0; attempt <= v.Retries && ctx.Err() == nil && time.Now().Before(end); attempt++ {
 		edge := attempt % len(v.Edges)
@@ -124,6 +126,7 @@
 	return report
 }
 
+// sleep waits for a duration or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -131,20 +134,20 @@
 	}
 }
 
-// ask sends one request for the session on a connection of its own, and sees to it that one answer
-// comes and nothing after it.
+// request sends one session request on a new connection. It logs the outcome for the audit, including bytes
+// that follow the answer.
 func (v *Viewer) request(ctx context.Context, edge int) (status int, body string, retryAfter time.Duration) {
 	class := v.Site.Classes[v.Class]
 	deadline := class.Deadline.Std()
 	id := "v" + strconv.FormatInt(requestCount.Add(1), 10)
 	conn, err := net.DialTimeout("tcp", v.Edges[edge], 500*time.Millisecond)
 	if err != nil {
-		return 0, "", 0 // nothing was asked
+		return 0, "", 0 // no request was sent
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
-	e := audit.Entry{Observer: "viewer", Subject: v.Key, Viewer: v.Key, Session: id, Edge: strconv.Itoa(v.EdgePositions[edge]), Title: v.Title,
-		Class: class.Name, Value: deadline.Seconds()}
+	e := audit.Entry{Observer: "viewer", Subject: v.Key, Viewer: v.Key, Session: id, Edge: strconv.Itoa(v.EdgePositions[edge]),
+		Title: v.Title, Class: class.Name, Value: deadline.Seconds()}
 	logEvent := func(event string, code int) {
 		e.Event, e.Status = event, code
 		v.Log.Add(e)
@@ -182,18 +185,18 @@
 	return resp.StatusCode, string(text), retryAfter
 }
 
-// player follows one media playlist as RFC 8216, 6.3 asks of clients.
+// player follows one media playlist as RFC 8216, 6.3 requires of clients.
 type player struct {
 	client        *http.Client
-	nextSequence  uint64 // next media sequence number wanted
-	started       bool
-	bufferedUntil time.Time // what was fetched plays until then
-	lastContent   int       // last segment of the content that was fetched
-	failures      int
-	lastRung      int // of the last segment; -1: none
+	nextSequence  uint64    // media sequence number of the next segment to fetch
+	started       bool      // nextSequence is set
+	bufferedUntil time.Time // end of playback of the fetched segments
+	lastContent   int       // number of the last segment within the title that was fetched
+	failures      int       // failed requests since the last fetched segment
+	lastRung      int       // rung of the last segment; -1: none
 }
 
-// play plays until the session's time is over (true), or it breaks (false).
+// play plays the session. It returns true at the end of the session, and false if playback fails.
 func (v *Viewer) play(ctx context.Context, edge, manifest string, begin, end time.Time, report *ViewerReport) bool {
 	uri := ""
 	for _, l := range strings.Split(manifest, "\n") {
@@ -207,7 +210,8 @@
 	}
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	p := &player{client: &http.Client{Transport: transport, Timeout: v.Site.Classes[v.Class].Deadline.Std() + time.Second}, lastContent: -1, bufferedUntil: time.Now(), lastRung: -1}
+	p := &player{client: &http.Client{Transport: transport, Timeout: v.Site.Classes[v.Class].Deadline.Std() + time.Second},
+		lastContent: -1, bufferedUntil: time.Now(), lastRung: -1}
 	for time.Now().Before(end) && ctx.Err() == nil {
 		code, text := v.reload(ctx, p, edge, uri)
 		if code != 200 {
@@ -230,7 +234,7 @@
 			sleep(ctx, time.Until(minTime(end, p.bufferedUntil)))
 			return true
 		}
-		if !fetched { // RFC 8216, 6.3.4: half the target duration after no change
+		if !fetched { // RFC 8216, 6.3.4: half the target duration if the playlist did not change
 			sleep(ctx, 400*time.Millisecond)
 		} else if buffered := time.Until(p.bufferedUntil); buffered > time.Second {
 			sleep(ctx, buffered-time.Second)
@@ -239,12 +243,12 @@
 	return true
 }
 
-// reload asks for the media playlist, and logs it for the audit as any request: one that waits for a new
-// set-up has its time too.
+// reload requests the media playlist and logs the request for the audit like a session request: a reload that
+// waits for a new set-up has a deadline too.
 func (v *Viewer) reload(ctx context.Context, p *player, edge, uri string) (int, string) {
 	class := v.Site.Classes[v.Class]
-	e := audit.Entry{Observer: "viewer", Subject: v.Key, Viewer: v.Key, Session: "r" + strconv.FormatInt(requestCount.Add(1), 10), Title: v.Title,
-		Class: class.Name, Value: class.Deadline.Std().Seconds(), Text: audit.PlaylistReload}
+	e := audit.Entry{Observer: "viewer", Subject: v.Key, Viewer: v.Key, Session: "r" + strconv.FormatInt(requestCount.Add(1), 10),
+		Title: v.Title, Class: class.Name, Value: class.Deadline.Std().Seconds(), Text: audit.PlaylistReload}
 	for i, a := range v.Edges {
 		if a == edge {
 			e.Edge = strconv.Itoa(v.EdgePositions[i])
@@ -258,7 +262,8 @@
 	case err == nil:
 		e.Event = audit.AnswerReceived
 	case errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || errors.As(err, &timeoutErr) && timeoutErr.Timeout():
-		e.Event = audit.ViewerGaveUp // nobody listens, or it hangs up: the time tells whether an answer was owed
+		// No listener, or the viewer disconnected: the audit judges by the time whether an answer was due.
+		e.Event = audit.ViewerGaveUp
 	default:
 		e.Event = audit.Unanswered
 	}
@@ -266,6 +271,7 @@
 	return code, text
 }
 
+// minTime returns the earlier of two times.
 func minTime(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -273,12 +279,13 @@
 	return b
 }
 
-// fetch takes the segments that are new, and earns for those that play in time.
+// fetchSegments fetches the new segments of a media playlist, and counts the worth of those that play before end.
+// It reports whether any was fetched.
 func (v *Viewer) fetchSegments(ctx context.Context, p *player, media playlist, end time.Time, report *ViewerReport) (fetched bool) {
 	if !p.started {
 		p.nextSequence, p.started = media.firstSequence, true
 	}
-	if p.nextSequence < media.firstSequence { // segments fell out before they were fetched
+	if p.nextSequence < media.firstSequence { // segments left the playlist before they were fetched
 		p.nextSequence = media.firstSequence
 	}
 	for p.nextSequence < media.firstSequence+uint64(len(media.uris)) && ctx.Err() == nil && time.Now().Before(end) {
@@ -292,7 +299,7 @@
 		p.nextSequence++
 		rung, content := parseSegmentURI(media.uris[i])
 		if content <= p.lastContent {
-			continue // published again after a move: seen already
+			continue // already fetched: published again after the session moved to another box
 		}
 		p.lastContent = content
 		now := time.Now()
@@ -309,7 +316,7 @@
 		if from.Before(end) {
 			seconds := minTime(p.bufferedUntil, end).Sub(from).Seconds()
 			report.WorthDelivered += seconds * v.rungWorth(rung)
-			if p.lastRung >= 0 && rung != p.lastRung { // a change costs the viewer so much of what it then plays
+			if p.lastRung >= 0 && rung != p.lastRung { // costs SwitchCost seconds at the worth of the new rung
 				cost := v.Site.Notes.SwitchCost.Std().Seconds() * v.rungWorth(rung)
 				report.WorthDelivered -= cost
 				report.Account.RungChangeCost += cost
@@ -325,7 +332,7 @@
 	return fetched
 }
 
-// place reads rung and number out of a segment's URI.
+// parseSegmentURI returns the rung and the segment number in a segment's URI.
 func parseSegmentURI(uri string) (rung, n int) {
 	u, _, _ := strings.Cut(uri, "?")
 	parts := strings.Split(u, "/")
@@ -337,11 +344,13 @@
 	return rung, n
 }
 
+// getSegment is getURL without the error: its status is 0 if the request failed.
 func (p *player) getSegment(ctx context.Context, uri string) (int, string) {
 	code, text, _ := p.getURL(ctx, uri)
 	return code, text
 }
 
+// getURL returns the status and body of a GET request.
 func (p *player) getURL(ctx context.Context, uri string) (int, string, error) {
 	req, err := http.NewRequestWithContext(ctx, "GET", uri, nil)
 	if err != nil {
@@ -359,7 +368,7 @@
 	return resp.StatusCode, string(body), nil
 }
 
-// list is a media playlist as this viewer reads it, with no code of the front's.
+// playlist is a media playlist. The viewer parses it without the front's code, so it is an independent check.
 type playlist struct {
 	firstSequence uint64
 	uris          []string
@@ -367,6 +376,7 @@
 	ended         bool
 }
 
+// parsePlaylist parses a media playlist.
 func parsePlaylist(text string) (media playlist, err error) {
 	if !strings.HasPrefix(text, "#EXTM3U\n") || !strings.Contains(text, "#EXT-X-TARGETDURATION:") {
 		return media, errors.New("no media playlist")
