--- a/cmd/rainpulley-edge/main.go
+++ b/cmd/rainpulley-edge/main.go
@@ -1,4 +1,4 @@
-// Command rainpulley-edge answers viewers: of HLS, or as a front node of the platform.
+// Command rainpulley-edge answers viewers, either as an edge for HLS or as a front node of the platform.
 package main
 
 import (
@@ -10,8 +10,8 @@
 func main() {
 	var c struct {
 		Serve cli.Edge `cmd:"" default:"withargs" help:"Answer viewers of HLS (the default)."`
-		Node  cli.Node `cmd:"" help:"Run as a front node of the platform, by NODE_CONFIG."`
+		Node  cli.Node `cmd:"" help:"Run as a front node of the platform, with the configuration that NODE_CONFIG names."`
 	}
-	k := kong.Parse(&c, kong.Name("rainpulley-edge"), kong.Description("Session front: answers viewers."))
+	k := kong.Parse(&c, kong.Name("rainpulley-edge"), kong.Description("Places viewers' sessions on streaming servers."))
 	k.FatalIfErrorf(k.Run())
 }
--- a/cmd/rainpulley-planner/main.go
+++ b/cmd/rainpulley-planner/main.go
@@ -1,4 +1,4 @@
-// Command rainpulley-planner watches the fleet and publishes the view that edges follow.
+// Command rainpulley-planner monitors the fleet and publishes the view that edges follow.
 package main
 
 import (
@@ -9,6 +9,6 @@
 
 func main() {
 	var c cli.Planner
-	k := kong.Parse(&c, kong.Name("rainpulley-planner"), kong.Description("Watches the fleet and publishes its view."))
+	k := kong.Parse(&c, kong.Name("rainpulley-planner"), kong.Description("Monitors the fleet and publishes its view."))
 	k.FatalIfErrorf(c.Run())
 }
--- a/cmd/rainpulley/boxes.go
+++ b/cmd/rainpulley/boxes.go
@@ -13,10 +13,10 @@
 
 type boxesCmd struct {
 	Planner string `help:"Planner's host:port." required:""`
-	JSON    bool   `help:"Print the planner's answer as it is."`
+	JSON    bool   `help:"Print the planner's answer as JSON."`
 }
 
-// Run prints each box with its state, whose word that is, how old, and why.
+// Run prints the state of each box, the source that reported it, its age and the reason.
 func (c *boxesCmd) Run() error {
 	response, err := (&http.Client{Timeout: 5 * time.Second}).Get("http://" + c.Planner + "/v1/boxes")
 	if err != nil {
--- a/cmd/rainpulley/main.go
+++ b/cmd/rainpulley/main.go
@@ -1,4 +1,4 @@
-// Command rainpulley is the operators' tool: demos, audits, checks of configuration and stand-ins.
+// Command rainpulley is the operators' tool: it runs demos, audits, configuration checks and stand-in servers.
 package main
 
 import (
@@ -26,12 +26,12 @@
 )
 
 type tool struct {
-	Demo    demoCmd     `cmd:"" help:"Start a whole fleet on free loopback ports and play a scripted day."`
-	Replay  replayCmd   `cmd:"" help:"Play a script file, at its own pace or compressed."`
-	Audit   auditCmd    `cmd:"" help:"Judge a recorded run by the six rules."`
+	Demo    demoCmd     `cmd:"" help:"Start a fleet on free loopback ports and play a scripted day."`
+	Replay  replayCmd   `cmd:"" help:"Play a script file, at the speed of its clock or faster."`
+	Audit   auditCmd    `cmd:"" help:"Check a recorded run against the six rules."`
 	Config  configCmd   `cmd:"" help:"Configuration."`
-	Peak    peakCmd     `cmd:"" help:"Announce hours to a planner."`
-	Boxes   boxesCmd    `cmd:"" help:"List a planner's boxes: state, whose word it is, its age, and why."`
+	Peak    peakCmd     `cmd:"" help:"Announce peaks to a planner, list and cancel them."`
+	Boxes   boxesCmd    `cmd:"" help:"List a planner's boxes with their state, its source, its age and the reason."`
 	Standin standinCmd  `cmd:"" help:"Run the stand-in boxes of a site."`
 	Edge    cli.Edge    `cmd:"" help:"Run an edge, as rainpulley-edge does."`
 	Planner cli.Planner `cmd:"" help:"Run a planner, as rainpulley-planner does."`
@@ -39,17 +39,17 @@
 
 func main() {
 	var t tool
-	k := kong.Parse(&t, kong.Name("rainpulley"), kong.Description("Session front for HLS: the operators' tool."), kong.UsageOnError())
+	k := kong.Parse(&t, kong.Name("rainpulley"), kong.Description("Operators' tool of rainpulley, which places video sessions on streaming servers."), kong.UsageOnError())
 	k.FatalIfErrorf(k.Run(&t))
 }
 
 type configCmd struct {
 	Check struct {
 		cli.SiteFile
-	} `cmd:"" help:"Read a site file and say what is wrong with it."`
+	} `cmd:"" help:"Read a site file and report its errors."`
 }
 
-// Run checks.
+// Run reads the site file and prints its size, or returns its errors.
 func (c *configCmd) Run() error {
 	s, err := c.Check.Load()
 	if err != nil {
@@ -61,10 +61,10 @@
 
 type auditCmd struct {
 	Site    string `arg:"" help:"Site file of the run." type:"existingfile"`
-	Entries string `arg:"" help:"What passed on the sockets, as 'demo --keep' writes it." type:"existingfile"`
+	Entries string `arg:"" help:"Recorded network events, as 'demo --keep' writes them." type:"existingfile"`
 }
 
-// Run judges; the exit code tells.
+// Run prints the verdict as JSON and returns an error if a rule was broken.
 func (c *auditCmd) Run() error {
 	site, err := config.Load(c.Site, nil)
 	if err != nil {
@@ -91,10 +91,10 @@
 
 type standinCmd struct {
 	cli.SiteFile
-	Seed uint64 `help:"Seed of the boxes' links." default:"1"`
+	Seed uint64 `help:"Random seed of the boxes' links." default:"1"`
 }
 
-// Run serves until a signal comes.
+// Run serves until SIGTERM or an interrupt.
 func (c *standinCmd) Run() error {
 	site, err := c.Load()
 	if err != nil {
@@ -106,33 +106,33 @@
 	if err := f.Start(ctx); err != nil {
 		return err
 	}
-	fmt.Printf("%d stand-in boxes serve\n", len(site.Boxes))
+	fmt.Printf("%d stand-in boxes are serving\n", len(site.Boxes))
 	<-ctx.Done()
 	f.Wait()
 	return nil
 }
 
-// size is what demo and replay share.
+// playFlags holds the flags that demo and replay share.
 type playFlags struct {
-	Seed     uint64   `help:"Seed of arrivals, faults and modules." default:"1"`
-	Boxes    int      `help:"Stand-in boxes; by default the script's."`
-	Edges    int      `help:"Edges; by default the script's."`
-	Rate     float64  `help:"New sessions a second; by default the script's."`
-	Speed    float64  `help:"The script's clock over the real one; by default the script's."`
-	Keep     string   `help:"Folder for site, logs and what passed on the sockets." type:"path"`
-	Ways     []string `help:"Of a day with peaks, the ways that are played: some of module, without, holds, greedy."`
-	Oracle   bool     `help:"Work out the oracles by linear programming: some seconds, minutes for a hundred boxes." default:"true" negatable:""`
-	Baseline bool     `help:"Play the day beside it with a random holder at the lowest rung." default:"true" negatable:""`
+	Seed     uint64   `help:"Random seed of arrivals, faults and controllers." default:"1"`
+	Boxes    int      `help:"Number of stand-in boxes; by default the script's."`
+	Edges    int      `help:"Number of edges; by default the script's."`
+	Rate     float64  `help:"New sessions per second; by default the script's."`
+	Speed    float64  `help:"Ratio of the script's clock to real time; by default the script's."`
+	Keep     string   `help:"Folder for the site file, logs and recorded network events." type:"path"`
+	Ways     []string `help:"Variants of a day with peaks that are played: some of module, without, holds, greedy."`
+	Oracle   bool     `help:"Compute the oracles by linear programming: takes some seconds, or minutes for a hundred boxes." default:"true" negatable:""`
+	Baseline bool     `help:"Also play the day with a random holder at the lowest rung, for comparison." default:"true" negatable:""`
 }
 
 type demoCmd struct {
 	playFlags
-	Scenario string `help:"Which day is played." default:"bad-day"`
-	List     bool   `help:"Name the scenarios."`
-	Serve    bool   `help:"Leave it running and print an address to open in a player."`
+	Scenario string `help:"Scenario that is played." default:"bad-day"`
+	List     bool   `help:"List the scenarios."`
+	Serve    bool   `help:"Keep the fleet running and print an address to open in a player."`
 }
 
-// Run plays.
+// Run plays a scenario, or lists the scenarios.
 func (c *demoCmd) Run() error {
 	if c.List {
 		for _, n := range scenario.Names() {
@@ -153,10 +153,10 @@
 
 type replayCmd struct {
 	playFlags
-	Script string `arg:"" help:"Script file, or a scenario's name."`
+	Script string `arg:"" help:"Script file, or the name of a scenario."`
 }
 
-// Run plays.
+// Run plays the script.
 func (c *replayCmd) Run() error {
 	s, err := scenario.Load(c.Script)
 	if err != nil {
@@ -165,6 +165,8 @@
 	return c.play(s, false)
 }
 
+// play plays all variants of a day at the same time, prints the results as a table and as one line of JSON, and
+// returns an error if a variant with the controller broke a rule.
 func (c *playFlags) play(s *scenario.Script, serve bool) error {
 	if c.Boxes > 0 {
 		s.Boxes = c.Boxes
@@ -189,7 +191,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
@@ -199,7 +201,7 @@
 		variants = slices.DeleteFunc(variants, func(k variant) bool { return !slices.Contains(c.Ways, k.name) })
 	}
 	if len(variants) == 0 || variants[0].name != "module" {
-		return errors.New("--ways must have module in it")
+		return errors.New("--ways must include module")
 	}
 	results, errs := make([]*scenario.Result, len(variants)), make([]error, len(variants))
 	scenarioRuns := make([]*scenario.Run, len(variants))
@@ -208,8 +210,8 @@
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			o := scenario.Options{Script: s, Seed: c.Seed, Policy: p.policy, Holds: p.holds, Copies: p.copies, Command: []string{self}, Ports: ports,
-				Dir: filepath.Join(dir, p.name), Speed: c.Speed}
+			o := scenario.Options{Script: s, Seed: c.Seed, Policy: p.policy, Holds: p.holds, Copies: p.copies,
+				Command: []string{executable}, Ports: ports, Dir: filepath.Join(dir, p.name), Speed: c.Speed}
 			results[i], scenarioRuns[i], errs[i] = playVariant(ctx, o, serve)
 		}()
 	}
@@ -220,7 +222,7 @@
 		return err
 	}
 	r := results[0]
-	for i, x := range results { // before the oracles, which take their time
+	for i, x := range results { // printed first, because the oracles may take minutes
 		fmt.Fprintf(os.Stderr, "%s: %.3f of worth asked, broken rules %v\n", variants[i].name, x.WorthShare, x.BrokenRules)
 	}
 	if !serve {
@@ -228,7 +230,8 @@
 	}
 	for i, p := range variants {
 		if b := results[i]; p.policy == "random" {
-			r.Baseline = &scenario.BaselineResult{Policy: b.Policy, Sessions: b.Sessions, WorthShare: b.WorthShare, WorthDelivered: b.WorthDelivered, WorthAsked: b.WorthAsked, BrokenRules: b.BrokenRules}
+			r.Baseline = &scenario.BaselineResult{Policy: b.Policy, Sessions: b.Sessions, WorthShare: b.WorthShare, WorthDelivered: b.WorthDelivered,
+				WorthAsked: b.WorthAsked, BrokenRules: b.BrokenRules}
 		}
 	}
 	if len(s.Peaks) > 0 && !serve {
@@ -236,13 +239,15 @@
 	}
 	r.WriteTable(os.Stdout)
 	if r.Baseline != nil {
-		fmt.Printf("beside it, a random holder at the lowest rung: %.3f of worth asked\n", r.Baseline.WorthShare)
+		fmt.Printf("for comparison, a random holder at the lowest rung: %.3f of worth asked\n", r.Baseline.WorthShare)
 	}
 	if p := r.PeakResult; p != nil {
-		fmt.Printf("share of worth asked   all    peak   others\ncopies, paying holds   %.3f  %.3f  %.3f\nthe same, greedy       %.3f  %.3f  %.3f\nall holds, no copies   %.3f  %.3f  %.3f\n"+
-			"neither                %.3f  %.3f  %.3f\npaced, at rest         %.3f\npaced, peak everywhere %.3f  of which closed %.2f\nthe same, steps ahead   %.3f\n"+
-			"oracle, at rest        %.3f\noracle, peak everywhere %.3f\nall links as one       %.3f\n", p.ShareWith, p.PeakShareWith, p.OthersShareWith, p.ShareGreedy, p.PeakShareGreedy, p.OthersShareGreedy,
-			p.ShareHolds, p.PeakShareHolds, p.OthersShareHolds, p.ShareWithout, p.PeakShareWithout, p.OthersShareWithout, p.SharePacedAtRest, p.SharePaced, p.GapClosed, p.SharePacedWithLead, p.ShareOracle, p.ShareOracleSpread, p.ShareUpperBound)
+		fmt.Printf("share of worth asked     all    peak   others\ncopies and paying holds  %.3f  %.3f  %.3f\ngreedy copies and holds  %.3f  %.3f  %.3f\nall holds, no copies     %.3f  %.3f  %.3f\n"+
+			"no holds, no copies      %.3f  %.3f  %.3f\npaced, usual holders     %.3f\npaced, peak everywhere   %.3f  part of the gap closed %.2f\npaced, early down-steps  %.3f\n"+
+			"oracle, usual holders    %.3f\noracle, peak everywhere  %.3f\nall links as one         %.3f\n",
+			p.ShareWith, p.PeakShareWith, p.OthersShareWith, p.ShareGreedy, p.PeakShareGreedy, p.OthersShareGreedy,
+			p.ShareHolds, p.PeakShareHolds, p.OthersShareHolds, p.ShareWithout, p.PeakShareWithout, p.OthersShareWithout, p.SharePacedAtRest, p.SharePaced, p.GapClosed, p.SharePacedWithLead,
+			p.ShareOracle, p.ShareOracleSpread, p.ShareUpperBound)
 	}
 	line, err := json.Marshal(r)
 	if err != nil {
@@ -257,14 +262,15 @@
 	return nil
 }
 
-// kind is one way in which the day is played.
+// variant is one policy with its ways of planning holds and copies, with which a day is played.
 type variant struct{ name, policy, holds, copies string }
 
-// plays are the ways in which a day is played beside itself.
+// selectVariants returns the variants in which a day is played. The first one is the full planning of the controller.
 func selectVariants(s *scenario.Script, random, serve bool) []variant {
 	out := []variant{{"module", "module", "lp", "lp"}}
 	if len(s.Peaks) > 0 && !serve {
-		return append(out, variant{"without", "module", "none", "none"}, variant{"holds", "module", "all", "none"}, variant{"greedy", "module", "greedy", "greedy"})
+		return append(out, variant{"without", "module", "none", "none"}, variant{"holds", "module", "all", "none"},
+			variant{"greedy", "module", "greedy", "greedy"})
 	}
 	if random {
 		out = append(out, variant{"random", "random", "none", "none"})
@@ -272,8 +278,10 @@
 	return out
 }
 
-// beside sets the ways of planning a peak beside each other.
-func comparePeakPlans(results []*scenario.Result, scenarioRuns []*scenario.Run, variants []variant, oracle bool) *scenario.PeakResult {
+// comparePeakPlans compares the variants of planning a peak. Closed is the part of the distance between no planning
+// and the paced oracle that the full planning closes.
+func comparePeakPlans(results []*scenario.Result, scenarioRuns []*scenario.Run, variants []variant,
+	oracle bool) *scenario.PeakResult {
 	p := &scenario.PeakResult{ShareUpperBound: scenarioRuns[0].UpperBound(), ShareOracle: results[0].OracleShare, SharePacedAtRest: results[0].PacedShare}
 	if oracle {
 		p.ShareOracleSpread, _ = scenarioRuns[0].OracleShare(true)
@@ -299,7 +307,7 @@
 	return p
 }
 
-// one plays a day with one policy.
+// playVariant plays a day in one variant and writes its recorded network events to entries.jsonl.
 func playVariant(ctx context.Context, o scenario.Options, serve bool) (*scenario.Result, *scenario.Run, error) {
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -328,7 +336,7 @@
 	return result, r, audit.Write(f, r.Entries())
 }
 
-// progress writes one line on standard error while the day goes on.
+// printProgress keeps one line with the elapsed time up to date on standard error until done is closed.
 func printProgress(done <-chan struct{}, s *scenario.Script, speed float64, serve bool) {
 	begin := time.Now()
 	t := time.NewTicker(time.Second)
@@ -342,7 +350,7 @@
 		case <-t.C:
 			elapsed := time.Duration(float64(time.Since(begin)) * speed).Round(time.Second)
 			if !serve || elapsed < s.Length.Std() {
-				fmt.Fprintf(w, "\r%s: %v of %v and the last viewers ", s.Name, min(elapsed, s.Length.Std()), s.Length.Std())
+				fmt.Fprintf(w, "\r%s: %v of %v, plus the last viewers ", s.Name, min(elapsed, s.Length.Std()), s.Length.Std())
 			}
 		}
 	}
--- a/cmd/rainpulley/peak.go
+++ b/cmd/rainpulley/peak.go
@@ -19,13 +19,13 @@
 type peakCmd struct {
 	Planner string `help:"Planner's host:port." default:"127.0.0.1:9090"`
 
-	Add    peakAdd    `cmd:"" help:"Announce a peak, or change one by a higher version."`
+	Add    peakAdd    `cmd:"" help:"Announce a peak, or change one with a higher version."`
 	List   peakList   `cmd:"" help:"List announced peaks."`
-	Show   peakShow   `cmd:"" help:"Show one peak with what is held for it."`
-	Cancel peakCancel `cmd:"" help:"Cancel a peak: its room is given back at once."`
+	Show   peakShow   `cmd:"" help:"Show one peak and the capacity held for it."`
+	Cancel peakCancel `cmd:"" help:"Cancel a peak and release the capacity held for it."`
 }
 
-// call sends a request to the planner; an answer other than 2xx is an error with the planner's words.
+// call sends a request to the planner. An answer with a status other than 2xx is an error with the answer's text.
 func (c *peakCmd) call(method, path string, body []byte) (int, []byte, error) {
 	request, err := http.NewRequest(method, "http://"+c.Planner+path, bytes.NewReader(body))
 	if err != nil {
@@ -46,20 +46,20 @@
 
 type peakAdd struct {
 	ID        string        `arg:"" optional:"" help:"Name of the peak."`
-	File      string        `help:"Jsonnet file with a list under 'peaks', in place of the other flags." type:"existingfile"`
+	File      string        `help:"Jsonnet file with a list of announcements under 'peaks', used in place of the other flags." type:"existingfile"`
 	Version   uint64        `help:"A higher version replaces a lower one." default:"1"`
-	Titles    []string      `help:"Titles, with commas between."`
+	Titles    []string      `help:"Titles, separated by commas."`
 	Class     string        `help:"Class of the sessions."`
-	Zone      string        `help:"Zone of the viewers; by default all."`
-	Start     time.Time     `help:"When they begin to come (RFC 3339)." format:"2006-01-02T15:04:05Z07:00"`
-	Uncertain time.Duration `help:"So much earlier or later."`
-	Rate      float64       `help:"New sessions a second."`
-	Length    time.Duration `help:"How long they keep coming."`
-	Session   time.Duration `help:"How long each plays; by default the title's length."`
-	Worth     float64       `help:"Of a second at a rung of worth 1; by default the class's."`
+	Zone      string        `help:"Zone of the viewers; by default all zones."`
+	Start     time.Time     `help:"Start of the peak (RFC 3339)." format:"2006-01-02T15:04:05Z07:00"`
+	Uncertain time.Duration `help:"The start may be earlier or later by up to this time."`
+	Rate      float64       `help:"New sessions per second."`
+	Length    time.Duration `help:"How long new sessions arrive."`
+	Session   time.Duration `help:"How long each session plays; by default the title's length."`
+	Worth     float64       `help:"Worth of one second at a rung of worth 1; by default that of the class."`
 }
 
-// Run announces.
+// Run announces the peak, or all peaks of a file.
 func (a *peakAdd) Run(c *tool) error {
 	list := []peaks.Announcement{{ID: a.ID, Version: a.Version, Titles: a.Titles, Class: a.Class, Zone: a.Zone, Start: a.Start.UnixMilli(),
 		Uncertainty: a.Uncertain.Milliseconds(), Rate: a.Rate, Duration: a.Length.Milliseconds(), SessionDuration: a.Session.Milliseconds(), Worth: a.Worth}}
@@ -80,14 +80,14 @@
 		}
 		status := "announced"
 		if code == http.StatusNoContent {
-			status = "nothing new"
+			status = "unchanged"
 		}
 		fmt.Printf("%s version %d: %s\n", p.ID, p.Version, status)
 	}
 	return nil
 }
 
-// board is what the planner tells of peaks.
+// peakStatus is the planner's answer with all peaks, the holds and the plan.
 type peakStatus struct {
 	Peaks []peaks.Announcement
 	Holds []peaks.Hold
@@ -98,6 +98,7 @@
 	}
 }
 
+// fetchStatus reads the status of all peaks from the planner.
 func (c *peakCmd) fetchStatus() (b peakStatus, err error) {
 	_, text, err := c.call("GET", "/v1/peaks", nil)
 	if err == nil {
@@ -108,7 +109,7 @@
 
 type peakList struct{}
 
-// Run lists.
+// Run prints a table of all peaks with the sum of what is held for each.
 func (*peakList) Run(c *tool) error {
 	b, err := c.Peak.fetchStatus()
 	if err != nil {
@@ -137,7 +138,7 @@
 	ID string `arg:"" help:"Name of the peak."`
 }
 
-// Run shows one.
+// Run prints one peak and its holds.
 func (s *peakShow) Run(c *tool) error {
 	b, err := c.Peak.fetchStatus()
 	if err != nil {
@@ -166,14 +167,14 @@
 	ID string `arg:"" help:"Name of the peak."`
 }
 
-// Run cancels.
+// Run cancels the peak.
 func (s *peakCancel) Run(c *tool) error {
 	code, _, err := c.Peak.call("DELETE", "/v1/peaks/"+url.PathEscape(s.ID), nil)
 	if err != nil {
 		return err
 	}
 	if code == http.StatusNoContent {
-		fmt.Printf("%s was cancelled before\n", s.ID)
+		fmt.Printf("%s was already cancelled\n", s.ID)
 		return nil
 	}
 	fmt.Printf("%s cancelled\n", s.ID)
--- a/examples/days/hour-drain.jsonnet
+++ b/examples/days/hour-drain.jsonnet
@@ -1,5 +1,6 @@
-// An announced hour at the users' scale: 100 boxes, sessions of 50 s, 36 new sessions a second for six titles
-// on top of 8 a second. Takes some ten minutes: rainpulley replay examples/days/hour-drain.jsonnet --ways module,without
+// An announced peak at production scale: 100 boxes, sessions of 50 s, and 36 new sessions per second for six titles in
+// addition to 8 per second. The box that holds most of the peak's titles drains shortly before the peak.
+// Takes about ten minutes: rainpulley replay examples/days/hour-drain.jsonnet --ways module,without
 {
   name: 'hour-drain',
   about: 'an announced hour at the scale of the users',
--- a/examples/peaks.jsonnet
+++ b/examples/peaks.jsonnet
@@ -1,5 +1,5 @@
-// Announced hours, for `rainpulley peak add --file` or the planner's --peaks folder. now_ms is the time at reading;
-// a booking system writes start_ms itself.
+// Announcements of peaks, for `rainpulley peak add --file` or the planner's --peaks folder. The external variable
+// now_ms is the time at which the file is read, in Unix milliseconds; a booking system would write start_ms itself.
 local minute = 60 * 1000;
 local now = std.parseInt(std.extVar('now_ms'));
 {
@@ -11,7 +11,7 @@
       class: 'round-play',
       start_ms: now + 10 * minute,
       uncertain_ms: 30 * 1000,
-      rate: 12,  // new sessions a second, at both titles together
+      rate: 12,  // new sessions per second, for both titles together
       length_ms: 3 * minute,
     },
   ],
--- a/examples/site.jsonnet
+++ b/examples/site.jsonnet
@@ -1,4 +1,5 @@
-// Three halls, twelve clip boxes, three edges, one planner, all on one machine: start it as README says.
+// A site of three halls (zones), twelve boxes, three edges and one planner on one machine. README describes how to
+// start it.
 local zones = ['east-hall', 'west-hall', 'north-hall'];
 local box(i) = {
   addr: '127.0.0.1:%d' % (9100 + i),
@@ -10,8 +11,8 @@
 {
   zones: zones,
   kinds: [{ name: 'two-core', streams: 30 }, { name: 'three-core', streams: 44 }],
-  cells: 12,  // a title lies on `span` cells in a row from `home`
-  racks: 3,  // a cell's rack is its number modulo this
+  cells: 12,  // a title is stored in `span` consecutive cells from `home`
+  racks: 3,  // the rack of a cell is the cell's number modulo `racks`
   ladder: [
     { rate: '260kB/s', worth: 0.17 },
     { rate: '460kB/s', worth: 0.41 },
@@ -48,7 +49,7 @@
     for i in std.range(0, 2)
   ],
   planner: { listen: '127.0.0.1:9090', check_every: '250ms', check_for: '500ms', gone_after: 3 },
-  copies: { managed: true, least: 3, share: 0.5, grace: '10s', ahead: '30m' },  // the planner looks after who holds what
+  copies: { managed: true, least: 3, share: 0.5, grace: '10s', ahead: '30m' },  // the planner places the copies of titles
   playback: { ahead: '3s', behind: '6s', silence: '10s' },
   limits: { connections: 20000, sessions: 20000, queue: 1024 },
 }
--- a/internal/cli/programs.go
+++ b/internal/cli/programs.go
@@ -1,4 +1,4 @@
-// Package cli holds what the programs' command lines share.
+// Package cli holds the commands and flags that several programs share.
 package cli
 
 import (
@@ -20,29 +20,29 @@
 	"rainpulley/internal/planner"
 )
 
-// Logging is how a program logs: lines of JSON on standard error.
+// Logging holds the flags of a program's log, which is JSON lines on standard error.
 type Logging struct {
-	LogLevel string `help:"Least level that is logged: debug, info, warn or error." default:"info" enum:"debug,info,warn,error"`
+	LogLevel string `help:"Lowest level that is logged: debug, info, warn or error." default:"info" enum:"debug,info,warn,error"`
 }
 
-// Logger makes the program's logger.
+// Logger returns the program's logger.
 func (l Logging) Logger(program string) *slog.Logger {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(l.LogLevel)) // the enum holds only valid ones
+	_ = level.UnmarshalText([]byte(l.LogLevel)) // kong accepts only the levels of the enum, which are all valid
 	return slog.New(slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("program", program)
 }
 
-// SiteFile names the description of the installation.
+// SiteFile holds the flags that name the site file, which describes the installation.
 type SiteFile struct {
 	Site string            `help:"Jsonnet file that describes the installation." required:"" type:"existingfile"`
 	Var  map[string]string `help:"External variables of the Jsonnet file."`
 }
 
-// Load reads it.
+// Load reads the site file.
 func (s SiteFile) Load() (*config.Site, error) { return config.Load(s.Site, s.Var) }
 
-// onHangup reads the site again at each SIGHUP, until the function that it returns is called. A file that
-// cannot be read, or holds what cannot be, changes nothing.
+// reloadOnHangup reads the site file again at each SIGHUP and calls apply with the new site, until the returned
+// function is called. If the file cannot be read or is invalid, the current site remains in effect.
 func (s SiteFile) reloadOnHangup(log *slog.Logger, apply func(*config.Site)) (stop func()) {
 	hangup, done := make(chan os.Signal, 1), make(chan struct{})
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -54,7 +54,7 @@
 			case <-hangup:
 			}
 			if site, err := s.Load(); err != nil {
-				log.Error("site not reloaded, the one before stays", "error", err)
+				log.Error("cannot reload the site file; the current site remains in effect", "error", err)
 			} else {
 				apply(site)
 			}
@@ -63,26 +63,27 @@
 	return func() { signal.Stop(hangup); close(done) }
 }
 
-// untilSignal ends at SIGTERM or interrupt; a second one ends the process.
+// signalContext returns a context that is cancelled at the first SIGTERM or interrupt. From then on the signals have
+// their default effect, so that a second one ends the process.
 func signalContext() (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	context.AfterFunc(ctx, stop)
 	return ctx, stop
 }
 
-// Edge runs an edge.
+// Edge is the command that runs an edge.
 type Edge struct {
 	SiteFile
 	Logging
-	Position int           `help:"Which of the site's edges this is, from 0." required:""`
-	Planner  string        `help:"Planner's host:port; by default the site's."`
-	State    string        `help:"Folder for the last view; without it a restart begins empty." type:"path"`
-	Grace    time.Duration `help:"At SIGTERM, requests under way may take so long." default:"10s"`
-	Seed     uint64        `help:"Seed of the module; by default the time."`
-	Policy   string        `help:"For comparisons: 'random' in place of the module." hidden:"" default:"module" enum:"module,random"`
+	Position int           `help:"Index of this edge in the site's list of edges, from 0." required:""`
+	Planner  string        `help:"Planner's host:port; by default that of the site file."`
+	State    string        `help:"Folder for the last view of the fleet; without it an edge starts without a view." type:"path"`
+	Grace    time.Duration `help:"At SIGTERM, time for pending requests to finish." default:"10s"`
+	Seed     uint64        `help:"Random seed of the controller; by default the current time."`
+	Policy   string        `help:"For comparisons: 'random' chooses servers at random in place of the controller." hidden:"" default:"module" enum:"module,random"`
 }
 
-// Run serves until a signal comes.
+// Run serves viewers until SIGTERM or an interrupt.
 func (c *Edge) Run() error {
 	site, err := c.Load()
 	if err != nil {
@@ -114,15 +115,15 @@
 	return e.Run(ctx)
 }
 
-// Node runs a front node of the platform.
+// Node is the command that runs a front node of the platform.
 type Node struct {
-	Config   string `help:"File that holds the configuration." env:"NODE_CONFIG"`
-	Listen   string `help:"Address for viewers; by default the configuration's." env:"NODE_LISTEN"`
-	Name     string `help:"Name of this front node; by default the configuration's." env:"NODE_NAME"`
-	LogLevel string `help:"Least level that is logged: debug, info, warn or error." default:"info" enum:"debug,info,warn,error" env:"NODE_LOG_LEVEL"`
+	Config   string `help:"Configuration file." env:"NODE_CONFIG"`
+	Listen   string `help:"Address for viewers; by default that of the configuration." env:"NODE_LISTEN"`
+	Name     string `help:"Name of this front node; by default that of the configuration." env:"NODE_NAME"`
+	LogLevel string `help:"Lowest level that is logged: debug, info, warn or error." default:"info" enum:"debug,info,warn,error" env:"NODE_LOG_LEVEL"`
 }
 
-// Run serves until a signal comes.
+// Run serves viewers until the node has shut down.
 func (c *Node) Run() error {
 	cfg, err := node.ReadConfig(c.Config)
 	if err != nil {
@@ -137,17 +138,17 @@
 	return n.Run(context.Background())
 }
 
-// Planner runs a planner.
+// Planner is the command that runs a planner.
 type Planner struct {
 	SiteFile
 	Logging
-	State  string `help:"Folder for announcements; without it a restart forgets them." type:"path"`
-	Peaks  string `help:"Folder of Jsonnet files with announced peaks, watched for change." type:"path"`
-	Copies string `help:"How copies for peaks are chosen: by linear programming, greedily, or none." default:"lp" enum:"lp,greedy,none"`
-	Holds  string `help:"How peaks' room is planned: by linear programming as far as holding pays (lp), all of that plan, greedily, or not at all." default:"lp" enum:"lp,all,greedy,none"`
+	State  string `help:"Folder for announcements of peaks; without it they are lost at a restart." type:"path"`
+	Peaks  string `help:"Folder of Jsonnet files with announcements of peaks, checked for changes." type:"path"`
+	Copies string `help:"How copies for peaks are chosen: by linear programming (lp), greedily, or none." default:"lp" enum:"lp,greedy,none"`
+	Holds  string `help:"How capacity is held for peaks: the part of a linear programming plan that is worth its cost (lp), all of that plan, greedily, or not at all." default:"lp" enum:"lp,all,greedy,none"`
 }
 
-// Run serves until a signal comes.
+// Run runs the planner until SIGTERM or an interrupt.
 func (c *Planner) Run() error {
 	site, err := c.Load()
 	if err != nil {
--- a/internal/config/changed.go
+++ b/internal/config/changed.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Changed names the fields of a site file in which two sites differ, beside those that may.
+// ChangedFields returns the names, as in the site file, of the top-level fields in which two sites differ.
+// Fields named in ignored are not compared.
 func ChangedFields(a, b *Site, ignored ...string) (names []string) {
 	x, y := reflect.ValueOf(*a), reflect.ValueOf(*b)
 	for i := range x.NumField() {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the description of an installation: one Jsonnet file that the planner, every
-// edge and the operators' tool share. Unknown fields and values that cannot be are errors that name
-// the file and the field; durations and rates carry their units.
+// Package config reads the description of an installation: one Jsonnet file that the planner, all
+// edges and the operators' tool share. Unknown fields and invalid values are errors that name the
+// file and the field. Durations and rates are written with their units.
 package config
 
 import (
@@ -19,29 +19,29 @@
 	"github.com/google/go-jsonnet"
 )
 
-// Duration is written with its unit: "250ms".
+// Duration is a length of time, written with its unit, such as "250ms".
 type Duration time.Duration
 
-// D is the standard library's form.
+// Std returns the duration as the standard library's type.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// MarshalJSON writes it as it is read.
+// MarshalJSON writes the duration in the form in which it is read.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// Rate is in kB a second (1 kB = 1000 bytes), written with its unit: "700kB/s".
+// Rate is a data rate in kB per second (1 kB = 1000 bytes), written with its unit, such as "700kB/s".
 type Rate float64
 
-// MarshalJSON writes it as it is read.
+// MarshalJSON writes the rate in the form in which it is read.
 func (r Rate) MarshalJSON() ([]byte, error) {
 	return json.Marshal(strconv.FormatFloat(float64(r), 'f', -1, 64) + "kB/s")
 }
 
-// Site is one installation.
+// Site describes one installation.
 type Site struct {
 	Zones      []string `json:"zones"`
 	Kinds      []Kind   `json:"kinds"`
-	Cells      int      `json:"cells"` // a title lies on some cells in a row
-	Racks      int      `json:"racks"` // a cell's rack is its number modulo this
+	Cells      int      `json:"cells"` // a title is stored in a range of consecutive cells
+	Racks      int      `json:"racks"` // the rack of a cell is the cell's number modulo Racks
 	Ladder     []Rung   `json:"ladder"`
 	Links      Links    `json:"links"`
 	Classes    []Class  `json:"classes"`
@@ -49,8 +49,8 @@
 	Attempts   Attempts `json:"attempts"`
 	Notes      Notes    `json:"notes"`
 	Prices     Prices   `json:"prices"`
-	RetryAfter Duration `json:"retry_after"` // longest wait advised; 0: none
-	Peers      bool     `json:"peers"`       // edges send each other messages
+	RetryAfter Duration `json:"retry_after"` // longest wait that a refusal advises; 0: no advice
+	Peers      bool     `json:"peers"`       // edges exchange messages with each other
 	Copies     Copies   `json:"copies"`
 	Consul     Consul   `json:"consul"`
 	Titles     []Title  `json:"titles"`
@@ -61,42 +61,45 @@
 	Limits     Limits   `json:"limits"`
 }
 
-// Kind is a kind of machine.
+// Kind is a kind of server hardware.
 type Kind struct {
 	Name    string `json:"name"`
-	Streams int    `json:"streams"` // at most at once
+	Streams int    `json:"streams"` // most concurrent streams of a server
 }
 
-// Rung is one rate of the ladder; Worth is earned for each second of it.
+// Rung is one rate of the ladder. Worth is the value of each second that is played at this rate.
 type Rung struct {
 	Rate  Rate    `json:"rate"`
 	Worth float64 `json:"worth"`
 }
 
-// Links tells what links give.
+// Links is the capacity of the links.
 type Links struct {
-	PerWeight Rate    `json:"per_weight"` // of a box's link, for each unit of its weight
-	Uplink    Rate    `json:"uplink"`     // of a rack, on the mean
-	FullFrom  float64 `json:"full_from"`  // boxes turn set-ups away from this fullness on; 0: never
+	PerWeight Rate    `json:"per_weight"` // capacity of a box's link for each unit of the box's weight
+	Uplink    Rate    `json:"uplink"`     // mean capacity of a rack's uplink
+	FullFrom  float64 `json:"full_from"`  // link utilization from which boxes reject set-ups; 0: they never do
 }
 
-// Class is one class of sessions. Effect is "repeatable", "keyed" or "paid".
+// Class is one class of sessions. Effect is the effect of a repeated set-up: "repeatable" (no further effect),
+// "keyed" (servers in Scope recognise the repeat during Window) or "paid" (a set-up may run once at most).
 type Class struct {
 	Name       string   `json:"name"`
 	Effect     string   `json:"effect"`
-	Scope      string   `json:"scope"`  // of a keyed class: "all", "zone" or "cell"
-	Window     Duration `json:"window"` // of a keyed class
+	Scope      string   `json:"scope"`  // of a keyed class: "all", "zone" or "cell"; empty: "all"
+	Window     Duration `json:"window"` // of a keyed class: how long servers remember a set-up
 	Aim        Duration `json:"aim"`
 	Deadline   Duration `json:"deadline"`
 	Worth      float64  `json:"worth"`
 	RateFactor float64  `json:"rate_factor"`
 	Floor      int      `json:"floor"`
 	Top        *int     `json:"top"`
-	Seats      int      `json:"seats"` // sessions of one title that an edge may hold; 0: no limit
+	Seats      int      `json:"seats"` // most sessions of one title that an edge may run; 0: no limit
 	Live       bool     `json:"live"`
 }
 
-// Rules are the figures of the rules that an edge keeps.
+// Rules are the parameters of the rules that an edge follows. A server that started less than Ramp ago takes a
+// share of its full set-up rate that rises from StartShare. FallFactor times that rate over FallSpan overloads it.
+// During BudgetSpan an edge may make BudgetFree retries and BudgetShare more for each request.
 type Rules struct {
 	DrainGrace  Duration `json:"drain_grace"`
 	Ramp        Duration `json:"ramp"`
@@ -109,7 +112,7 @@
 	BudgetShare float64  `json:"budget_share"`
 }
 
-// Attempts bounds set-ups.
+// Attempts limits the set-up attempts of a request.
 type Attempts struct {
 	Most           int      `json:"most"`
 	ConnectTimeout Duration `json:"connect_timeout"`
@@ -117,7 +120,7 @@
 	Probes         bool     `json:"probes"`
 }
 
-// Notes tells how boxes speak of playing sessions.
+// Notes describes how boxes report playing sessions and their load.
 type Notes struct {
 	Delay      Duration `json:"delay"`
 	LinkEvery  Duration `json:"link_every"`
@@ -125,30 +128,31 @@
 	Reports    string   `json:"reports"` // "answers", "probes" or "none"
 }
 
-// Prices are shares of a session's worth.
+// Prices are costs of placement decisions, as shares of a session's worth.
 type Prices struct {
 	Move  float64 `json:"move"`
 	Zone  float64 `json:"zone"`
 	Probe float64 `json:"probe"`
 }
 
-// Consul says where a catalogue of boxes and titles is read. An empty address reads none.
+// Consul configures the Consul agent from which the catalogue of boxes and titles is read. With an empty
+// address no catalogue is read.
 type Consul struct {
 	Address     string   `json:"address"` // host:port of an agent
 	Scheme      string   `json:"scheme"`  // "http" or "https"
 	Datacentre  string   `json:"datacentre"`
 	Namespace   string   `json:"namespace"`
 	TokenFile   string   `json:"token_file"`
-	Service     string   `json:"service"`     // that boxes register as
-	Titles      string   `json:"titles"`      // prefix of keys; empty: titles are the site's
-	Filter      string   `json:"filter"`      // expression on service entries
+	Service     string   `json:"service"`     // name under which boxes register
+	Titles      string   `json:"titles"`      // key prefix of the titles; empty: the site file lists them
+	Filter      string   `json:"filter"`      // filter expression on service entries
 	Consistency string   `json:"consistency"` // "default", "stale" or "consistent"
-	Wait        Duration `json:"wait"`        // of a blocking query
-	TTL         Duration `json:"ttl"`         // of this program's own check
+	Wait        Duration `json:"wait"`        // longest duration of a blocking query
+	TTL         Duration `json:"ttl"`         // of the health check that this program registers
 	TLS         TLS      `json:"tls"`
 }
 
-// TLS names files of a client.
+// TLS names the files of a TLS client's configuration.
 type TLS struct {
 	CA         string `json:"ca"`
 	Cert       string `json:"cert"`
@@ -156,20 +160,20 @@
 	ServerName string `json:"server_name"`
 }
 
-// Copies tells how the planner looks after which box holds which title.
+// Copies configures how the planner manages which boxes hold which titles.
 type Copies struct {
-	Managed  bool     `json:"managed"`  // else titles lie on their cells, and nobody asks boxes
-	Least    int      `json:"least"`    // whole copies that a title keeps
-	AtOnce   int      `json:"at_once"`  // copies that a box takes part in at once, each way
-	Share    float64  `json:"share"`    // of a box's link that copying may take, of what viewers leave
-	Most     int      `json:"most"`     // copies of one title that an hour may add
-	Grace    Duration `json:"grace"`    // from "told no more" to a drop
-	Patience Duration `json:"patience"` // without progress so long, another source is tried
-	Backoff  Duration `json:"backoff"`  // after a failure
-	Ahead    Duration `json:"ahead"`    // copies for an hour begin so long before it at the earliest
-}
-
-// Title is a clip or programme and where it lies: Span cells in a row from Home.
+	Managed  bool     `json:"managed"`  // false: titles are on the boxes of their cells, and boxes are not queried
+	Least    int      `json:"least"`    // complete copies that each title keeps at least
+	AtOnce   int      `json:"at_once"`  // concurrent copies of a box in each direction
+	Share    float64  `json:"share"`    // share of the link capacity unused by viewers that copying may take
+	Most     int      `json:"most"`     // copies of one title that may be added for a peak
+	Grace    Duration `json:"grace"`    // from the notice that a box is no longer a holder to the deletion of its copy
+	Patience Duration `json:"patience"` // time without progress after which another source is tried
+	Backoff  Duration `json:"backoff"`  // delay after a failure
+	Ahead    Duration `json:"ahead"`    // longest time before a peak at which copies for it may begin
+}
+
+// Title is a clip or programme and its location: Span consecutive cells from Home.
 type Title struct {
 	Name   string   `json:"name"`
 	Home   int      `json:"home"`
@@ -177,7 +181,7 @@
 	Length Duration `json:"length"`
 }
 
-// Box is a streaming server that the planner watches.
+// Box is a streaming server that the planner monitors.
 type Box struct {
 	Addr   string  `json:"addr"`
 	Zone   string  `json:"zone"`
@@ -186,34 +190,34 @@
 	Weight float64 `json:"weight"`
 }
 
-// Edge is one edge: its position among them is its place in the list.
+// Edge is one edge. Its position is its index in the site's list of edges.
 type Edge struct {
 	Zone   string `json:"zone"`
-	Listen string `json:"listen"` // viewers
-	Peer   string `json:"peer"`   // datagrams of other edges
-	Public string `json:"public"` // what viewers are told; "" means the address they asked
+	Listen string `json:"listen"` // address for viewers
+	Peer   string `json:"peer"`   // address for datagrams of other edges
+	Public string `json:"public"` // address that is announced to viewers; "": the one that they requested
 }
 
-// Planner watches the fleet.
+// Planner configures the planner, which monitors the fleet.
 type Planner struct {
 	Listen     string   `json:"listen"`
 	CheckEvery Duration `json:"check_every"`
-	CheckFor   Duration `json:"check_for"` // a check unanswered for so long has failed
-	GoneAfter  int      `json:"gone_after"`
+	CheckFor   Duration `json:"check_for"`  // time without an answer after which a check has failed
+	GoneAfter  int      `json:"gone_after"` // failed checks in a row after which a box is gone
 }
 
-// Playback is how manifests are written.
+// Playback configures how manifests are written.
 type Playback struct {
-	Ahead   Duration `json:"ahead"`   // published before it plays
-	Behind  Duration `json:"behind"`  // kept after it played
-	Silence Duration `json:"silence"` // a viewer not heard of for so long has left
+	Ahead   Duration `json:"ahead"`   // how long before its playing time a segment is published
+	Behind  Duration `json:"behind"`  // how long after its playing time a segment is kept
+	Silence Duration `json:"silence"` // time without a request after which a viewer has left
 }
 
-// Limits bounds what an edge takes.
+// Limits are the limits of an edge.
 type Limits struct {
 	Connections int `json:"connections"`
 	Sessions    int `json:"sessions"`
-	Queue       int `json:"queue"` // requests waiting for the decision
+	Queue       int `json:"queue"` // requests that wait for a placement decision
 }
 
 func defaultSite() Site {
@@ -232,7 +236,7 @@
 	}
 }
 
-// Load reads a site from a Jsonnet file.
+// Load reads a site from a Jsonnet file; vars are its external variables.
 func Load(path string, vars map[string]string) (*Site, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -253,7 +257,7 @@
 	return &s, nil
 }
 
-// Evaluate reads Jsonnet text into a struct, by its json tags. Unknown fields are errors.
+// Evaluate evaluates Jsonnet text and decodes the result into a struct by its json tags. Unknown fields are errors.
 func Evaluate(name, text string, vars map[string]string, target any) error {
 	vm := jsonnet.MakeVM()
 	for k, v := range vars {
@@ -280,26 +284,26 @@
 	return nil
 }
 
-// units reads durations and rates, and whole numbers that are whole.
+// decodeUnits decodes durations and rates, and rejects fractions where the field is an integer.
 func decodeUnits(from, to reflect.Type, v any) (any, error) {
 	switch to {
 	case reflect.TypeFor[Duration]():
 		text, ok := v.(string)
 		if !ok {
-			return nil, fmt.Errorf("a duration is text with its unit, such as \"250ms\", not %v", v)
+			return nil, fmt.Errorf("a duration must be a string with a unit, such as \"250ms\", not %v", v)
 		}
 		d, err := time.ParseDuration(text)
 		return Duration(d), err
 	case reflect.TypeFor[Rate]():
 		text, ok := v.(string)
 		if !ok {
-			return nil, fmt.Errorf("a rate is text with its unit, such as \"700kB/s\", not %v", v)
+			return nil, fmt.Errorf("a rate must be a string with a unit, such as \"700kB/s\", not %v", v)
 		}
 		return parseRate(text)
 	}
 	if f, ok := v.(float64); ok && (to.Kind() == reflect.Int || to.Kind() == reflect.Int64 || to.Kind() == reflect.Uint64) {
 		if f != float64(int64(f)) {
-			return nil, fmt.Errorf("%v is no whole number", f)
+			return nil, fmt.Errorf("%v is not a whole number", f)
 		}
 	}
 	return v, nil
@@ -310,7 +314,7 @@
 func parseRate(text string) (Rate, error) {
 	m := ratePattern.FindStringSubmatch(text)
 	if m == nil {
-		return 0, fmt.Errorf("rate %q: want a number with B/s, kB/s, MB/s, kbit/s or Mbit/s", text)
+		return 0, fmt.Errorf("rate %q must be a number with the unit B/s, kB/s, MB/s, kbit/s or Mbit/s", text)
 	}
 	n, err := strconv.ParseFloat(m[1], 64)
 	if err != nil {
@@ -320,7 +324,7 @@
 	return Rate(n * unit[m[2]]), nil
 }
 
-// checker collects what is wrong.
+// validator collects the errors of a site file.
 type validator struct{ errs []error }
 
 func (c *validator) require(ok bool, field, format string, a ...any) {
@@ -347,49 +351,53 @@
 
 func (s *Site) validate() error {
 	c := &validator{}
-	c.require(len(s.Zones) > 0, "zones", "one at least")
+	c.require(len(s.Zones) > 0, "zones", "at least one is required")
 	c.require(s.Cells > 0, "cells", "%d: must be above 0", s.Cells)
 	c.require(s.Racks > 0, "racks", "%d: must be above 0", s.Racks)
-	c.require(len(s.Kinds) > 0, "kinds", "one at least")
+	c.require(len(s.Kinds) > 0, "kinds", "at least one is required")
 	for i, k := range s.Kinds {
-		c.require(k.Name != "" && k.Streams > 0, fmt.Sprintf("kinds[%d]", i), "needs a name and streams above 0")
+		c.require(k.Name != "" && k.Streams > 0, fmt.Sprintf("kinds[%d]", i), "must have a name and streams above 0")
 	}
-	c.require(len(s.Ladder) > 0, "ladder", "one rung at least")
+	c.require(len(s.Ladder) > 0, "ladder", "at least one rung is required")
 	for i, r := range s.Ladder {
 		rising := i == 0 || r.Rate > s.Ladder[i-1].Rate
-		c.require(r.Rate > 0 && rising && r.Worth >= 0, fmt.Sprintf("ladder[%d]", i), "rates must rise, worths not be negative")
+		c.require(r.Rate > 0 && rising && r.Worth >= 0, fmt.Sprintf("ladder[%d]", i),
+			"rates must be above 0 and rise, and worths must not be negative")
 	}
 	c.require(s.Links.PerWeight > 0, "links.per_weight", "must be above 0")
-	c.require(s.Links.Uplink >= 0 && s.Links.FullFrom >= 0, "links", "negative")
+	c.require(s.Links.Uplink >= 0 && s.Links.FullFrom >= 0, "links", "uplink and full_from must not be negative")
 	s.validateClasses(c)
 	s.validateRules(c)
 	s.validateCopies(c)
 	s.validateConsul(c)
 	s.validatePlacement(c)
 	c.require(s.Playback.Ahead > 0 && s.Playback.Behind > 0, "playback", "ahead and behind must be above 0")
-	c.require(s.Playback.Silence >= s.Playback.Ahead, "playback.silence", "shorter than what is published ahead")
-	c.require(s.Limits.Connections > 0 && s.Limits.Sessions > 0 && s.Limits.Queue > 0, "limits", "must be above 0")
+	c.require(s.Playback.Silence >= s.Playback.Ahead, "playback.silence", "must be at least playback.ahead")
+	c.require(s.Limits.Connections > 0 && s.Limits.Sessions > 0 && s.Limits.Queue > 0, "limits", "all must be above 0")
 	return errors.Join(c.errs...)
 }
 
 func (s *Site) validateClasses(c *validator) {
-	c.require(len(s.Classes) > 0, "classes", "one at least")
+	c.require(len(s.Classes) > 0, "classes", "at least one is required")
 	seen := map[string]bool{}
 	for i, k := range s.Classes {
-		at := fmt.Sprintf("classes[%d]", i)
-		c.require(k.Name != "" && !seen[k.Name] && IsPathSegment(k.Name), at+".name", "%q: empty, twice, or not fit for a URL", k.Name)
+		field := fmt.Sprintf("classes[%d]", i)
+		c.require(k.Name != "" && !seen[k.Name] && IsPathSegment(k.Name), field+".name",
+			"%q is empty, a duplicate or not valid as a URL path segment", k.Name)
 		seen[k.Name] = true
-		c.require(indexOf([]string{"repeatable", "keyed", "paid"}, k.Effect) >= 0, at+".effect",
-			"%q is none of repeatable, keyed, paid", k.Effect)
-		c.require(k.Scope == "" || indexOf([]string{"all", "zone", "cell"}, k.Scope) >= 0, at+".scope",
-			"%q is none of all, zone, cell", k.Scope)
-		c.require(k.Aim > 0 && k.Deadline >= k.Aim, at+".deadline", "must be at least the aim, and the aim above 0")
-		c.require(k.Worth >= 0 && k.RateFactor >= 0 && k.Seats >= 0, at, "negative worth, rate_factor or seats")
+		c.require(indexOf([]string{"repeatable", "keyed", "paid"}, k.Effect) >= 0, field+".effect",
+			"%q must be one of repeatable, keyed, paid", k.Effect)
+		c.require(k.Scope == "" || indexOf([]string{"all", "zone", "cell"}, k.Scope) >= 0, field+".scope",
+			"%q must be one of all, zone, cell", k.Scope)
+		c.require(k.Aim > 0 && k.Deadline >= k.Aim, field+".deadline", "must be at least the aim, which must be above 0")
+		c.require(k.Worth >= 0 && k.RateFactor >= 0 && k.Seats >= 0, field,
+			"worth, rate_factor and seats must not be negative")
 		top := len(s.Ladder) - 1
 		if k.Top != nil {
 			top = *k.Top
 		}
-		c.require(k.Floor >= 0 && k.Floor <= top && top < len(s.Ladder), at, "floor %d and top %d do not fit the ladder", k.Floor, top)
+		c.require(k.Floor >= 0 && k.Floor <= top && top < len(s.Ladder), field,
+			"floor %d and top %d must be rungs of the ladder, the floor not above the top", k.Floor, top)
 	}
 }
 
@@ -397,17 +405,21 @@
 	r := s.Rules
 	for name, d := range map[string]Duration{"drain_grace": r.DrainGrace, "ramp": r.Ramp, "fall_span": r.FallSpan,
 		"answer_slack": r.AnswerSlack, "budget_span": r.BudgetSpan} {
-		c.require(d >= 0, "rules."+name, "negative")
+		c.require(d >= 0, "rules."+name, "must not be negative")
 	}
-	c.require(r.StartShare >= 0 && r.StartShare <= 1, "rules.start_share", "%v is no share", r.StartShare)
-	c.require(r.FallFactor >= 0 && r.BudgetFree >= 0 && r.BudgetShare >= 0, "rules", "negative")
-	c.require(s.Attempts.Most >= 0 && s.Attempts.ConnectTimeout > 0, "attempts", "most negative, or connect_timeout not above 0")
+	c.require(r.StartShare >= 0 && r.StartShare <= 1, "rules.start_share", "%v must be from 0 to 1", r.StartShare)
+	c.require(r.FallFactor >= 0 && r.BudgetFree >= 0 && r.BudgetShare >= 0, "rules",
+		"fall_factor, budget_free and budget_share must not be negative")
+	c.require(s.Attempts.Most >= 0 && s.Attempts.ConnectTimeout > 0, "attempts",
+		"most must not be negative and connect_timeout must be above 0")
 	c.require(indexOf([]string{"answers", "probes", "none"}, s.Notes.Reports) >= 0, "notes.reports",
-		"%q is none of answers, probes, none", s.Notes.Reports)
-	c.require(s.Notes.Delay >= 0 && s.Notes.LinkEvery >= 0 && s.Notes.SwitchCost >= 0, "notes", "negative")
-	c.require(s.RetryAfter >= 0, "retry_after", "negative")
+		"%q must be one of answers, probes, none", s.Notes.Reports)
+	c.require(s.Notes.Delay >= 0 && s.Notes.LinkEvery >= 0 && s.Notes.SwitchCost >= 0, "notes",
+		"delay, link_every and switch_cost must not be negative")
+	c.require(s.RetryAfter >= 0, "retry_after", "must not be negative")
 	p := s.Planner
-	c.require(p.CheckEvery > 0 && p.CheckFor > 0 && p.GoneAfter > 0, "planner", "check_every, check_for and gone_after must be above 0")
+	c.require(p.CheckEvery > 0 && p.CheckFor > 0 && p.GoneAfter > 0, "planner",
+		"check_every, check_for and gone_after must be above 0")
 }
 
 func (s *Site) validateConsul(c *validator) {
@@ -415,49 +427,57 @@
 	if k.Address == "" {
 		return
 	}
-	c.require(isHostPort(k.Address), "consul.address", "%q is no host:port", k.Address)
-	c.require(indexOf([]string{"http", "https"}, k.Scheme) >= 0, "consul.scheme", "%q is none of http, https", k.Scheme)
-	c.require(k.Service != "", "consul.service", "empty")
-	c.require(indexOf([]string{"default", "stale", "consistent"}, k.Consistency) >= 0, "consul.consistency", "%q is none of default, stale, consistent", k.Consistency)
-	c.require(k.Wait >= Duration(time.Second) && k.Wait <= Duration(10*time.Minute), "consul.wait", "1s to 10m")
-	c.require(k.TTL >= Duration(time.Second), "consul.ttl", "1s at least")
-	c.require((k.TLS.Cert == "") == (k.TLS.Key == ""), "consul.tls", "cert and key belong together")
+	c.require(isHostPort(k.Address), "consul.address", "%q must be host:port", k.Address)
+	c.require(indexOf([]string{"http", "https"}, k.Scheme) >= 0, "consul.scheme",
+		"%q must be one of http, https", k.Scheme)
+	c.require(k.Service != "", "consul.service", "must not be empty")
+	c.require(indexOf([]string{"default", "stale", "consistent"}, k.Consistency) >= 0, "consul.consistency",
+		"%q must be one of default, stale, consistent", k.Consistency)
+	c.require(k.Wait >= Duration(time.Second) && k.Wait <= Duration(10*time.Minute), "consul.wait",
+		"must be from 1s to 10m")
+	c.require(k.TTL >= Duration(time.Second), "consul.ttl", "must be at least 1s")
+	c.require((k.TLS.Cert == "") == (k.TLS.Key == ""), "consul.tls", "cert and key must both be set or both be empty")
 }
 
 func (s *Site) validateCopies(c *validator) {
 	k := s.Copies
-	c.require(k.Least >= 1 && k.AtOnce >= 1 && k.Most >= 0, "copies", "least and at_once must be above 0, most not negative")
-	c.require(k.Share > 0 && k.Share <= 1, "copies.share", "%v: above 0, 1 at most", k.Share)
-	c.require(k.Grace >= s.Rules.DrainGrace, "copies.grace", "shorter than rules.drain_grace: set-ups may still be on their way")
-	c.require(k.Patience > 0 && k.Backoff > 0 && k.Ahead >= 0, "copies", "patience and backoff must be above 0, ahead not negative")
+	c.require(k.Least >= 1 && k.AtOnce >= 1 && k.Most >= 0, "copies",
+		"least and at_once must be above 0, and most must not be negative")
+	c.require(k.Share > 0 && k.Share <= 1, "copies.share", "%v must be above 0 and at most 1", k.Share)
+	c.require(k.Grace >= s.Rules.DrainGrace, "copies.grace",
+		"must be at least rules.drain_grace, during which set-ups for the copy may still arrive")
+	c.require(k.Patience > 0 && k.Backoff > 0 && k.Ahead >= 0, "copies",
+		"patience and backoff must be above 0, and ahead must not be negative")
 }
 
 func (s *Site) validatePlacement(c *validator) {
 	seen := map[string]bool{}
 	for i, t := range s.Titles {
-		at := fmt.Sprintf("titles[%d]", i)
-		c.require(IsPathSegment(t.Name) && !seen[t.Name], at+".name", "%q: empty, twice, or not fit for a URL", t.Name)
+		field := fmt.Sprintf("titles[%d]", i)
+		c.require(IsPathSegment(t.Name) && !seen[t.Name], field+".name",
+			"%q is empty, a duplicate or not valid as a URL path segment", t.Name)
 		seen[t.Name] = true
-		c.require(t.Home >= 0 && t.Home < s.Cells, at+".home", "%d is no cell of %d", t.Home, s.Cells)
-		c.require(t.Span >= 1 && t.Span <= s.Cells, at+".span", "%d: 1 to %d", t.Span, s.Cells)
-		c.require(t.Length >= 0, at+".length", "negative")
+		c.require(t.Home >= 0 && t.Home < s.Cells, field+".home", "%d is not one of the %d cells", t.Home, s.Cells)
+		c.require(t.Span >= 1 && t.Span <= s.Cells, field+".span", "%d must be from 1 to %d", t.Span, s.Cells)
+		c.require(t.Length >= 0, field+".length", "must not be negative")
 	}
 	for i, b := range s.Boxes {
-		at := fmt.Sprintf("boxes[%d]", i)
-		c.require(isHostPort(b.Addr) && !seen[b.Addr], at+".addr", "%q is no host:port, or stands twice", b.Addr)
+		field := fmt.Sprintf("boxes[%d]", i)
+		c.require(isHostPort(b.Addr) && !seen[b.Addr], field+".addr", "%q is not host:port or is a duplicate", b.Addr)
 		seen[b.Addr] = true
-		c.require(indexOf(s.Zones, b.Zone) >= 0, at+".zone", "%q is no zone", b.Zone)
-		c.require(indexOf(s.kindNames(), b.Kind) >= 0, at+".kind", "%q is no kind", b.Kind)
-		c.require(b.Cell >= 0 && b.Cell < s.Cells, at+".cell", "%d is no cell of %d", b.Cell, s.Cells)
-		c.require(b.Weight > 0, at+".weight", "must be above 0")
+		c.require(indexOf(s.Zones, b.Zone) >= 0, field+".zone", "%q is not one of the zones", b.Zone)
+		c.require(indexOf(s.kindNames(), b.Kind) >= 0, field+".kind", "%q is not one of the kinds", b.Kind)
+		c.require(b.Cell >= 0 && b.Cell < s.Cells, field+".cell", "%d is not one of the %d cells", b.Cell, s.Cells)
+		c.require(b.Weight > 0, field+".weight", "must be above 0")
 	}
 	for i, e := range s.Edges {
-		at := fmt.Sprintf("edges[%d]", i)
-		c.require(indexOf(s.Zones, e.Zone) >= 0, at+".zone", "%q is no zone", e.Zone)
-		c.require(isHostPort(e.Listen), at+".listen", "%q is no host:port", e.Listen)
-		c.require(e.Peer == "" || isHostPort(e.Peer), at+".peer", "%q is no host:port", e.Peer)
+		field := fmt.Sprintf("edges[%d]", i)
+		c.require(indexOf(s.Zones, e.Zone) >= 0, field+".zone", "%q is not one of the zones", e.Zone)
+		c.require(isHostPort(e.Listen), field+".listen", "%q must be host:port", e.Listen)
+		c.require(e.Peer == "" || isHostPort(e.Peer), field+".peer", "%q must be host:port", e.Peer)
 	}
-	c.require(s.Planner.Listen == "" || isHostPort(s.Planner.Listen), "planner.listen", "%q is no host:port", s.Planner.Listen)
+	c.require(s.Planner.Listen == "" || isHostPort(s.Planner.Listen), "planner.listen",
+		"%q must be host:port", s.Planner.Listen)
 }
 
 func isHostPort(a string) bool {
@@ -466,7 +486,8 @@
 	return err == nil && perr == nil && host != "" && n >= 0 && n <= 65535
 }
 
-// Segment tells names that may stand in a URL's path as they are (RFC 3986, 2.3).
+// IsPathSegment reports whether a name may be used unescaped as a segment of a URL path: it consists of unreserved
+// characters only (RFC 3986, section 2.3).
 func IsPathSegment(s string) bool {
 	if s == "" || len(s) > 128 || s == "." || s == ".." {
 		return false
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,8 @@
 
 const examplePath = "../../examples/site.jsonnet"
 
-// Each change to the example is refused, with the file's and the field's name.
+// TestErrorsNameFileAndField checks that each invalid change to the example site is rejected with an error that
+// names the file and the field.
 func TestErrorsNameFileAndField(t *testing.T) {
 	text, err := os.ReadFile(examplePath)
 	if err != nil {
@@ -47,7 +48,8 @@
 	}
 }
 
-// The example is good, is what the module takes, and is the same after writing and reading.
+// TestExampleSite checks that the example site is valid, that the controller accepts its settings, and that the site
+// is unchanged after it is written as JSON and read again. Errors in either direction would lose settings silently.
 func TestExampleSite(t *testing.T) {
 	s, err := Load(examplePath, nil)
 	if err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -4,12 +4,12 @@
 	"rainpulley/control"
 )
 
-// Settings are what the module of one edge is told.
+// Settings returns the settings of the controller of the edge at a position.
 func (s *Site) Settings(position int) control.Settings {
 	out := control.Settings{
 		Position: position, Fronts: max(len(s.Edges), 1), Cells: s.Cells, Racks: s.Racks,
-		LinkRatePerWeight: float64(s.Links.PerWeight), RackUplinkRate: float64(s.Links.Uplink), RejectUtilization: s.Links.FullFrom,
-		WeightMode: control.WeightSize, NoteDelay: s.Notes.Delay.Std(), LinkNoteInterval: s.Notes.LinkEvery.Std(),
+		LinkRatePerWeight: float64(s.Links.PerWeight), RackUplinkRate: float64(s.Links.Uplink),
+		RejectUtilization: s.Links.FullFrom, WeightMode: control.WeightSize, NoteDelay: s.Notes.Delay.Std(), LinkNoteInterval: s.Notes.LinkEvery.Std(),
 		SwitchCost: s.Notes.SwitchCost.Std(), AllowProbes: s.Attempts.Probes, AllowPeerMessages: s.Peers && len(s.Edges) > 1,
 		AllowCancel: s.Attempts.Cancel, AllowRetryAfter: s.RetryAfter > 0, MaxAttempts: s.Attempts.Most,
 		MaxRetryAfter: s.RetryAfter.Std(), MovePrice: s.Prices.Move, ZonePrice: s.Prices.Zone, ProbePrice: s.Prices.Probe,
@@ -66,7 +66,7 @@
 	return c
 }
 
-// Class is the number of a class by its name, or -1.
+// ClassIndex returns the index of the class of a name, or -1.
 func (s *Site) ClassIndex(name string) int {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
@@ -76,6 +76,8 @@
 	return -1
 }
 
-// Zone and Kind are the numbers of a zone and a kind by their names, or -1.
+// ZoneIndex returns the index of the zone of a name, or -1.
 func (s *Site) ZoneIndex(name string) int { return indexOf(s.Zones, name) }
+
+// KindIndex returns the index of the kind of a name, or -1.
 func (s *Site) KindIndex(name string) int { return indexOf(s.kindNames(), name) }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -15,8 +15,8 @@
 	"rainpulley/internal/rtsp"
 )
 
-// BenchmarkSetUp is a session from SETUP to its end through a node over loopback; server and viewer, scripted and in
-// the same process, are counted too.
+// BenchmarkSetUp measures a session from SETUP to TEARDOWN through a node over loopback. The results include the work
+// of the scripted server and viewer, which run in the same process.
 func BenchmarkSetUp(b *testing.B) {
 	serverEnd, viewerEnd := listenLoopback(b), listenLoopback(b)
 	go func() {
@@ -51,7 +51,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	n.follower = coordinator.New(listenLoopback(b).Addr().String(), 1, n.Config.Platform.ConnectTimeout, n.Log, n.handleUpdates)
+	n.follower = coordinator.New(listenLoopback(b).Addr().String(), 1, n.Config.Platform.ConnectTimeout, n.Log,
+		n.handleUpdates)
 	n.Listener, n.ArrivalWindow = viewerEnd, -n.longestDeadline()
 	over := make(chan error, 1)
 	ctx, stop := context.WithCancel(context.Background())
@@ -83,6 +84,7 @@
 	}
 }
 
+// listenLoopback listens on a free loopback port until the benchmark ends.
 func listenLoopback(b *testing.B) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -18,18 +18,22 @@
 	"rainpulley/internal/rtsp"
 )
 
-// helperLogs has a node in a process of its own log all that it can.
+// helperLogsEnv is the environment variable with which a node in a child process logs at all levels.
 const helperLogsEnv = "NODE_TEST_LOGS"
 
-// helperStays has a node in a process of its own stay at SIGTERM for as long as requests may arrive. Else it ends at once.
+// helperArrivalWindowEnv is the environment variable with which a node in a child process waits at SIGTERM for as long
+// as requests may arrive. Without it the node does not wait.
 const helperArrivalWindowEnv = "NODE_TEST_STAYS"
 
-// helperWaits has a node in a process of its own wait for set-ups that come again for as long as a test takes.
+// helperResendsEnv is the environment variable with which a node in a child process waits as long as a test takes for
+// set-ups to be sent again.
 const helperResendsEnv = "NODE_TEST_WAITS"
 
+// helperConfigEnv is the environment variable that makes the test binary run a node with the configuration file that
+// it names.
 const helperConfigEnv = "NODE_TEST_CONFIG"
 
-// runHelper is a front node in a process of its own, with as few descriptors as its configuration says.
+// runHelper runs a front node in this process, with as many file descriptors as its configuration allows.
 func runHelper(path string) int {
 	c, err := ReadConfig(path)
 	if err != nil {
@@ -62,34 +66,35 @@
 	return 0
 }
 
-// process is a node in a process of its own, which can be stopped and continued by signals.
+// process is a node in a child process, which can be stopped and continued by signals.
 type process struct {
 	*os.Process
 	t    *testing.T
 	addr string
 }
 
-// startProcess starts a node with one server in a process of its own.
+// startProcess starts a node with one server in a child process.
 func startProcess(t *testing.T, b *box) *process {
 	t.Helper()
 	return startProcessWith(t, b, childOptions{sockets: 256, settings: defaultSettings})
 }
 
-// childOptions are how a node in a process of its own is configured.
+// childOptions is the configuration of a node in a child process.
 type childOptions struct {
-	sockets  int // descriptors that it may have
+	sockets  int // limit of its file descriptors
 	settings string
-	env      []string // beside this process's own
+	env      []string // in addition to the environment of this process
 }
 
-// startProcessWith does the same with a configuration of its own.
+// startProcessWith starts a node with one server in a child process with the given options.
 func startProcessWith(t *testing.T, b *box, o childOptions) *process {
 	t.Helper()
-	f := newScriptedCoordinator(t, []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: []coordinator.Entry{b.entry("up")}}}})
+	f := newScriptedCoordinator(t, []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true,
+		Servers: []coordinator.Entry{b.entry("up")}}}})
 	return startChild(t, o, f.Listener.Addr().String(), f.updates)
 }
 
-// startChild starts a node in a process of its own.
+// startChild starts a node in a child process with the given coordinator and known server list.
 func startChild(t *testing.T, o childOptions, coordinatorAddr string, known []coordinator.Update) *process {
 	t.Helper()
 	at := freeAddress(t)
@@ -125,7 +130,7 @@
 	return &viewerClient{c, p.t, rtsp.NewReader(bufio.NewReaderSize(c, 4<<10))}
 }
 
-// pause stops the process, has things happen meanwhile, and continues it after a time.
+// pause stops the process, calls meanwhile, and continues the process after a time span.
 func (p *process) pause(meanwhile func(), span time.Duration) {
 	p.t.Helper()
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	testTimeout = 10 * time.Second // longest wait for what must come
-	quietPeriod = 80 * time.Millisecond
+	testTimeout = 10 * time.Second      // longest wait for an event that must happen
+	quietPeriod = 80 * time.Millisecond // how long a test waits for a message that must not arrive
 )
 
 const defaultSettings = `{"familyInfo":{"cells":4,"classFloor":[0,1],"classTop":[2,2],"joinAdds":1,"kindStreams":[50],"ladderKb":[100,200,400],
@@ -38,13 +38,13 @@
   {"aim":900000,"deadline":1000000,"effect":"at_most_once","name":"paid","worth":2}],
  "report":{"columns":["rif","x0","x1"],"how":"answers"},"safety":{"answerSlack":5000,"stopSendingWithin":2000000}}`
 
-// rig is a node with scripted servers and a scripted coordinator.
+// testNode is a node with scripted servers and a scripted coordinator.
 type testNode struct {
 	*Node
 	t           *testing.T
 	coordinator *scriptedCoordinator
 	addr        string
-	settings    string // of its configuration
+	settings    string // JSON of the settings in the configuration
 	stop        context.CancelFunc
 	done        chan error
 }
@@ -55,11 +55,12 @@
 	return startModifiedNodeWithSockets(t, sockets, func(*Node) {}, boxes...)
 }
 
-// startGated starts a node that was changed first.
+// startModifiedNode starts a node after modify has changed it, for example to insert a gate.
 func startModifiedNode(t *testing.T, modify func(*Node), boxes ...*box) *testNode {
 	return startModifiedNodeWithSockets(t, 256, modify, boxes...)
 }
 
+// startModifiedNodeWithSockets starts a modified node with a limit of file descriptors.
 func startModifiedNodeWithSockets(t *testing.T, sockets int, modify func(*Node), boxes ...*box) *testNode {
 	var list []coordinator.Entry
 	for _, b := range boxes {
@@ -68,14 +69,17 @@
 	return startNodeWithList(t, sockets, modify, list)
 }
 
+// startNodeWithList starts a modified node with the given server list.
 func startNodeWithList(t *testing.T, sockets int, modify func(*Node), list []coordinator.Entry) *testNode {
 	return startNodeWithSettings(t, sockets, defaultSettings, modify, list)
 }
 
-// startSet starts a node with settings of its own.
-func startNodeWithSettings(t *testing.T, sockets int, settings string, modify func(*Node), list []coordinator.Entry) *testNode {
+// startNodeWithSettings starts a node with the given settings and server list, and waits until it has the list.
+func startNodeWithSettings(t *testing.T, sockets int, settings string, modify func(*Node),
+	list []coordinator.Entry) *testNode {
 	known := coordinator.Updates{Index: 1, Updates: []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: list}}}}
-	r := &testNode{t: t, settings: settings, coordinator: newScriptedCoordinator(t, known.Updates), done: make(chan error, 1)}
+	r := &testNode{t: t, settings: settings, coordinator: newScriptedCoordinator(t, known.Updates),
+		done: make(chan error, 1)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +99,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
 	go func() { r.done <- r.Run(ctx) }()
-	defer eventually(t, "the first list", func() bool {
+	defer eventually(t, "the first server list", func() bool {
 		r.pool.mu.Lock()
 		defer r.pool.mu.Unlock()
 		return len(r.pool.servers) == len(list)
@@ -109,6 +113,7 @@
 	return r
 }
 
+// writeConfig writes the configuration file of a node that follows the coordinator f.
 func (r *testNode) writeConfig(path string, f *scriptedCoordinator, sockets int, known coordinator.Updates) {
 	raw, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "seed": "0a", "limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets},
 		"coordinator": f.Listener.Addr().String(), "known": known, "settings": json.RawMessage(r.settings)})
@@ -120,7 +125,7 @@
 	}
 }
 
-// dialogue is one connection of a viewer.
+// viewerClient is one connection of a viewer.
 type viewerClient struct {
 	net.Conn
 	t      *testing.T
@@ -137,6 +142,7 @@
 	return &viewerClient{c, r.t, rtsp.NewReader(bufio.NewReaderSize(c, 4<<10))}
 }
 
+// setUpRequest returns a SETUP request with a description as its body; extraLegs is appended to the X-Legs header.
 func setUpRequest(id, class, extraLegs string) string {
 	body := "line of " + id + "\r\nm=audio \"1\"\r\n"
 	return fmt.Sprintf("SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\nCSeq: 1\r\nSession: %s\r\nX-Cos: %s\r\nX-Timer-Ms: 3000\r\nX-Guess: 8200.0\r\n"+
@@ -155,13 +161,13 @@
 	return d
 }
 
-// reset ends the connection with a reset.
+// reset closes the connection with a TCP reset.
 func (d *viewerClient) reset() {
 	_ = d.Conn.(*net.TCPConn).SetLinger(0)
 	_ = d.Close()
 }
 
-// next is the next message that is neither progress nor an answer to a TEARDOWN.
+// next returns the next message that is neither a progress response nor a response to a TEARDOWN.
 func (d *viewerClient) next() *rtsp.Message {
 	d.t.Helper()
 	_ = d.SetReadDeadline(time.Now().Add(testTimeout))
@@ -180,7 +186,7 @@
 	d.t.Helper()
 	m := d.next()
 	if m.Status != status || m.Get("Session") != id {
-		d.t.Fatalf("want %d for %q, got %+v", status, id, m)
+		d.t.Fatalf("want status %d for session %q, got %+v", status, id, m)
 	}
 	return m
 }
@@ -188,11 +194,11 @@
 func (d *viewerClient) wantRelease(id, reason string) {
 	d.t.Helper()
 	if m := d.next(); m.Method != "TEARDOWN" || m.Get("Session") != id || m.Get("Reason") != reason {
-		d.t.Fatalf("want a release of %s with %s, got %+v", id, reason, m)
+		d.t.Fatalf("want a TEARDOWN of session %s with reason %s, got %+v", id, reason, m)
 	}
 }
 
-// silent checks that nothing more comes for a moment.
+// wantNoMessage checks that no further message arrives during quietPeriod, except responses to a TEARDOWN.
 func (d *viewerClient) wantNoMessage() {
 	d.t.Helper()
 	_ = d.SetReadDeadline(time.Now().Add(quietPeriod))
@@ -203,26 +209,26 @@
 			return
 		}
 		if m.Get("CSeq") != "2" || m.Method != "" {
-			d.t.Fatalf("unexpected: %+v", m)
+			d.t.Fatalf("unexpected message: %+v", m)
 		}
 	}
 }
 
-// eventually waits until a condition holds.
+// eventually waits until a condition holds and fails the test after testTimeout.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 	}
 }
 
-// agree waits until the module's sessions, those on the sockets, and the node's and the core's tables are as many as
-// told, server by server.
+// wantSessionCount waits until the controller and the connections have the same number of sessions for each server,
+// and their sum, the node's table and the orchestrator's table all have n sessions.
 func (r *testNode) wantSessionCount(n int) {
 	r.t.Helper()
-	eventually(r.t, fmt.Sprintf("%d sessions everywhere", n), func() bool {
+	eventually(r.t, fmt.Sprintf("%d sessions in all tables", n), func() bool {
 		same := make(chan bool, 1)
 		r.orchestrator.Inspect(func() {
 			sum, ok := 0, true
--- a/internal/node/scripted_test.go
+++ b/internal/node/scripted_test.go
@@ -15,13 +15,13 @@
 	"rainpulley/internal/jsonlines"
 )
 
-// said is one line that a scripted server heard.
+// receivedMessage is one line that a scripted server received, with the connection that carried it.
 type receivedMessage struct {
 	*jsonlines.Message
 	conn *scriptedConn
 }
 
-// peer is one connection at a scripted server.
+// scriptedConn is one connection at a scripted server.
 type scriptedConn struct {
 	net.Conn
 	mu sync.Mutex
@@ -33,7 +33,7 @@
 	_, _ = fmt.Fprintf(p, format+"\n", a...)
 }
 
-// box is a scripted server: what it hears goes to answer, and to heard.
+// box is a scripted server. It passes each received message to answer and then to the channel received.
 type box struct {
 	id       string
 	listener net.Listener
@@ -41,7 +41,7 @@
 	answer   func(receivedMessage)
 
 	mu       sync.Mutex
-	onAccept func(*scriptedConn) // called for each connection that comes, ahead of all else
+	onAccept func(*scriptedConn) // called for each accepted connection before anything is read
 	conns    []*scriptedConn
 }
 
@@ -87,14 +87,14 @@
 	}
 }
 
-// greetWith has a function called for each connection that comes from now on.
+// setOnAccept sets the function that is called for each connection accepted from now on.
 func (b *box) setOnAccept(onAccept func(*scriptedConn)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.onAccept = onAccept
 }
 
-// die ends the process: its connections reset, nobody listens.
+// crash ends the server like a process that dies: it closes the listener and all connections.
 func (b *box) crash() {
 	_ = b.listener.Close()
 	b.mu.Lock()
@@ -104,13 +104,14 @@
 	}
 }
 
-// accepted is how many connections came so far.
+// acceptedCount returns the number of connections accepted so far.
 func (b *box) acceptedCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.conns)
 }
 
+// next returns the next received message of a type, and skips all others.
 func (b *box) next(t *testing.T, messageType string) receivedMessage {
 	t.Helper()
 	timeout := time.After(testTimeout)
@@ -121,23 +122,25 @@
 				return m
 			}
 		case <-timeout:
-			t.Fatalf("%s did not hear %q", b.id, messageType)
+			t.Fatalf("%s did not receive a message of type %q", b.id, messageType)
 		}
 	}
 }
 
+// entry returns the box's entry of the server list.
 func (b *box) entry(state string) coordinator.Entry {
-	return coordinator.Entry{ID: b.id, Addr: b.listener.Addr().String(), Zone: "east", Kind: "std", State: state, Weight: 10}
+	return coordinator.Entry{ID: b.id, Addr: b.listener.Addr().String(), Zone: "east", Kind: "std", State: state,
+		Weight: 10}
 }
 
-// ready answers every set-up with a description of its own.
+// answerReady answers each set-up as ready, with a description that names its session.
 func answerReady(m receivedMessage) {
 	if m.Type == jsonlines.TypeOpen {
 		m.conn.send(`{"msg":"ready","sid":%q,"attrs":{},"text":"for %s\r\n\"x\""}`, m.ID, m.ID)
 	}
 }
 
-// feed is a scripted coordinator.
+// scriptedCoordinator is an HTTP server that serves a list of updates as a coordinator does, with long polling.
 type scriptedCoordinator struct {
 	*httptest.Server
 	mu      sync.Mutex
@@ -148,7 +151,8 @@
 }
 
 func newScriptedCoordinator(t *testing.T, updates []coordinator.Update) *scriptedCoordinator {
-	f := &scriptedCoordinator{updates: updates, index: int64(len(updates)), changed: make(chan struct{}), queries: make(chan string, 1000)}
+	f := &scriptedCoordinator{updates: updates, index: int64(len(updates)), changed: make(chan struct{}),
+		queries: make(chan string, 1000)}
 	f.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.queries <- r.URL.RawQuery
 		var n int64
@@ -178,6 +182,7 @@
 	return f.index
 }
 
+// push publishes an update with the given server entries.
 func (f *scriptedCoordinator) push(servers ...coordinator.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/node/trial_ending_test.go
+++ b/internal/node/trial_ending_test.go
@@ -13,27 +13,31 @@
 )
 
 const (
-	shutdownConnections = 40 // that rest until the node is told to end
+	shutdownConnections = 40 // idle connections that are open before the shutdown
 	shutdownTimer       = 800 * time.Millisecond
 	// earliestKill is how long after SIGTERM the node may be killed: its longest deadline, a second by the settings of the
 	// tests, and the time in which requests still arrive.
 	earliestKill = time.Second + defaultArrivalWindow
 )
 
-// TestDenseEnding: a node in a process of its own is told to end while servers err, hang and reset. Clients go on asking, on
-// connections that rest and on new ones, until it could be killed. Whatever the node took it answers, once, or it closes
-// the connection so soon that the client may send the request again elsewhere; then it ends by itself.
+// TestRandomShutdownTrial shuts down a node in a child process while servers fail, hang and reset connections. Clients
+// go on sending requests, on idle and on new connections, until the node could be killed. The node must answer each
+// request that it accepted exactly once, or close the connection so soon that the client may send the request again
+// to another node; then it must end by itself.
 func TestRandomShutdownTrial(t *testing.T) {
 	for seed := uint64(1); seed <= trialSeeds; seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { t.Parallel(); runShutdownTrial(t, seed) })
 	}
 }
 
+// runShutdownTrial plays the trial of one seed.
 func runShutdownTrial(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	servers := newTrialServers(seed)
-	f := newScriptedCoordinator(t, []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: servers.start(t)}}})
-	p := startChild(t, childOptions{trialSockets, defaultSettings, []string{helperArrivalWindowEnv + "=1"}}, f.Listener.Addr().String(), f.updates)
+	f := newScriptedCoordinator(t, []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true,
+		Servers: servers.start(t)}}})
+	p := startChild(t, childOptions{trialSockets, defaultSettings, []string{helperArrivalWindowEnv + "=1"}},
+		f.Listener.Addr().String(), f.updates)
 	var resting [shutdownConnections]*viewerClient
 	for i := range resting {
 		resting[i] = p.dial().send(optionsRequest)
@@ -51,7 +55,7 @@
 		}
 		conn := resting[i]
 		if random.IntN(3) == 0 && (signalledAt.IsZero() || time.Since(signalledAt) < 200*time.Millisecond) {
-			conn = p.dial() // new connections come for a short time only
+			conn = p.dial() // new connections arrive only for a short time after the signal
 		}
 		class := []string{"free", "paid"}[random.IntN(2)]
 		clients.Go(func() { requestDuringShutdown(t, servers, conn, class, id) })
@@ -60,7 +64,7 @@
 	clients.Wait()
 }
 
-// askWhileEnding sends a request and judges what comes back.
+// requestDuringShutdown sends a request and checks what the node answers.
 func requestDuringShutdown(t *testing.T, servers *trialServers, conn *viewerClient, class, id string) {
 	text := strings.Replace(setUpRequest(id, class, ""), "X-Timer-Ms: 3000", fmt.Sprintf("X-Timer-Ms: %d", shutdownTimer.Milliseconds()), 1)
 	if _, err := conn.Write([]byte(text)); err != nil {
@@ -76,8 +80,8 @@
 			t.Errorf("%s: answered %d: %s", id, answer.Status, violation)
 		}
 	case err == nil:
-		t.Errorf("%s: neither answered nor closed", id)
+		t.Errorf("%s: no answer, and the connection is still open", id)
 	case time.Since(sentAt) > resendWindow && len(servers.setUpsOf(id)) > 0:
-		t.Errorf("%s: closed %v behind it, unanswered: %v", id, time.Since(sentAt), err)
+		t.Errorf("%s: connection closed %v after the request without an answer: %v", id, time.Since(sentAt), err)
 	}
 }
--- a/internal/node/trial_servers_test.go
+++ b/internal/node/trial_servers_test.go
@@ -14,27 +14,27 @@
 	"rainpulley/internal/rtsp"
 )
 
-// heardSetUp is one set-up at a server of the trial, and what the server made of it.
+// receivedSetUp is one set-up that a server of the trial received, and its result.
 type receivedSetUp struct {
 	server      string
-	refused     bool // it never ran
-	established bool // it was answered that it stands
+	refused     bool // the server rejected it: it never ran
+	established bool // the server answered that the session is established
 	conn        *scriptedConn
 }
 
-// trialServers are the servers of a trial and what they heard.
+// trialServers holds the servers of a trial and the set-ups that they received.
 type trialServers struct {
 	mu     sync.Mutex
 	random *rand.Rand
 	setUps map[string][]*receivedSetUp
-	ended  map[string]int // by server and session: times that the node ended it
+	ended  map[string]int // by server and session: number of closes received
 }
 
 func newTrialServers(seed uint64) *trialServers {
 	return &trialServers{random: rand.New(rand.NewPCG(seed, 1)), setUps: map[string][]*receivedSetUp{}, ended: map[string]int{}}
 }
 
-// start starts three servers, and returns their entries of the list.
+// start starts three servers and returns their entries of the server list.
 func (s *trialServers) start(t *testing.T) (list []coordinator.Entry) {
 	for i := range 3 {
 		name := fmt.Sprintf("s-%d", i+1)
@@ -43,13 +43,14 @@
 	return list
 }
 
-// of is the set-ups of a request that were heard.
+// setUpsOf returns the set-ups of a request that the servers received.
 func (s *trialServers) setUpsOf(id string) []*receivedSetUp {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.setUps[id]
 }
 
+// handleMessage records a message that a server received, and answers set-ups.
 func (s *trialServers) handleMessage(server string, m receivedMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +64,8 @@
 	}
 }
 
-// answer does one of the things that servers do to a set-up. The caller holds the lock.
+// answerSetUp randomly answers a set-up, rejects it, fails, resets the connection or does nothing. The caller holds
+// the lock.
 func (s *trialServers) answerSetUp(h *receivedSetUp, m receivedMessage) {
 	after := time.Duration(s.random.IntN(60)) * time.Millisecond
 	switch draw := s.random.IntN(20); {
@@ -80,7 +82,7 @@
 	}
 }
 
-// stand answers that a session stands, unless it was ended meanwhile.
+// establishSession answers that a session is established, unless the session has been closed since its set-up.
 func (s *trialServers) establishSession(h *receivedSetUp, m receivedMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +92,8 @@
 	}
 }
 
-// judge tells what is wrong with what the servers heard of a request that was answered so.
+// violations compares the answer of a request with the set-ups that the servers received for it, and describes each
+// rule that was broken.
 func (s *trialServers) violations(class, id string, answer *rtsp.Message) (found []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,18 +107,18 @@
 		}
 	}
 	if class == "paid" && ran > 1 {
-		found = append(found, fmt.Sprintf("%d paid set-ups that may have run", ran))
+		found = append(found, fmt.Sprintf("%d at-most-once set-ups that may have run", ran))
 	}
 	if answer.Status == statusOK && (len(answer.Body) == 0 || !strings.Contains(text, string(answer.Body))) {
-		found = append(found, fmt.Sprintf("description %q, servers said %q", answer.Body, text))
+		found = append(found, fmt.Sprintf("description %q, the servers sent %q", answer.Body, text))
 	}
 	if class == "paid" && ran > 0 && (answer.Status == statusNotEnoughBandwidth || answer.Status == statusServiceUnavailable) {
-		found = append(found, fmt.Sprintf("refused with %d, and it may have run", answer.Status))
+		found = append(found, fmt.Sprintf("refused with %d although it may have run", answer.Status))
 	}
 	return found
 }
 
-// running is how many servers still run a session that they said stands.
+// runningSessions returns the number of servers that still run a session that they have established.
 func (s *trialServers) runningSessions(id string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/trial_test.go
+++ b/internal/node/trial_test.go
@@ -16,31 +16,32 @@
 	"rainpulley/internal/rtsp"
 )
 
-// A short dense trial: one node in a process of its own, three servers that answer, hang, fill up, err and reset, viewers
-// whose connections end around their set-ups and who send them again, and a process that is stopped now and then. All of it
-// is drawn from a seed. The judge reads what passed at both ends only.
+// A short randomised trial with many faults: one node in a child process that is paused now and then, three servers
+// that answer, hang, are full, fail and reset connections, and viewers whose connections end around their set-ups and
+// who send them again. A seed determines all random choices. The checks use only what the servers and viewers received.
 
 const (
 	trialSeeds    = 3
 	trialRequests = 150
 	trialTimer    = 2 * time.Second
-	trialSockets  = 128 // few: connections that rest are closed for others
-	// answerGrace is how long behind its time an answer may come.
+	trialSockets  = 128 // a low limit, so that the node must close idle connections to accept others
+	// answerGrace is how long after its deadline an answer may arrive.
 	answerGrace = 500 * time.Millisecond
 )
 
-// trialRequest is one request of a trial, with the faults that it meets.
+// trialRequest is one request of a trial and the faults that affect it.
 type trialRequest struct {
 	class, id, ending string
-	resends           bool          // its connection ends and it is sent again
-	idleTime          time.Duration // its connection is open so long before it
-	withdraws         bool          // its viewer gives it up
-	endAfter          time.Duration // behind the set-up; the client's side ends then
-	nodeEndLag        time.Duration // by which the node's side ends later, or earlier
-	resendDelay       time.Duration // behind the end of the client's side
-	splitAt           int           // bytes of the set-up that are written ahead of the rest
+	resends           bool          // its connection ends and the viewer sends it again
+	idleTime          time.Duration // how long its connection is idle before it
+	withdraws         bool          // its viewer withdraws it
+	endAfter          time.Duration // time from the set-up until the client's side of the connection ends
+	nodeEndLag        time.Duration // time from the end of the client's side to the node's; below 0: none
+	resendDelay       time.Duration // time from the end of the client's side until the request is sent again
+	splitAt           int           // bytes of the set-up that are written before the rest
 }
 
+// randomRequest returns a request with random faults.
 func randomRequest(random *rand.Rand, id string) trialRequest {
 	endings := []string{"close", "reset", halfClose, "no ending"}
 	ms := func(n int) time.Duration { return time.Duration(random.IntN(n)) * time.Millisecond }
@@ -49,8 +50,9 @@
 		endAfter: ms(40), nodeEndLag: ms(40) - 20*time.Millisecond, resendDelay: ms(25), splitAt: random.IntN(200)}
 }
 
-// TestDenseTrial: whatever crosses, every request has its one answer, in time, on the connection that its viewer used last; a
-// paid one runs once; and what stood and nobody wants is ended.
+// TestRandomTrial checks that, whatever events coincide, each request gets exactly one answer, in time, on the
+// connection that its viewer used last. A request of the class paid runs once at most, and sessions that no viewer
+// wants are ended.
 func TestRandomTrial(t *testing.T) {
 	first := uint64(1)
 	if s := os.Getenv("TRIAL_SEED"); s != "" {
@@ -61,12 +63,14 @@
 	}
 }
 
+// runTrial plays the trial of one seed.
 func runTrial(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	servers := newTrialServers(seed)
 	list := servers.start(t)
 	f := newScriptedCoordinator(t, []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: list}}})
-	p := startChild(t, childOptions{sockets: trialSockets, settings: defaultSettings}, f.Listener.Addr().String(), f.updates)
+	p := startChild(t, childOptions{sockets: trialSockets, settings: defaultSettings},
+		f.Listener.Addr().String(), f.updates)
 	p.dial().send(optionsRequest).wantAnswer("", statusOK)
 	r := newRelay(t, p.addr)
 	var viewers sync.WaitGroup
@@ -89,7 +93,8 @@
 	viewers.Wait()
 }
 
-// rest opens a connection that asks once and then rests: the node closes it when it has no room.
+// openIdleConn opens a connection that sends one request and is then idle. The node closes it when it reaches its
+// limit of connections.
 func openIdleConn(t *testing.T, addr string) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -100,6 +105,7 @@
 	_, _ = c.Write([]byte(optionsRequest))
 }
 
+// run plays one request and checks its answer.
 func (q trialRequest) run(t *testing.T, r *relay, servers *trialServers) {
 	text := strings.Replace(setUpRequest(q.id, q.class, ""), "X-Timer-Ms: 3000", fmt.Sprintf("X-Timer-Ms: %d", trialTimer.Milliseconds()), 1)
 	v, x := r.dial(t)
@@ -115,7 +121,7 @@
 		return
 	case q.resends:
 		answer, err := v.readAnswerUntil(time.Now().Add(q.endAfter))
-		if answer != nil { // ahead of the end
+		if answer != nil { // it arrived before the end of the connection
 			q.checkAnswer(t, servers, v, answer, err, sentAt)
 			return
 		}
@@ -127,7 +133,7 @@
 		conn.send(text)
 	}
 	answer, err := conn.readAnswerUntil(sentAt.Add(trialTimer + answerGrace + busyMachineSlack))
-	if err != nil && conn == v && time.Since(sentAt) < resendWindow { // it crossed the end of a connection that rested
+	if err != nil && conn == v && time.Since(sentAt) < resendWindow { // the node closed the idle connection meanwhile
 		conn, _ = r.dial(t)
 		conn.send(text)
 		answer, err = conn.readAnswerUntil(sentAt.Add(trialTimer + answerGrace + busyMachineSlack))
@@ -135,34 +141,36 @@
 	q.checkAnswer(t, servers, conn, answer, err, sentAt)
 }
 
-// resendWithin is how soon behind a set-up its connection ends if the platform's clients send it again.
+// resendWindow is the longest time from a set-up to the end of its connection after which the platform's clients send
+// the set-up again.
 const resendWindow = 50 * time.Millisecond
 
-// write sends what it can: the connection may have ended.
+// tryWrite writes text and ignores errors, because the connection may have ended.
 func (d *viewerClient) tryWrite(text string) { _, _ = d.Write([]byte(text)) }
 
-// giveUp withdraws a request. No answer is owed, and nothing of it may be left.
+// withdraw withdraws a request. It needs no answer, and no session of it may remain.
 func (q trialRequest) withdraw(t *testing.T, servers *trialServers, v *viewerClient) {
 	time.Sleep(q.endAfter)
 	v.tryWrite(tearDownRequest(q.id))
 	servers.wantNoSession(t, q)
 }
 
-// wantNothingLeft waits until no server runs a session any more.
+// wantNoSession waits until no server runs a session of the request.
 func (s *trialServers) wantNoSession(t *testing.T, q trialRequest) {
 	time.Sleep(quietPeriod)
 	for deadline := time.Now().Add(testTimeout); s.runningSessions(q.id) > 0; time.Sleep(watchInterval) {
 		if time.Now().After(deadline) {
-			t.Errorf("%+v: it still runs", q)
+			t.Errorf("%+v: its session still runs", q)
 			return
 		}
 	}
 }
 
-// trialSlack is how much later than its time an answer may be where this machine is busy.
+// busyMachineSlack is the additional delay of an answer that is tolerated because the machine may be busy.
 const busyMachineSlack = 5 * time.Second
 
-// until reads the next final answer that comes by a time; neither answer nor error if none does.
+// readAnswerUntil reads the next final answer that arrives before the deadline. It returns neither an answer nor an
+// error if none does.
 func (d *viewerClient) readAnswerUntil(deadline time.Time) (*rtsp.Message, error) {
 	_ = d.SetReadDeadline(deadline)
 	defer func() { _ = d.SetReadDeadline(time.Time{}) }()
@@ -179,8 +187,9 @@
 	}
 }
 
-// finish judges a request, and ends its session.
-func (q trialRequest) checkAnswer(t *testing.T, servers *trialServers, conn *viewerClient, answer *rtsp.Message, err error, sentAt time.Time) {
+// checkAnswer checks the answer of a request and that there is no second one, and ends the session.
+func (q trialRequest) checkAnswer(t *testing.T, servers *trialServers, conn *viewerClient, answer *rtsp.Message,
+	err error, sentAt time.Time) {
 	if answer == nil {
 		t.Errorf("%+v: no answer: %v", q, err)
 		return
