--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -136,9 +137,31 @@
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		p.t.Fatal(err)
 	}
+	eventually(p.t, "all threads of the process stopped", p.stopped)
 	meanwhile()
 	time.Sleep(span)
 	if err := p.Signal(syscall.SIGCONT); err != nil {
 		p.t.Fatal(err)
 	}
 }
+
+// stopped reports whether all threads of the process are stopped. SIGSTOP takes effect asynchronously: on a busy
+// machine, threads still run for a moment after Signal has returned, and may read what is sent in that moment. A thread
+// whose state cannot be read may have ended since it was listed; the next call lists the threads anew.
+func (p *process) stopped() bool {
+	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.Pid))
+	if err != nil || len(threads) == 0 {
+		return false
+	}
+	for _, path := range threads {
+		stat, err := os.ReadFile(path)
+		if err != nil {
+			return false
+		}
+		// The state follows the name, which is in parentheses and may itself contain any character.
+		if _, state, _ := bytes.Cut(stat[bytes.LastIndexByte(stat, ')')+1:], []byte(" ")); !bytes.HasPrefix(state, []byte("T ")) {
+			return false
+		}
+	}
+	return true
+}
