--- a/internal/edge/env_test.go
+++ b/internal/edge/env_test.go
@@ -9,6 +9,7 @@
 	"os"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -32,6 +33,8 @@
 	site        *config.Site
 	fleet       *standin.Fleet
 	log         *audit.Log
+	requests    atomic.Int64 // that play has sent
+	requestLog  *audit.Log   // of those requests and their answers, begun with log, for checkAuditWithRequests alone
 	stateDir    string
 	edgeTasks   []*task
 	plannerTask *task
@@ -84,7 +87,7 @@
 	if change != nil {
 		change(site)
 	}
-	env := &testEnv{t: t, site: site, log: audit.NewLog(), stateDir: t.TempDir()}
+	env := &testEnv{t: t, site: site, log: audit.NewLog(), requestLog: audit.NewLog(), stateDir: t.TempDir()}
 	env.fleet = standin.NewFleet(site, env.log, 1)
 	env.fleet.SetUpTime = 5 * time.Millisecond
 	ctx, stop := context.WithCancel(context.Background())
@@ -179,7 +182,15 @@
 }
 
 func (env *testEnv) play(edge int, query string) (int, string) {
-	return env.get("http://" + env.site.Edges[edge].Listen + "/play/clip/index.m3u8?" + query)
+	entry := audit.Entry{Observer: "viewer", Event: audit.RequestSent, Session: fmt.Sprint("q", env.requests.Add(1)), Edge: fmt.Sprint(edge), Value: 4}
+	env.requestLog.Add(entry)
+	code, body := env.get("http://" + env.site.Edges[edge].Listen + "/play/clip/index.m3u8?" + query)
+	entry.Event = audit.AnswerReceived
+	if code == 0 {
+		entry.Event = audit.Unanswered
+	}
+	env.requestLog.Add(entry)
+	return code, body
 }
 
 // mediaURL returns the URL of the media playlist in a manifest.
@@ -235,17 +246,21 @@
 	}
 }
 
-// checkAuditWithRequests is checkAudit with entries added for requests, which the viewers of these tests do not log.
+// checkAuditWithRequests also gives the audit the requests that play sent, which must be as many as stated, at the
+// times at which they were sent.
 func (env *testEnv) checkAuditWithRequests(requests int) {
 	env.t.Helper()
-	entries := env.log.Entries()
-	for i := range requests {
-		entry := audit.Entry{Observer: "viewer", Event: audit.RequestSent, Session: fmt.Sprint("q", i), Edge: "0", Value: 4}
-		entries = append(entries, entry)
-		entry.Event = audit.AnswerReceived
-		entries = append(entries, entry)
+	viewerEntries := env.requestLog.Entries()
+	sent := 0
+	for _, e := range viewerEntries {
+		if e.Event == audit.RequestSent {
+			sent++
+		}
+	}
+	if sent != requests {
+		env.t.Errorf("%d requests were sent, want %d", sent, requests)
 	}
-	verdict := audit.Judge(env.site, entries)
+	verdict := audit.Judge(env.site, append(viewerEntries, env.log.Entries()...))
 	for _, b := range verdict.Breaches {
 		env.t.Errorf("%+v", b)
 	}
