--- a/control/collectors.go
+++ b/control/collectors.go
@@ -14,7 +14,7 @@
 // their replies. It does not wait if recent queries remained unanswered or the viewer is about to give up;
 // the replies then help later requests.
 func (c *Controller) queryCollectors(sess *session) bool {
-	if !c.cfg.AllowPeerMessages || c.seesMostServers {
+	if !c.cfg.AllowPeerMessages || c.coversMostServers {
 		return false
 	}
 	for _, s := range c.sortedServers {
--- a/control/load.go
+++ b/control/load.go
@@ -63,9 +63,9 @@
 // clearRestartSuspicion handles a note about a session that played before the last failure. Since the
 // session survived, the server did not restart: an answer or the connection was lost. One failure remains
 // counted, because of which at-most-once set-ups still avoid the server.
-func (c *Controller) clearRestartSuspicion(s *server, x *session) {
-	if s.failures > 0 && x != nil && x.assignedTo == s && x.playing &&
-		x.startedAt < s.lastFailureAt-c.cfg.NoteDelay {
+func (c *Controller) clearRestartSuspicion(s *server, sess *session) {
+	if s.failures > 0 && sess != nil && sess.assignedTo == s && sess.playing &&
+		sess.startedAt < s.lastFailureAt-c.cfg.NoteDelay {
 		s.failures, s.mayHaveRestarted = 1, false
 	}
 }
@@ -152,24 +152,24 @@
 // handleNote processes a note about a playing session. A note about a session that started within NoteDelay
 // came with the set-up and is current; others are as old as NoteDelay.
 func (c *Controller) handleNote(e Note) {
-	s, x := c.serversByID[e.Server], c.sessions[e.ID]
+	s, sess := c.serversByID[e.Server], c.sessions[e.ID]
 	if s == nil {
 		return
 	}
 	delayed := c.now - c.cfg.NoteDelay
-	when, atSetUp := delayed, x != nil && x.startedAt > delayed
+	when, atSetUp := delayed, sess != nil && sess.startedAt > delayed
 	if atSetUp {
 		when = c.now
 	}
 	s.lastNoteAt = c.now
 	switch e.Kind {
 	case NoteRung:
-		if x != nil && x.assignedTo == s && e.Value >= 0 && int(e.Value) < len(c.cfg.Ladder) {
-			x.rung = int(e.Value)
+		if sess != nil && sess.assignedTo == s && e.Value >= 0 && int(e.Value) < len(c.cfg.Ladder) {
+			sess.rung = int(e.Value)
 			c.updateOwnRate(s)
 		}
 	case NoteLink:
-		c.clearRestartSuspicion(s, x)
+		c.clearRestartSuspicion(s, sess)
 		ownPart := s.ownRate / max(s.capacity, 1) / max(e.Value, 0.1)
 		if c.cfg.AllowPeerMessages && (atSetUp || c.rng.Float64() < reportersPerNote*ownPart) {
 			c.queueReport(s, e.Value, -1, !atSetUp)
--- a/control/message.go
+++ b/control/message.go
@@ -131,14 +131,14 @@
 // placeAnswered places the requests for which no reply is pending any more.
 func (c *Controller) placeAnswered() {
 	var ready []*session
-	c.awaitingReplies = slices.DeleteFunc(c.awaitingReplies, func(x *session) bool {
-		if len(x.pendingCollectors) == 0 && !x.done {
-			ready = append(ready, x)
+	c.awaitingReplies = slices.DeleteFunc(c.awaitingReplies, func(sess *session) bool {
+		if len(sess.pendingCollectors) == 0 && !sess.done {
+			ready = append(ready, sess)
 		}
-		return len(x.pendingCollectors) == 0 || x.done
+		return len(sess.pendingCollectors) == 0 || sess.done
 	})
-	for _, x := range ready {
-		c.placeSession(x)
+	for _, sess := range ready {
+		c.placeSession(sess)
 	}
 }
 
@@ -161,9 +161,9 @@
 				c.updateStreams(s, report.streams)
 			}
 		}
-		for _, x := range c.awaitingReplies {
-			if i := slices.Index(x.pendingCollectors, e.From); i >= 0 {
-				x.pendingCollectors = slices.Delete(x.pendingCollectors, i, i+1)
+		for _, sess := range c.awaitingReplies {
+			if i := slices.Index(sess.pendingCollectors, e.From); i >= 0 {
+				sess.pendingCollectors = slices.Delete(sess.pendingCollectors, i, i+1)
 			}
 		}
 		c.placeAnswered()
@@ -228,7 +228,7 @@
 	for _, s := range c.changedServers {
 		s.changed = false
 		collector := c.collectorOf(s.Cell)
-		if !c.cfg.AllowPeerMessages || c.seesMostServers || collector == c.cfg.Position || s.State != Ready {
+		if !c.cfg.AllowPeerMessages || c.coversMostServers || collector == c.cfg.Position || s.State != Ready {
 			s.pendingReport = nil
 			continue
 		}
--- a/control/rungs.go
+++ b/control/rungs.go
@@ -94,8 +94,8 @@
 // time, so each corrects its own share of the excess or headroom once per report, and assumes until the next
 // report that the others did the same.
 func (c *Controller) adjustRungs() {
-	serverShare, meanRate := c.ownSessionStats()
-	c.seesMostServers, c.meanOwnRate = serverShare > fleetViewThreshold, meanRate
+	coverage, meanRate := c.ownSessionStats()
+	c.coversMostServers, c.meanOwnRate = coverage > coverageThreshold, meanRate
 	for _, r := range c.racks {
 		c.adjustUplinkRungs(r)
 	}
--- a/control/state.go
+++ b/control/state.go
@@ -27,7 +27,7 @@
 
 	awaitingReplies   []*session      // requests that wait for replies of collectors
 	meanOwnRate       float64         // kB/s, mean ladder rate of the own playing sessions
-	seesMostServers   bool            // this front has sessions at more than a set part of the ready servers
+	coversMostServers bool            // this front has sessions at more than a set part of the ready servers
 	unansweredQueries int             // consecutive queries without a reply
 	lastStamp         int             // stamp of the last message sent
 	peerStamps        map[int]int     // stamp of the last message accepted from each front
@@ -106,9 +106,9 @@
 		c.subscribing = true
 		c.emit(Subscribe{})
 	default:
-		if x := c.sessions[strings.TrimPrefix(e.Label, "look ")]; x != nil && len(x.pendingCollectors) > 0 {
+		if sess := c.sessions[strings.TrimPrefix(e.Label, "look ")]; sess != nil && len(sess.pendingCollectors) > 0 {
 			c.unansweredQueries++
-			x.pendingCollectors = nil
+			sess.pendingCollectors = nil
 			c.placeAnswered()
 		}
 	}
@@ -199,22 +199,22 @@
 	stepUpAllowance     float64       // kB/s by which the own sessions may still step up
 }
 
-func (s *server) addSession(x *session) {
-	x.assignedTo = s
-	s.sessions = append(s.sessions, x)
+func (s *server) addSession(sess *session) {
+	sess.assignedTo = s
+	s.sessions = append(s.sessions, sess)
 }
 
-func (s *server) removeSession(x *session) {
-	if i := slices.Index(s.sessions, x); i >= 0 {
+func (s *server) removeSession(sess *session) {
+	if i := slices.Index(s.sessions, sess); i >= 0 {
 		s.sessions = slices.Delete(s.sessions, i, i+1)
 	}
-	x.assignedTo = nil
+	sess.assignedTo = nil
 }
 
 // pendingSetUps counts the attempts in progress whose sessions do not play yet.
 func (s *server) pendingSetUps() (n int) {
-	for _, x := range s.sessions {
-		if !x.playing {
+	for _, sess := range s.sessions {
+		if !sess.playing {
 			n++
 		}
 	}
@@ -274,11 +274,11 @@
 
 // hasTitle reports whether a server has x's title: it is one of the named holders or, if none are named, in one of the
 // title's cells.
-func (c *Controller) hasTitle(x *session, s *server) bool {
-	if x.Holders == nil {
-		return s.inCellRange(x.HomeCell, x.CellSpan, c.cfg.Cells)
+func (c *Controller) hasTitle(sess *session, s *server) bool {
+	if sess.Holders == nil {
+		return s.inCellRange(sess.HomeCell, sess.CellSpan, c.cfg.Cells)
 	}
-	_, ok := slices.BinarySearch(x.Holders, s.ID)
+	_, ok := slices.BinarySearch(sess.Holders, s.ID)
 	return ok
 }
 
@@ -291,8 +291,8 @@
 }
 
 // sessionRate returns the rate in kB/s that a session requests of its server's link at a rung.
-func (c *Controller) sessionRate(x *session, rung int) float64 {
-	return c.cfg.Ladder[rung] * x.class.RateFactor
+func (c *Controller) sessionRate(sess *session, rung int) float64 {
+	return c.cfg.Ladder[rung] * sess.class.RateFactor
 }
 
 // sameTitleAndClass reports whether y is another session of x's title and class.
@@ -353,9 +353,9 @@
 // reclaimableRate returns the rate that the own playing sessions at a server would free by stepping down to their
 // lowest rung.
 func (c *Controller) reclaimableRate(s *server) (rate float64) {
-	for _, x := range s.sessions {
-		if x.playing {
-			rate += c.sessionRate(x, x.rung) - c.sessionRate(x, min(x.rung, x.class.MinRung))
+	for _, sess := range s.sessions {
+		if sess.playing {
+			rate += c.sessionRate(sess, sess.rung) - c.sessionRate(sess, min(sess.rung, sess.class.MinRung))
 		}
 	}
 	return rate
--- a/control/tuning.go
+++ b/control/tuning.go
@@ -22,7 +22,7 @@
 	switchGainFactor       = 2.5  // a step up must gain this many times the cost of a rung change
 	reportWeight           = 0.8  // weight of a new note against the previous estimate
 	collectorWeight        = 0.9  // weight of a collector's reply: it combines the updates of all fronts
-	fleetViewThreshold     = 0.5  // part of the servers with own sessions above which own notes are enough
+	coverageThreshold      = 0.5  // part of the servers with own sessions above which own notes are enough
 	cellsPerCollector      = 8    // consecutive cells whose servers one collector covers
 	maxQueriesPerRequest   = 3    // collectors queried: titles with many holders need no more
 
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -39,7 +39,7 @@
 		case control.ReadList:
 			o.Executor.ReadList()
 		case control.SendToPeer:
-			o.Executor.Tell(a.Front, a.Data)
+			o.Executor.SendToPeer(a.Front, a.Data)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 	changed := r.rung != a.Rung
 	r.rung = a.Rung
 	if r.playing && changed {
-		r.listener.Rung(a.Rung)
+		r.listener.RungChanged(a.Rung)
 		o.Log.Debug("rung", "session", r.ID, "server", r.server, "rung", a.Rung)
 		o.Executor.SetRung(Attempt{ID: r.ID, Server: r.server, Number: r.attempts - 1, Rung: a.Rung, Class: r.Class,
 			Tenant: r.Tenant, Title: r.Title, Viewer: r.Viewer, Listener: r.listener}, a.Rung)
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -72,7 +72,7 @@
 
 func (f *fakeExecutor) ReadList() { f.record("read") }
 
-func (f *fakeExecutor) Tell(to int, data string) { f.record(fmt.Sprint("tell ", to, " ", data)) }
+func (f *fakeExecutor) SendToPeer(to int, data string) { f.record(fmt.Sprint("tell ", to, " ", data)) }
 
 // recordingListener is a Listener that records its calls.
 type recordingListener struct {
@@ -98,7 +98,7 @@
 	close(l.answered)
 }
 
-func (l *recordingListener) Rung(rung int) {
+func (l *recordingListener) RungChanged(rung int) {
 	l.mu.Lock()
 	l.changes = append(l.changes, fmt.Sprint("rung ", rung))
 	l.mu.Unlock()
--- a/internal/core/orchestrator.go
+++ b/internal/core/orchestrator.go
@@ -57,7 +57,7 @@
 // block.
 type Listener interface {
 	Answered(Answer)                           // at most once; not if the viewer leaves first or the session was adopted
-	Rung(rung int)                             // the rung of a playing session changed
+	RungChanged(rung int)                      // the rung of a playing session changed
 	Ended(outcome control.Outcome, moved bool) // a playing session ended; moved: it was taken off its server
 	Closed()                                   // the request is over and has no attempt in flight; the last call
 }
@@ -88,7 +88,7 @@
 	Probe(server string)
 	Subscribe()
 	ReadList()
-	Tell(to int, data string)
+	SendToPeer(to int, data string)
 }
 
 // Options configures an Orchestrator.
--- a/internal/edge/fleet.go
+++ b/internal/edge/fleet.go
@@ -261,7 +261,7 @@
 )
 
 // Tell sends a message of the module to another edge by UDP, so it may be lost.
-func (b *boxClient) Tell(to int, data string) {
+func (b *boxClient) SendToPeer(to int, data string) {
 	e := b.edge
 	if e.PeerConn == nil || to < 0 || to >= len(e.peerAddrs) || len(data) > maxPeerMessage {
 		return
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -168,7 +168,7 @@
 func sessionQuery(id string) string { return "s=" + id }
 
 // Rung starts a change to the rung that the module chose, if the session is playing.
-func (p *placementRequest) Rung(rung int) {
+func (p *placementRequest) RungChanged(rung int) {
 	s := p.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -283,6 +283,6 @@
 
 // Subscribe, ReadList and Tell do nothing on this platform: the coordinator pushes the list to every front node, and
 // the addresses of other front nodes are not available (New therefore disables messages to peers).
-func (p *pool) Subscribe()       {}
-func (p *pool) ReadList()        {}
-func (p *pool) Tell(int, string) {}
+func (p *pool) Subscribe()             {}
+func (p *pool) ReadList()              {}
+func (p *pool) SendToPeer(int, string) {}
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -108,7 +108,7 @@
 }
 
 // Rung implements core.Listener. The viewer is not notified of bit-rate changes.
-func (s *session) Rung(int) {}
+func (s *session) RungChanged(int) {}
 
 // Ended notifies the viewer that its session has ended, unless the viewer ended it itself. If the viewer resends the
 // set-up later, it gets a failure.
