--- a/control/collectors_test.go
+++ b/control/collectors_test.go
@@ -24,11 +24,11 @@
 // A collector replies with what other fronts reported. The querying front chooses by the reply, ignores invalid
 // messages, and does not wait longer than necessary.
 func TestCollectorQueries(t *testing.T) {
-	set := testSettings()
-	set.AllowPeerMessages, set.Fronts, set.Position = true, 2, 1 // front 0 is the collector of cells 0 to 5
-	querier := startFront(t, set)
-	set.Position = 0
-	collector := startFront(t, set)
+	settings := testSettings()
+	settings.AllowPeerMessages, settings.Fronts, settings.Position = true, 2, 1 // front 0 is the collector of cells 0 to 5
+	querier := startFront(t, settings)
+	settings.Position = 0
+	collector := startFront(t, settings)
 	stamp := 5
 	update := func(i int, utilization float64) string {
 		stamp++
@@ -80,8 +80,8 @@
 	if out := querier.step(TimerFired{"look gone"}); len(out) > 0 {
 		t.Errorf("actions for a viewer that left during the query: %v", out)
 	}
-	set.AllowPeerMessages = false
-	isolated := startFront(t, set)
+	settings.AllowPeerMessages = false
+	isolated := startFront(t, settings)
 	if _, sent := findAction[SendToPeer](isolated.request("a", 0)); sent {
 		t.Error("a message was sent although messages between fronts are not allowed")
 	}
@@ -93,9 +93,9 @@
 	f.Add(0, "n0010abV3Wg0")
 	f.Add(2, "a000")
 	f.Fuzz(func(t *testing.T, from int, data string) {
-		set := testSettings()
-		set.AllowPeerMessages, set.Fronts = true, 3
-		c, _ := New(set, 1)
+		settings := testSettings()
+		settings.AllowPeerMessages, settings.Fronts = true, 3
+		c, _ := New(settings, 1)
 		c.Step(time.Second, []Event{ListUpdate{Whole: true, Servers: []Server{{ID: "s0", State: Ready, Weight: 1}}}})
 		for _, a := range c.Step(2*time.Second, []Event{PeerMessage{From: from, Data: data}}) {
 			if _, ok := a.(SendToPeer); !ok {
--- a/control/placement_test.go
+++ b/control/placement_test.go
@@ -53,9 +53,9 @@
 }
 
 func TestTieGoesToLessLoadedRack(t *testing.T) {
-	set := testSettings()
-	set.RackUplinkRate = 5000
-	f := startFront(t, set)
+	settings := testSettings()
+	settings.RackUplinkRate = 5000
+	f := startFront(t, settings)
 	f.reportLinks(.34, .3, .5, .9, .5, .9) // s0 and s1 tie; s0 is in the less loaded rack, s1 in the more loaded one
 	if got := f.sentTo(f.request("a", 0)); got != "s0" {
 		t.Errorf("sent to %q, want s0 in the less loaded rack", got)
@@ -76,10 +76,10 @@
 }
 
 func TestLiveViewersShareServer(t *testing.T) {
-	set := testSettings()
-	set.JoinRateFactor = 0.2
-	set.Classes[0].Live = true
-	f := startFront(t, set)
+	settings := testSettings()
+	settings.JoinRateFactor = 0.2
+	settings.Classes[0].Live = true
+	f := startFront(t, settings)
 	first := f.startSession("a", 0)
 	for i := range 4 {
 		if s := f.startSession(fmt.Sprint(i), 0); s != first {
@@ -106,13 +106,13 @@
 // A tick visits each server a bounded number of times, independent of the size of the fleet.
 func TestTickCostIsLinear(t *testing.T) {
 	visitsPerTick := func(n int) (visits float64) {
-		set := testSettings()
-		set.Cells, set.Racks, set.TotalLinkRate, set.RackUplinkRate, set.Fronts = n, n/5, float64(2000*n), 8000, n
+		settings := testSettings()
+		settings.Cells, settings.Racks, settings.TotalLinkRate, settings.RackUplinkRate, settings.Fronts = n, n/5, float64(2000*n), 8000, n
 		var servers []Server
 		for i := range n {
 			servers = append(servers, Server{ID: fmt.Sprintf("s%03d", i), Cell: i, State: Ready, Weight: 1})
 		}
-		f := startFront(t, set, servers...)
+		f := startFront(t, settings, servers...)
 		for i := range 10 {
 			s := f.sentTo(f.step(Request{ID: fmt.Sprint("a", i), HomeCell: i, CellSpan: 5, BestRung: 2,
 				GiveUpAt: f.now + 4*time.Second}))
@@ -167,8 +167,8 @@
 		{"small hold", other, []Hold{{Server: "s0", Title: announced, Rate: 1, Streams: 1}}, true},
 		{"invalid holds", other, []Hold{{Server: "s0", Title: announced, Rate: -1e9}, {Server: "none", Rate: 1e9}}, true},
 	} {
-		set := testSettings()
-		f := startFront(t, set, Server{ID: "s0", State: Ready, Weight: 1})
+		settings := testSettings()
+		f := startFront(t, settings, Server{ID: "s0", State: Ready, Weight: 1})
 		f.reportLinks(.1)
 		f.step(HoldsUpdate{Holds: tt.holds})
 		out := f.step(Request{ID: "x", Title: tt.title, BestRung: 0, GiveUpAt: f.now + 4*time.Second})
@@ -192,15 +192,15 @@
 // Explicitly listed holders replace the title's cells wherever holders are looked up: placement, probes and queries
 // to collectors. An empty list means that no server has the title.
 func TestExplicitHolders(t *testing.T) {
-	set := testSettings()
-	set.Cells, set.Fronts, set.AllowPeerMessages = 16, 2, true
+	settings := testSettings()
+	settings.Cells, settings.Fronts, settings.AllowPeerMessages = 16, 2, true
 	for _, c := range []struct {
 		holders []string
 		want    string
 	}{{[]string{"b03", "b12"}, "b03 b12"}, {[]string{"b07"}, "b07"}, {[]string{}, ""}, {nil, "b00 b01"}} {
 		used := map[string]bool{}
 		for seed := range uint64(20) {
-			controller, err := New(set, seed)
+			controller, err := New(settings, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -210,7 +210,7 @@
 				list.Servers = append(list.Servers, Server{ID: fmt.Sprintf("b%02d", i), Cell: i, State: Ready, Weight: 1})
 			}
 			controller.Step(0, []Event{list})
-			out := controller.Step(time.Second, []Event{Request{ID: "x", HomeCell: 0, CellSpan: 2, BestRung: len(set.Ladder) - 1,
+			out := controller.Step(time.Second, []Event{Request{ID: "x", HomeCell: 0, CellSpan: 2, BestRung: len(settings.Ladder) - 1,
 				Holders: c.holders, GiveUpAt: 5 * time.Second}})
 			out = append(out, controller.Step(2*time.Second, []Event{TimerFired{Label: "look x"}})...)
 			sent, queried := false, false
@@ -236,9 +236,9 @@
 // reports, the link alone decides.
 func TestReportedUplinksWidenTies(t *testing.T) {
 	for _, reported := range []bool{true, false} {
-		set := testSettings()
-		set.RackUplinkRate = 6000
-		f := startFront(t, set)
+		settings := testSettings()
+		settings.RackUplinkRate = 6000
+		f := startFront(t, settings)
 		f.reportLinks(0.50, 0.65, 0.50, 0.65, 0.50, 0.65) // servers of even cells are in rack 0
 		if reported {
 			f.step(Note{Server: "s0", Kind: NoteUplink, Value: 1})
--- a/control/request_test.go
+++ b/control/request_test.go
@@ -94,18 +94,18 @@
 }
 
 func TestAttemptLimitAndRetryBudget(t *testing.T) {
-	set := testSettings()
-	f := startFront(t, set)
+	settings := testSettings()
+	f := startFront(t, settings)
 	out, attempts := f.request("a", 0), 0
 	for s := f.sentTo(out); s != ""; s = f.sentTo(out) {
 		attempts++
 		out = f.endAttempt("a", s, ConnectFailed)
 	}
-	if attempts != set.MaxAttempts {
-		t.Errorf("%d attempts, the limit is %d", attempts, set.MaxAttempts)
+	if attempts != settings.MaxAttempts {
+		t.Errorf("%d attempts, the limit is %d", attempts, settings.MaxAttempts)
 	}
-	set.BudgetSpan, set.BudgetFree, set.BudgetShare = 10*time.Second, 1, 0.1
-	f = startFront(t, set)
+	settings.BudgetSpan, settings.BudgetFree, settings.BudgetShare = 10*time.Second, 1, 0.1
+	f = startFront(t, settings)
 	extra := 0
 	for i := range 10 {
 		id := fmt.Sprint(i)
@@ -132,9 +132,9 @@
 }
 
 func TestAtMostOnceAvoidsSuspects(t *testing.T) {
-	set := testSettings()
-	set.Ramp = 0 // without slow start, only the suspicion keeps set-ups away
-	f := startFront(t, set)
+	settings := testSettings()
+	settings.Ramp = 0 // without slow start, only the suspicion keeps set-ups away
+	f := startFront(t, settings)
 	failing := f.sentTo(f.request("a", 0))
 	f.endAttempt("a", failing, TimedOut)
 	for i := range 4 {
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -66,9 +66,9 @@
 func TestFrontsSpreadFirstSetUps(t *testing.T) {
 	sent := 0
 	for seed := range 100 {
-		set := testSettings()
-		set.Fronts = 100
-		c, _ := New(set, uint64(seed))
+		settings := testSettings()
+		settings.Fronts = 100
+		c, _ := New(settings, uint64(seed))
 		now := 100 * time.Second
 		c.Step(now, []Event{ListUpdate{Whole: true,
 			Servers: []Server{{ID: "s0", State: Ready, Weight: 1, Started: now - time.Second}}}})
--- a/internal/hls/hls_test.go
+++ b/internal/hls/hls_test.go
@@ -144,11 +144,11 @@
 	for i := range n {
 		fmt.Fprintf(&b, "#EXTINF:2,\n%d.ts\n", i)
 	}
-	x, err := NewTrack(parseMedia(t, b.String()), "http://box/"+dir+"/m.m3u8")
+	track, err := NewTrack(parseMedia(t, b.String()), "http://box/"+dir+"/m.m3u8")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return x
+	return track
 }
 
 // TestWindowLifecycle publishes segments across a change of rung, a move to another box and the end of the content.
@@ -184,12 +184,12 @@
 // TestWindowKeysAndMap checks that every window repeats the keys and the map that apply to its first segment, with the
 // host of the session's box.
 func TestWindowKeysAndMap(t *testing.T) {
-	x, err := NewTrack(parseMedia(t, fullPlaylist), "http://box/t/m.m3u8")
+	track, err := NewTrack(parseMedia(t, fullPlaylist), "http://box/t/m.m3u8")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var w Window
-	w.SetSource("http://b1", "s=1", x, 0)
+	w.SetSource("http://b1", "s=1", track, 0)
 	w.Publish(1, 1)
 	got := string(w.Append(nil))
 	for _, want := range []string{`#EXT-X-MAP:URI="http://b1/t/v1/init.mp4",BYTERANGE="600@0"`, `URI="http://b1/t/key?id=1",IV=0x01`,
@@ -292,10 +292,10 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		checkRoundTrip(t, in)
 		if m, err := ParseMedia(in); err == nil {
-			if x, err := NewTrack(m, "http://box/t/m.m3u8"); err == nil {
+			if track, err := NewTrack(m, "http://box/t/m.m3u8"); err == nil {
 				var w Window
-				w.SetSource("http://b", "s=1", x, 0)
-				w.Publish(x.Len(), 16)
+				w.SetSource("http://b", "s=1", track, 0)
+				w.Publish(track.Len(), 16)
 				if _, err := ParseMedia(w.Append(nil)); err != nil {
 					t.Fatalf("%q is written as %q: %v", in, w.Append(nil), err)
 				}
--- a/internal/socketerror/socketerror.go
+++ b/internal/socketerror/socketerror.go
@@ -38,17 +38,17 @@
 )
 
 // String returns the name of a category for logs.
-func (v Category) String() string {
+func (c Category) String() string {
 	names := [...]string{"unknown", "peer closed", "peer reset", "peer refused", "peer silent", "deadline exceeded", "closed here",
 		"no descriptor", "local moment"}
-	if v >= 0 && int(v) < len(names) {
-		return names[v]
+	if c >= 0 && int(c) < len(names) {
+		return names[c]
 	}
 	return names[Unknown]
 }
 
 // IsLocal reports whether the error was caused by this machine. Such an error says nothing about the peer.
-func (v Category) IsLocal() bool { return v == LocalDescriptorLimit || v == LocalTemporary }
+func (c Category) IsLocal() bool { return c == LocalDescriptorLimit || c == LocalTemporary }
 
 // Call is the kind of call that failed. Some errno values mean different things in different calls.
 type Call int
@@ -116,14 +116,14 @@
 	return Unknown
 }
 
-func (m callCategories) forCall(call Call) Category {
+func (c callCategories) forCall(call Call) Category {
 	switch call {
 	case Connect:
-		return m.connect
+		return c.connect
 	case Accept:
-		return m.accept
+		return c.accept
 	}
-	return m.transfer
+	return c.transfer
 }
 
 func isTimeout(err error) bool {
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -36,12 +36,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, err := Decode(b)
+		update, err := Decode(b)
 		if err != nil {
 			t.Fatalf("%s: %v", b, err)
 		}
 		before, _ := json.Marshal(from)
-		got, changed, err := Apply(from, l)
+		got, changed, err := Apply(from, update)
 		if err != nil || !changed {
 			t.Fatal(err)
 		}
@@ -67,9 +67,9 @@
 		line string
 		want error
 	}{{`{"v":5}`, nil}, {`{"v":6}`, ErrVersionGap}, {`{"v":4}`, ErrVersionGap}, {`{"v":7,"base":6}`, ErrVersionGap}, {`{"v":5,"base":5}`, ErrVersionGap}, {`{"v":3,"whole":true}`, nil}} {
-		l, err := Decode([]byte(c.line))
+		update, err := Decode([]byte(c.line))
 		if err == nil {
-			_, _, err = Apply(v, l)
+			_, _, err = Apply(v, update)
 		}
 		if !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.line, err, c.want)
@@ -87,8 +87,8 @@
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"v":1,"whole":true,"boxes":[{"id":"a","state":"ready","cell":1}],"titles":[{"name":"t","span":1}]}`))
 	f.Fuzz(func(_ *testing.T, b []byte) {
-		if l, err := Decode(b); err == nil {
-			_, _, _ = Apply(View{Version: 1}, l)
+		if update, err := Decode(b); err == nil {
+			_, _, _ = Apply(View{Version: 1}, update)
 		}
 	})
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -61,13 +61,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, box, _ := strings.Cut(string(r), `"outbox":[`)
-			if box = strings.TrimSuffix(strings.TrimSpace(box), "]}"); want != "" && box != "" {
+			_, outbox, _ := strings.Cut(string(r), `"outbox":[`)
+			if outbox = strings.TrimSuffix(strings.TrimSpace(outbox), "]}"); want != "" && outbox != "" {
 				want += ","
 			}
-			want += strings.TrimSuffix(box, "]}")
+			want += strings.TrimSuffix(outbox, "]}")
 		}
-		if _, box, _ := strings.Cut(string(got), `"outbox":[`); strings.TrimSuffix(strings.TrimSpace(box), "]}") != want {
+		if _, outbox, _ := strings.Cut(string(got), `"outbox":[`); strings.TrimSuffix(strings.TrimSpace(outbox), "]}") != want {
 			t.Errorf("line %d: shared host %s, separate hosts %s", i+1, got, want)
 		}
 	}
