--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -20,14 +20,14 @@
 
 // Entry is one server in an update.
 type Entry struct {
-	ID            string  `json:"id"`
-	Addr          string  `json:"addr"`
-	Zone          string  `json:"zone"`
-	Kind          string  `json:"kind"`
-	Cell          int     `json:"cell"`
-	State         string  `json:"state"`
-	Weight        float64 `json:"weight"`
-	StartedMillis int64   `json:"started_ms"` // Unix milliseconds; 0 if not reported
+	ID        string  `json:"id"`
+	Addr      string  `json:"addr"`
+	Zone      string  `json:"zone"`
+	Kind      string  `json:"kind"`
+	Cell      int     `json:"cell"`
+	State     string  `json:"state"`
+	Weight    float64 `json:"weight"`
+	StartedMs int64   `json:"started_ms"` // Unix milliseconds; 0 if not reported
 }
 
 // Endpoints is either a full server list or the entries that changed since the event before.
--- a/internal/core/orchestrator.go
+++ b/internal/core/orchestrator.go
@@ -50,7 +50,7 @@
 	Rung       int
 	Attempt    int           // with Playing: number of the attempt that succeeded
 	RetryAfter time.Duration // with Refused: how long the viewer should wait before it retries
-	Setup      any           // with Playing: Result.Setup of the successful attempt
+	Payload    any           // with Playing: Result.Setup of the successful attempt
 }
 
 // Listener receives the progress of one request. Its methods are called on the orchestrator's goroutine and must not
@@ -75,7 +75,7 @@
 type Result struct {
 	Outcome control.Outcome // control.Served: the session plays
 	Load    *control.LoadReport
-	Setup   any
+	Payload any
 	Cleanup func() // if set, called after the result was queued: work that must not delay the answer
 }
 
--- a/internal/core/order_test.go
+++ b/internal/core/order_test.go
@@ -199,7 +199,7 @@
 	executor := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: func(context.Context, Attempt) Result {
 		close(sent)
 		<-answered
-		return Result{Outcome: control.Served, Setup: "it plays"}
+		return Result{Outcome: control.Served, Payload: "it plays"}
 	}}
 	o := New(Options{QueueSize: 4, Log: slog.New(slog.DiscardHandler), Executor: executor,
 		Now: func() time.Duration { return 0 },
@@ -241,7 +241,7 @@
 	executor := &fakeExecutor{t: t, inFlight: map[string]int{}, setUp: func(context.Context, Attempt) Result {
 		close(sent)
 		<-ready
-		return Result{Outcome: control.Served, Setup: "it plays"}
+		return Result{Outcome: control.Served, Payload: "it plays"}
 	}}
 	decided := 0 // accessed on the orchestrator's goroutine until the answer
 	o := New(Options{QueueSize: burst, Log: slog.New(slog.DiscardHandler), Executor: executor,
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -118,7 +118,7 @@
 		r.playing = true
 		o.addToBatch(control.SessionStarted{ID: r.ID, Server: in.server, Attempt: in.attempt, Took: in.took})
 		o.addSetUpNotes(r, in)
-		o.answer(r, Answer{Kind: Playing, Server: in.server, Rung: r.rung, Attempt: in.attempt, Setup: in.result.Setup},
+		o.answer(r, Answer{Kind: Playing, Server: in.server, Rung: r.rung, Attempt: in.attempt, Payload: in.result.Payload},
 			byServer)
 		for _, note := range earlyNotes {
 			o.handle(note)
--- a/internal/edge/boxes.go
+++ b/internal/edge/boxes.go
@@ -136,7 +136,7 @@
 		b.edge.Log.Warn("set-up returned no usable manifest or playlist", "session", a.ID, "server", a.Server, "error", err)
 		return core.Result{Outcome: classifyErrorAfterStart(ctx, err), Load: load}
 	}
-	return core.Result{Outcome: control.Served, Load: load, Setup: out}
+	return core.Result{Outcome: control.Served, Load: load, Payload: out}
 }
 
 // classifySetUpError returns the outcome of a set-up that got no response.
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -141,7 +141,7 @@
 	if s.request != p || s.state == admission.Leaving {
 		return false
 	}
-	result, ok := a.Setup.(*setUpResult)
+	result, ok := a.Payload.(*setUpResult)
 	if !ok {
 		return false
 	}
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -59,7 +59,7 @@
 
 // RecordSetupTimeout records that a set-up timed out. The server is then checked without waiting for an overdue note. A
 // server that is merely slow accepts the connection of the check and is kept.
-func (d *Detector) RecordSetupTimeout() { d.suspected = true }
+func (d *Detector) RecordSetUpTimeout() { d.suspected = true }
 
 // Next returns what to do about a server that has sessions and sends a note each period; a period of 0 means that it
 // sends none. openConns is the number of open connections to the server. listed reports whether the server list still
--- a/internal/liveness/detector_test.go
+++ b/internal/liveness/detector_test.go
@@ -55,7 +55,7 @@
 				detector.RecordHeartbeat(at)
 			}
 			if c.setupsTimeOut {
-				detector.RecordSetupTimeout()
+				detector.RecordSetUpTimeout()
 			}
 			if c.setupDial != Connected {
 				detector.RecordDial(at, c.setupDial, c.openConns(at))
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -130,7 +130,7 @@
 	l.send(jsonlines.TypeClose, a.ID, nil, jsonlines.CauseEnd, "")
 	p.recordGiveUp(l, a.ID)
 	if timedOut {
-		l.server.detector.RecordSetupTimeout()
+		l.server.detector.RecordSetUpTimeout()
 		p.retireConn(l)
 	}
 	p.mu.Unlock()
--- a/internal/node/serverage_test.go
+++ b/internal/node/serverage_test.go
@@ -26,7 +26,7 @@
 // entryStartedAgo returns a list entry for a server that started a given time ago by the coordinator's clock.
 func (b *box) entryStartedAgo(ago time.Duration) coordinator.Entry {
 	e := b.entry("up")
-	e.StartedMillis = time.Now().Add(-ago).UnixMilli()
+	e.StartedMs = time.Now().Add(-ago).UnixMilli()
 	return e
 }
 
--- a/internal/node/serverread.go
+++ b/internal/node/serverread.go
@@ -63,7 +63,7 @@
 		if m.Text == nil || *m.Text == "" {
 			r = core.Result{Outcome: control.Failed, Load: load} // it ran, but returned no description
 		} else {
-			r.Setup = *m.Text
+			r.Payload = *m.Text
 			l.server.activeSessions[m.ID] = true
 		}
 		answered = l.deliverResult(r)
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -53,7 +53,7 @@
 func toFinalAnswer(a core.Answer) finalAnswer {
 	switch a.Kind {
 	case core.Playing:
-		text, _ := a.Setup.(string)
+		text, _ := a.Payload.(string)
 		return finalAnswer{status: statusOK, body: []byte(text)}
 	case core.Refused:
 		r := finalAnswer{status: statusNotEnoughBandwidth}
--- a/internal/rtsp/rtsp.go
+++ b/internal/rtsp/rtsp.go
@@ -17,7 +17,7 @@
 )
 
 // MaxMessage is the size of the largest message, head and body together, in bytes.
-const MaxMessage = 16 << 10
+const MaxMessageBytes = 16 << 10
 
 const maxHeaderLines = 32
 
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if length > MaxMessage-len(d.head) {
+	if length > MaxMessageBytes-len(d.head) {
 		return nil, &Error{413, "message too large"}
 	}
 	if length == 0 {
@@ -106,7 +106,7 @@
 	for {
 		line, err := d.r.ReadSlice('\n')
 		switch {
-		case errors.Is(err, bufio.ErrBufferFull) || len(d.head)+len(line) > MaxMessage:
+		case errors.Is(err, bufio.ErrBufferFull) || len(d.head)+len(line) > MaxMessageBytes:
 			return &Error{413, "message head too large"}
 		case err != nil && len(d.head)+len(line) > 0:
 			return unexpectedEOF(err)
--- a/internal/rtsp/rtsp_test.go
+++ b/internal/rtsp/rtsp_test.go
@@ -69,7 +69,7 @@
 		if err != nil {
 			return
 		}
-		if len(m.Body) > MaxMessage {
+		if len(m.Body) > MaxMessageBytes {
 			t.Fatal("body exceeds the message limit")
 		}
 		var headers []string
--- a/internal/viewstore/viewstore.go
+++ b/internal/viewstore/viewstore.go
@@ -129,7 +129,7 @@
 	}
 	sum, err1 := strconv.ParseUint(fields[2], 16, 64)
 	length, err2 := strconv.Atoi(fields[3])
-	writtenMillis, err3 := strconv.ParseInt(fields[4], 10, 64)
+	writtenMs, err3 := strconv.ParseInt(fields[4], 10, 64)
 	body := content[len(header):]
 	switch {
 	case err1 != nil || err2 != nil || err3 != nil:
@@ -139,5 +139,5 @@
 	case xxhash.Sum64(body) != sum:
 		return nil, invalid("checksum mismatch")
 	}
-	return &View{body, time.UnixMilli(writtenMillis), path}, nil
+	return &View{body, time.UnixMilli(writtenMs), path}, nil
 }
