--- a/internal/edge/playlists.go
+++ b/internal/edge/playlists.go
@@ -22,27 +22,27 @@
 }
 
 // parseManifest parses a manifest that was read from the given path.
-func parseManifest(base string, body []byte, rungs int) (*manifest, error) {
-	m, err := hls.ParseMultivariant(body)
+func parseManifest(urlPath string, body []byte, rungs int) (*manifest, error) {
+	playlist, err := hls.ParseMultivariant(body)
 	if err != nil {
 		return nil, err
 	}
-	s := &manifest{path: base, parsed: m, variants: slices.Clone(m.Variants),
+	out := &manifest{path: urlPath, parsed: playlist, variants: slices.Clone(playlist.Variants),
 		tracks: make([]atomic.Pointer[hls.Track], rungs)}
-	slices.SortStableFunc(s.variants, func(a, b hls.Variant) int { return a.Bandwidth - b.Bandwidth })
-	return s, nil
+	slices.SortStableFunc(out.variants, func(a, b hls.Variant) int { return a.Bandwidth - b.Bandwidth })
+	return out, nil
 }
 
 // variant returns the variant of a rung. If a title has fewer variants than the ladder has rungs, its best one serves
 // the remaining rungs.
-func (s *manifest) variant(rung int) hls.Variant { return s.variants[min(rung, len(s.variants)-1)] }
+func (m *manifest) variant(rung int) hls.Variant { return m.variants[min(rung, len(m.variants)-1)] }
 
 // cachedTrack returns the track of a rung, or nil if it was not read yet.
-func (s *manifest) cachedTrack(rung int) *hls.Track { return s.tracks[rung].Load() }
+func (m *manifest) cachedTrack(rung int) *hls.Track { return m.tracks[rung].Load() }
 
 // duration returns the length of the content, or 0 if the track of the rung was not read yet.
-func (s *manifest) duration(rung int) time.Duration {
-	t := s.cachedTrack(rung)
+func (m *manifest) duration(rung int) time.Duration {
+	t := m.cachedTrack(rung)
 	if t == nil {
 		return 0
 	}
@@ -51,10 +51,10 @@
 
 // sessionManifest returns the manifest for one session: the variant of the given rung and the renditions of its
 // groups, with URIs at the edge that start with prefix.
-func (s *manifest) sessionManifest(rung int, prefix string) *hls.MultivariantPlaylist {
-	v := s.variant(rung)
-	out := &hls.MultivariantPlaylist{Version: s.parsed.Version, OtherTags: s.parsed.OtherTags}
-	for i, r := range s.parsed.Renditions {
+func (m *manifest) sessionManifest(rung int, prefix string) *hls.MultivariantPlaylist {
+	v := m.variant(rung)
+	out := &hls.MultivariantPlaylist{Version: m.parsed.Version, OtherTags: m.parsed.OtherTags}
+	for i, r := range m.parsed.Renditions {
 		if g := v.Attributes.Get(r.Attributes.Get("TYPE")); g != r.Attributes.Get("GROUP-ID") {
 			continue
 		}
@@ -87,12 +87,12 @@
 )
 
 // rungTrack returns the track of a rung, from the cache or read from the box, and stores it in the manifest.
-func (s *playlistCache) rungTrack(ctx context.Context, server string, m *manifest, rung int) (*hls.Track, error) {
+func (c *playlistCache) rungTrack(ctx context.Context, server string, m *manifest, rung int) (*hls.Track, error) {
 	path, err := hls.ResolvePath("http://"+server+m.path, m.variant(rung).URI)
 	if err != nil {
 		return nil, err
 	}
-	t, err := s.loadTrack(ctx, server, path)
+	t, err := c.loadTrack(ctx, server, path)
 	if err != nil {
 		return nil, err
 	}
@@ -102,15 +102,15 @@
 
 // loadTrack returns the track of the media playlist at path, from the cache or read from the box. A full cache
 // evicts arbitrary entries.
-func (s *playlistCache) loadTrack(ctx context.Context, server, path string) (*hls.Track, error) {
-	now := s.edge.now()
-	s.mu.Lock()
-	cached, ok := s.byPath[path]
-	s.mu.Unlock()
+func (c *playlistCache) loadTrack(ctx context.Context, server, path string) (*hls.Track, error) {
+	now := c.edge.now()
+	c.mu.Lock()
+	cached, ok := c.byPath[path]
+	c.mu.Unlock()
 	if ok && now-cached.at < playlistTTL {
 		return cached.track, nil
 	}
-	resp, err := s.edge.boxes.http.Do(ctx, server, "GET", path, nil, nil)
+	resp, err := c.edge.boxes.http.Do(ctx, server, "GET", path, nil, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -125,14 +125,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("playlist %s at %s: %w", path, server, err)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for old := range s.byPath {
-		if len(s.byPath) < maxCachedPlaylists {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for old := range c.byPath {
+		if len(c.byPath) < maxCachedPlaylists {
 			break
 		}
-		delete(s.byPath, old)
+		delete(c.byPath, old)
 	}
-	s.byPath[path] = cachedPlaylist{t, now}
+	c.byPath[path] = cachedPlaylist{t, now}
 	return t, nil
 }
--- a/internal/mapping/mapping.go
+++ b/internal/mapping/mapping.go
@@ -164,16 +164,16 @@
 }
 
 // add makes a box a holder of a title.
-func (m Placement) add(title, box string) {
-	i, found := slices.BinarySearch(m[title], box)
+func (p Placement) add(title, box string) {
+	i, found := slices.BinarySearch(p[title], box)
 	if !found {
-		m[title] = slices.Insert(m[title], i, box)
+		p[title] = slices.Insert(p[title], i, box)
 	}
 }
 
 // Has reports whether a box holds a title.
-func (m Placement) Has(title, box string) bool {
-	_, ok := slices.BinarySearch(m[title], box)
+func (p Placement) Has(title, box string) bool {
+	_, ok := slices.BinarySearch(p[title], box)
 	return ok
 }
 
--- a/internal/peaks/announcements.go
+++ b/internal/peaks/announcements.go
@@ -106,13 +106,13 @@
 
 // Announce stores an announcement, a change or a cancellation. changed is false if the version is not newer than the
 // stored one.
-func (b *AnnouncementStore) Announce(a Announcement, known KnownNames, now int64) (changed bool, err error) {
+func (s *AnnouncementStore) Announce(a Announcement, known KnownNames, now int64) (changed bool, err error) {
 	if err := a.Validate(known, now); err != nil {
 		return false, err
 	}
-	previous := b.byID[a.ID]
+	previous := s.byID[a.ID]
 	switch {
-	case previous == nil && len(b.byID) >= maxPeaks:
+	case previous == nil && len(s.byID) >= maxPeaks:
 		return false, newFieldError("id", "%d peaks are announced already", maxPeaks)
 	case previous != nil && a.Version < previous.Version:
 		return false, nil
@@ -123,7 +123,7 @@
 		return false, nil
 	}
 	a.Titles = slices.Clone(a.Titles)
-	b.byID[a.ID] = &a
+	s.byID[a.ID] = &a
 	return true, nil
 }
 
@@ -135,9 +135,9 @@
 }
 
 // List returns all announcements, sorted by ID.
-func (b *AnnouncementStore) List() []Announcement {
-	out := make([]Announcement, 0, len(b.byID))
-	for _, a := range b.byID {
+func (s *AnnouncementStore) List() []Announcement {
+	out := make([]Announcement, 0, len(s.byID))
+	for _, a := range s.byID {
 		out = append(out, *a)
 	}
 	slices.SortFunc(out, func(x, y Announcement) int { return strings.Compare(x.ID, y.ID) })
@@ -145,8 +145,8 @@
 }
 
 // Get returns the announcement with an ID.
-func (b *AnnouncementStore) Get(id string) (Announcement, bool) {
-	a := b.byID[id]
+func (s *AnnouncementStore) Get(id string) (Announcement, bool) {
+	a := s.byID[id]
 	if a == nil {
 		return Announcement{}, false
 	}
@@ -154,10 +154,10 @@
 }
 
 // RemoveExpired removes the announcements whose peak has been over for a day.
-func (b *AnnouncementStore) RemoveExpired(now int64) {
-	for id, a := range b.byID {
+func (s *AnnouncementStore) RemoveExpired(now int64) {
+	for id, a := range s.byID {
 		if a.Start+a.Duration+a.Uncertainty < now-maxDurationMs {
-			delete(b.byID, id)
+			delete(s.byID, id)
 		}
 	}
 }
--- a/internal/planner/copies.go
+++ b/internal/planner/copies.go
@@ -260,7 +260,7 @@
 func (p *Planner) updateWantedCopies(now int64) {
 	state := &p.copyState
 	state.decisions.Retain(func(id string) bool {
-		a, ok := p.peakState.book.Get(id)
+		a, ok := p.peakState.announcements.Get(id)
 		return ok && p.needsCopies(&a, now)
 	})
 	if now-state.lastDriftAt >= driftInterval.Milliseconds() {
@@ -346,40 +346,40 @@
 	ready := func(id string) bool {
 		return p.monitor.boxes[id] != nil && p.monitor.boxes[id].effectiveState() == view.StateReady
 	}
-	var open []peaks.Announcement
-	for _, a := range p.peakState.book.List() {
+	var undecided []peaks.Announcement
+	for _, a := range p.peakState.announcements.List() {
 		if p.needsCopies(&a, now) && p.copyState.decisions.NeedsDecision(a.ID, a.Version, readyCount, ready) &&
 			p.copyState.manager.AllReported() {
-			open = append(open, a)
+			undecided = append(undecided, a)
 		}
 	}
-	if len(open) == 0 {
+	if len(undecided) == 0 {
 		p.mu.Unlock()
 		return
 	}
 	fleet := p.planFleet()
 	boxes, disk := p.mappingBoxes(fleet)
 	var demands []peaks.Demand
-	var hours []mapping.TitleDemand
-	earliestStart := open[0].Start
-	for _, a := range open {
+	var titleDemands []mapping.TitleDemand
+	earliestStart := undecided[0].Start
+	for _, a := range undecided {
 		earliestStart = min(earliestStart, a.Start)
 		for _, name := range a.Titles {
-			if d, h, ok := p.copyDemand(&a, name, fleet, ready); ok {
-				demands, hours = append(demands, d), append(hours, h)
+			if d, titleDemand, ok := p.copyDemand(&a, name, fleet, ready); ok {
+				demands, titleDemands = append(demands, d), append(titleDemands, titleDemand)
 			}
 		}
 	}
 	bounds := p.copyBounds(fleet, float64(max(earliestStart-now, 0))/1000)
 	p.mu.Unlock()
-	choice := mapping.ChooseCopies(fleet, demands, hours, boxes, disk, bounds, p.Copies, time.Now, solveBudget)
+	choice := mapping.ChooseCopies(fleet, demands, titleDemands, boxes, disk, bounds, p.Copies, time.Now, solveBudget)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, a := range open {
+	for _, a := range undecided {
 		p.copyState.decisions.Record(a.ID, a.Version, readyCount, ready, choice.Copies)
 	}
 	p.copyState.lastChoice = choice
-	p.Log.Info("copies chosen", "hours", len(open), "copies", len(choice.Copies), "by", choice.Method,
+	p.Log.Info("copies chosen", "hours", len(undecided), "copies", len(choice.Copies), "by", choice.Method,
 		"worth_without", choice.NoCopiesValue, "worth_greedy", choice.GreedyValue, "worth", choice.BestValue, "took", choice.Elapsed,
 		"within_s", bounds.SecondsUntilPeak, "each_kb_s", bounds.CopyRate)
 }
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -31,7 +31,7 @@
 		})
 	}
 	gauge("peaks", "Announcements in the book, cancelled ones too.", nil, func() float64 {
-		return float64(len(p.peakState.book.List()))
+		return float64(len(p.peakState.announcements.List()))
 	})
 	gauge("held_kilobytes_per_second", "Room held for peaks.", nil, func() (kb float64) {
 		for _, h := range p.peakState.ledger.RemainingHolds() {
--- a/internal/planner/monitor_test.go
+++ b/internal/planner/monitor_test.go
@@ -12,11 +12,11 @@
 func TestMonitor(t *testing.T) {
 	start := time.UnixMilli(5000)
 	ok := HealthCheck{Answered: true, BootID: "one", Started: start}
-	w := NewMonitor(2, 100)
-	w.Add(view.Box{ID: "a"})
-	w.Add(view.Box{ID: "b"})
+	monitor := NewMonitor(2, 100)
+	monitor.Add(view.Box{ID: "a"})
+	monitor.Add(view.Box{ID: "b"})
 	state := func(id string) (view.State, int64) {
-		v, _ := w.View()
+		v, _ := monitor.View()
 		for _, b := range v.Boxes {
 			if b.ID == id {
 				return b.State, b.StartedMs
@@ -24,45 +24,45 @@
 		}
 		return view.StateGone, 0
 	}
-	w.RecordCheck("a", ok)
-	if w.AllChecked() {
+	monitor.RecordCheck("a", ok)
+	if monitor.AllChecked() {
 		t.Error("AllChecked is true before b answered or missed its checks")
 	}
-	w.RecordCheck("b", HealthCheck{})
-	w.RecordCheck("b", HealthCheck{})
-	if s, _ := state("a"); !w.AllChecked() || s != view.StateReady {
+	monitor.RecordCheck("b", HealthCheck{})
+	monitor.RecordCheck("b", HealthCheck{})
+	if s, _ := state("a"); !monitor.AllChecked() || s != view.StateReady {
 		t.Error("AllChecked is false after all checks, or a is not ready")
 	}
-	w.RecordCheck("a", HealthCheck{})
+	monitor.RecordCheck("a", HealthCheck{})
 	if s, _ := state("a"); s != view.StateReady {
 		t.Error("a is gone after one missed check")
 	}
-	w.RecordCheck("a", HealthCheck{})
+	monitor.RecordCheck("a", HealthCheck{})
 	if s, _ := state("a"); s != view.StateGone {
 		t.Error("a is not gone after two missed checks")
 	}
 	again := HealthCheck{Answered: true, BootID: "two", Started: time.UnixMilli(9000)}
-	w.RecordCheck("a", again)
+	monitor.RecordCheck("a", again)
 	if s, at := state("a"); s != view.StateReady || at != 9000 {
 		t.Errorf("after a restart a is %s and started at %d, want ready and 9000", s, at)
 	}
 	again.Started = time.UnixMilli(9500) // an adjusted clock is no restart
-	w.RecordCheck("a", again)
+	monitor.RecordCheck("a", again)
 	if _, at := state("a"); at != 9000 {
 		t.Errorf("the start time changed to %d without a restart", at)
 	}
-	w.SetDrain("a", true)
-	w.RecordCheck("a", again)
+	monitor.SetDrain("a", true)
+	monitor.RecordCheck("a", again)
 	if s, _ := state("a"); s != view.StateDraining {
 		t.Error("a check ended an operator's drain")
 	}
-	w.SetDrain("a", false)
+	monitor.SetDrain("a", false)
 	again.Draining = true
-	w.RecordCheck("a", again)
+	monitor.RecordCheck("a", again)
 	if s, _ := state("a"); s != view.StateDraining {
 		t.Error("a box that reports a drain is not draining")
 	}
-	if w.SetDrain("nobody", true) {
+	if monitor.SetDrain("nobody", true) {
 		t.Error("SetDrain returns true for an unknown box")
 	}
 }
@@ -71,12 +71,12 @@
 func TestBoxClockDiffers(t *testing.T) {
 	at := func(s int) time.Time { return time.UnixMilli(int64(1000 * s)) }
 	for reported, want := range map[int]int64{70: 100_000, 100: 100_000, 101: 101_000, 140: 103_000} {
-		w := NewMonitor(2, 1)
-		w.Add(view.Box{ID: "a"})
-		w.RecordCheck("a", HealthCheck{Answered: true, BootID: "one", Started: at(10), AnsweredAt: at(100)})
-		w.RecordCheck("a", HealthCheck{})
-		w.RecordCheck("a", HealthCheck{Answered: true, BootID: "two", Started: at(reported), AnsweredAt: at(103)})
-		if v, _ := w.View(); v.Boxes[0].StartedMs != want {
+		monitor := NewMonitor(2, 1)
+		monitor.Add(view.Box{ID: "a"})
+		monitor.RecordCheck("a", HealthCheck{Answered: true, BootID: "one", Started: at(10), AnsweredAt: at(100)})
+		monitor.RecordCheck("a", HealthCheck{})
+		monitor.RecordCheck("a", HealthCheck{Answered: true, BootID: "two", Started: at(reported), AnsweredAt: at(103)})
+		if v, _ := monitor.View(); v.Boxes[0].StartedMs != want {
 			t.Errorf("reported start at %d s: started at %d ms, want %d ms", reported, v.Boxes[0].StartedMs, want)
 		}
 	}
@@ -85,26 +85,26 @@
 // Versions rise by one with each change and only then, and a follower that applies the changes has the same view.
 func TestMonitorProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := NewMonitor(2, 7)
+		monitor := NewMonitor(2, 7)
 		ids := []string{"a", "b", "c"}
 		for _, id := range ids {
-			w.Add(view.Box{ID: id})
+			monitor.Add(view.Box{ID: id})
 		}
 		follower := view.View{Version: 7}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := rapid.SampledFrom(ids).Draw(t, "id")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				w.SetDrain(id, rapid.Bool().Draw(t, "on"))
+				monitor.SetDrain(id, rapid.Bool().Draw(t, "on"))
 			case 1:
-				w.SetTitle(view.Title{Name: "t", CellSpan: rapid.IntRange(0, 2).Draw(t, "span")})
+				monitor.SetTitle(view.Title{Name: "t", CellSpan: rapid.IntRange(0, 2).Draw(t, "span")})
 			default:
-				w.RecordCheck(id, HealthCheck{Answered: rapid.Bool().Draw(t, "answered"),
+				monitor.RecordCheck(id, HealthCheck{Answered: rapid.Bool().Draw(t, "answered"),
 					Draining: rapid.Bool().Draw(t, "draining"), BootID: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "boot"),
 					Started: time.UnixMilli(rapid.Int64Range(1, 9).Draw(t, "started"))})
 			}
-			before := w.lastView
-			v, changed := w.View()
+			before := monitor.lastView
+			v, changed := monitor.View()
 			if !changed {
 				if v.Version != follower.Version {
 					t.Fatal("the version rose without a change")
--- a/internal/planner/peaks.go
+++ b/internal/planner/peaks.go
@@ -28,7 +28,7 @@
 
 // peakState is the planner's state of announced peaks; guarded by Planner.mu.
 type peakState struct {
-	book            *peaks.AnnouncementStore
+	announcements   *peaks.AnnouncementStore
 	ledger          *peaks.Ledger
 	followers       map[string]*peaks.Follower // by peak
 	lastArrivals    map[string]float64         // last reported count, by edge instance, peak and title
@@ -40,7 +40,7 @@
 }
 
 func newPeakState() peakState {
-	return peakState{book: peaks.NewAnnouncementStore(), ledger: peaks.NewLedger(), followers: map[string]*peaks.Follower{},
+	return peakState{announcements: peaks.NewAnnouncementStore(), ledger: peaks.NewLedger(), followers: map[string]*peaks.Follower{},
 		lastArrivals: map[string]float64{}, pendingArrivals: map[string]float64{}, edgeInstances: map[string]string{},
 		plan: &peaks.Plan{}, fileReadTimes: map[string]time.Time{}}
 }
@@ -62,33 +62,33 @@
 func (p *Planner) announce(a peaks.Announcement) (bool, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	changed, err := p.peakState.book.Announce(a, p.knownNames(), time.Now().UnixMilli())
+	changed, err := p.peakState.announcements.Announce(a, p.knownNames(), time.Now().UnixMilli())
 	if err != nil || !changed {
 		return changed, err
 	}
 	p.Log.Info("peak announcement accepted", "id", a.ID, "version", a.Version, "cancelled", a.Cancelled,
 		"start_ms", a.Start, "rate", a.Rate)
-	return true, p.saveBook()
+	return true, p.saveAnnouncements()
 }
 
-func (p *Planner) bookPath() string { return filepath.Join(p.State, "peaks.json") }
+func (p *Planner) announcementsPath() string { return filepath.Join(p.State, "peaks.json") }
 
-func (p *Planner) saveBook() error {
+func (p *Planner) saveAnnouncements() error {
 	if p.State == "" {
 		return nil
 	}
-	return writeStateFile(p.bookPath(), p.peakState.book.List())
+	return writeStateFile(p.announcementsPath(), p.peakState.announcements.List())
 }
 
 // loadBook restores the announcements that an earlier process stored. Those that are over or invalid are dropped;
 // a file that cannot be decoded is ignored as a whole.
-func (p *Planner) loadBook() {
+func (p *Planner) loadAnnouncements() {
 	var list []peaks.Announcement
-	if p.State == "" || !p.readStateFile(p.bookPath(), &list) {
+	if p.State == "" || !p.readStateFile(p.announcementsPath(), &list) {
 		return
 	}
 	for _, a := range list {
-		if _, err := p.peakState.book.Announce(a, p.knownNames(), time.Now().UnixMilli()); err != nil {
+		if _, err := p.peakState.announcements.Announce(a, p.knownNames(), time.Now().UnixMilli()); err != nil {
 			p.Log.Warn("dropped a stored announcement", "id", a.ID, "error", err)
 		}
 	}
@@ -97,15 +97,15 @@
 func (p *Planner) registerPeakRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /v1/peaks", func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock()
-		response := map[string]any{"peaks": p.peakState.book.List(), "holds": p.peakState.ledger.RemainingHolds(),
+		response := map[string]any{"peaks": p.peakState.announcements.List(), "holds": p.peakState.ledger.RemainingHolds(),
 			"accounts": p.peakState.ledger.Accounts(), "plan": map[string]any{"by": p.peakState.plan.By,
 				"value": p.peakState.plan.Value, "took_ms": p.peakState.plan.Took.Seconds() * 1000}}
 		p.mu.Unlock()
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(response)
 	})
-	mux.HandleFunc("PUT /v1/peaks/{id}", p.putPeak)
-	mux.HandleFunc("DELETE /v1/peaks/{id}", p.cancelPeak)
+	mux.HandleFunc("PUT /v1/peaks/{id}", p.handlePutPeak)
+	mux.HandleFunc("DELETE /v1/peaks/{id}", p.handleCancelPeak)
 	mux.HandleFunc("POST /v1/used", p.handleUsage)
 }
 
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func (p *Planner) putPeak(w http.ResponseWriter, r *http.Request) {
+func (p *Planner) handlePutPeak(w http.ResponseWriter, r *http.Request) {
 	var a peaks.Announcement
 	err := readJSON(w, r, &a)
 	if err == nil && a.ID != r.PathValue("id") {
@@ -143,9 +143,9 @@
 }
 
 // cancelPeak cancels a peak by announcing its next version as cancelled.
-func (p *Planner) cancelPeak(w http.ResponseWriter, r *http.Request) {
+func (p *Planner) handleCancelPeak(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	a, ok := p.peakState.book.Get(r.PathValue("id"))
+	a, ok := p.peakState.announcements.Get(r.PathValue("id"))
 	p.mu.Unlock()
 	if !ok {
 		http.Error(w, "no such peak", http.StatusNotFound)
@@ -168,9 +168,9 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	uses := make([]peaks.Usage, 0, len(report.Usage))
+	usage := make([]peaks.Usage, 0, len(report.Usage))
 	for _, x := range report.Usage {
-		uses = append(uses, peaks.Usage{Key: peaks.Key{Peak: x.Peak, Title: x.Title, Box: x.Box}, Rate: x.Rate,
+		usage = append(usage, peaks.Usage{Key: peaks.Key{Peak: x.Peak, Title: x.Title, Box: x.Box}, Rate: x.Rate,
 			Streams: x.Streams})
 	}
 	p.mu.Lock()
@@ -181,7 +181,7 @@
 		state.ledger.RemoveEdge(old)
 		state.edgeInstances[position] = report.Edge
 	}
-	if state.ledger.RecordReport(report.Edge, report.Seq, time.Now().UnixMilli(), uses) {
+	if state.ledger.RecordReport(report.Edge, report.Seq, time.Now().UnixMilli(), usage) {
 		for _, x := range report.Arrivals {
 			k := report.Edge + "\x00" + peaks.PeakTitleKey(x.Peak, x.Title)
 			if last, seen := state.lastArrivals[k]; seen && x.Count > last {
@@ -244,11 +244,11 @@
 // p.mu is held.
 func (p *Planner) forecast(now int64) (*peaks.Fleet, []peaks.Demand, map[string]float64) {
 	state := &p.peakState
-	state.book.RemoveExpired(now)
+	state.announcements.RemoveExpired(now)
 	state.ledger.ExpireReports(now - usageReportTTL.Milliseconds())
 	var demands []peaks.Demand
 	expectedSessions := map[string]float64{}
-	for _, a := range state.book.List() {
+	for _, a := range state.announcements.List() {
 		follower := state.followers[a.ID]
 		if follower == nil {
 			follower = &peaks.Follower{}
@@ -336,7 +336,7 @@
 		fleet.Classes = append(fleet.Classes, c)
 	}
 	peakUse := p.peakState.ledger.UsageByBox()
-	sizes := map[string]peaks.BoxCapacity{}
+	capacities := map[string]peaks.BoxCapacity{}
 	now := time.Now()
 	for _, b := range p.published.Boxes {
 		if b.State != view.StateReady {
@@ -354,10 +354,10 @@
 		used := peakUse[b.ID]
 		box.LinkLoad, box.ActiveSessions = max(state.linkUtilization*box.LinkCapacity-used.Rate, 0), max(state.streams-used.Streams, 0)
 		fleet.Boxes = append(fleet.Boxes, box)
-		sizes[b.ID] = peaks.BoxCapacity{Rate: box.LinkCapacity, Streams: box.MaxStreams, Busy: state.linkUtilization * box.LinkCapacity,
+		capacities[b.ID] = peaks.BoxCapacity{Rate: box.LinkCapacity, Streams: box.MaxStreams, Busy: state.linkUtilization * box.LinkCapacity,
 			Playing: state.streams}
 	}
-	p.peakState.ledger.SetCapacities(sizes)
+	p.peakState.ledger.SetCapacities(capacities)
 	return fleet
 }
 
@@ -382,7 +382,7 @@
 			Rate: x.Rate, Streams: x.Streams})
 	}
 	now := time.Now().UnixMilli()
-	for _, a := range state.book.List() {
+	for _, a := range state.announcements.List() {
 		if a.Cancelled || now < a.Start-a.Uncertainty-arrivalCountLead.Milliseconds() ||
 			now > a.Start+a.Uncertainty+2*a.Duration+arrivalCountLead.Milliseconds() {
 			continue
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -68,7 +68,7 @@
 	p.peakState, p.currentSite = newPeakState(), o.Site
 	p.epoch, p.copyState = uint64(time.Now().UnixMilli()), p.newCopyState()
 	p.loadOverrides()
-	p.loadBook()
+	p.loadAnnouncements()
 	for name := range p.monitor.titles {
 		p.updateManagerTitle(name)
 	}
@@ -102,8 +102,8 @@
 	mux := http.NewServeMux()
 	p.registerPeakRoutes(mux)
 	mux.Handle("GET /metrics", p.metrics())
-	mux.HandleFunc("GET /v1/stream", p.streamView)
-	mux.HandleFunc("GET /v1/view", p.serveView)
+	mux.HandleFunc("GET /v1/stream", p.handleStream)
+	mux.HandleFunc("GET /v1/view", p.handleView)
 	mux.HandleFunc("GET /v1/boxes", p.handleListBoxes)
 	mux.HandleFunc("POST /v1/boxes/{id}/drain", func(w http.ResponseWriter, r *http.Request) {
 		p.handleDrain(w, r, true)
@@ -228,7 +228,7 @@
 )
 
 // streamView sends the whole view, then each change, with heartbeats in between.
-func (p *Planner) streamView(w http.ResponseWriter, r *http.Request) {
+func (p *Planner) handleStream(w http.ResponseWriter, r *http.Request) {
 	controller := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	encoder := json.NewEncoder(w)
@@ -271,7 +271,7 @@
 	}
 }
 
-func (p *Planner) serveView(w http.ResponseWriter, _ *http.Request) {
+func (p *Planner) handleView(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	v := p.published
 	p.mu.Unlock()
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -43,10 +43,10 @@
 
 func (f *fleet) expect(t *testing.T, id string, want State, reason string) {
 	t.Helper()
-	for _, j := range f.Evaluate(f.now) {
-		if j.ID == id {
-			if j.State != want || !strings.Contains(j.Reason, reason) {
-				t.Errorf("%s: %s (%s), want %s (%s)", id, j.State, j.Reason, want, reason)
+	for _, status := range f.Evaluate(f.now) {
+		if status.ID == id {
+			if status.State != want || !strings.Contains(status.Reason, reason) {
+				t.Errorf("%s: %s (%s), want %s (%s)", id, status.State, status.Reason, want, reason)
 			}
 			return
 		}
@@ -226,19 +226,19 @@
 			for _, e := range f.list {
 				drains[source][e.ID] = e.Drain
 			}
-			for _, j := range f.Evaluate(f.now) {
-				drained := drains["catalogue"][j.ID] || drains["planner"][j.ID] || drains["disk"][j.ID]
-				if drained && j.State == Ready {
-					t.Fatalf("%s is ready (%s) although a source reports a drain", j.ID, j.Reason)
+			for _, status := range f.Evaluate(f.now) {
+				drained := drains["catalogue"][status.ID] || drains["planner"][status.ID] || drains["disk"][status.ID]
+				if drained && status.State == Ready {
+					t.Fatalf("%s is ready (%s) although a source reports a drain", status.ID, status.Reason)
 				}
-				if !slices.ContainsFunc(f.list, func(e Entry) bool { return e.ID == j.ID }) || j.Reason == "" || j.Source == "" {
-					t.Fatalf("not listed by a source, or without reason or source: %+v", j)
+				if !slices.ContainsFunc(f.list, func(e Entry) bool { return e.ID == status.ID }) || status.Reason == "" || status.Source == "" {
+					t.Fatalf("not listed by a source, or without reason or source: %+v", status)
 				}
 			}
 		}
 		ready := func() (n int) {
-			for _, j := range f.Evaluate(f.now) {
-				if j.State == Ready {
+			for _, status := range f.Evaluate(f.now) {
+				if status.State == Ready {
 					n++
 				}
 			}
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -183,43 +183,43 @@
 func round(x float64) float64 { return math.Round(x*1000) / 1000 }
 
 // WriteTable writes a short human-readable summary.
-func (o *Result) WriteTable(w io.Writer) {
+func (r *Result) WriteTable(w io.Writer) {
 	fmt.Fprintf(w, "\n%s, policy %s, seed %d: %d edges, %d stand-in boxes, %d faults\n",
-		o.Scenario, o.Policy, o.Seed, o.Edges, o.Boxes, o.Faults)
+		r.Scenario, r.Policy, r.Seed, r.Edges, r.Boxes, r.Faults)
 	fmt.Fprintf(w, "%-12s %7s %7s %6s %8s %7s %11s %10s\n",
 		"class", "asked", "played", "late", "refused", "failed", "worth asked", "delivered")
-	for _, c := range o.Classes {
+	for _, c := range r.Classes {
 		fmt.Fprintf(w, "%-12s %7d %7d %6d %8d %7d %11.0f %10.0f\n",
 			c.Name, c.Sessions, c.Played, c.Late, c.Refused, c.Failed, c.WorthAsked, c.WorthDelivered)
 	}
 	fmt.Fprintf(w, "worth delivered of asked: %.3f; first playlist p50 %.1f ms, p99 %.1f ms; %d retries, %d breaks\n\n",
-		o.WorthShare, o.FirstPlaylist.P50, o.FirstPlaylist.P99, o.Retries, o.Breaks)
-	if o.RegretByCause != nil {
+		r.WorthShare, r.FirstPlaylist.P50, r.FirstPlaylist.P99, r.Retries, r.Breaks)
+	if r.RegretByCause != nil {
 		fmt.Fprintf(w, "oracle %.3f, paced %.3f; the distance to the oracle, %.3f, by cause:\n",
-			o.OracleShare, o.PacedShare, o.OracleShare-o.WorthShare)
+			r.OracleShare, r.PacedShare, r.OracleShare-r.WorthShare)
 		for _, c := range regret.Causes() {
-			if math.Abs(o.RegretByCause[c]) >= 0.0005 {
-				fmt.Fprintf(w, "  %-36s %6.3f\n", c, o.RegretByCause[c])
+			if math.Abs(r.RegretByCause[c]) >= 0.0005 {
+				fmt.Fprintf(w, "  %-36s %6.3f\n", c, r.RegretByCause[c])
 			}
 		}
 		fmt.Fprintln(w)
 	}
 	for _, rule := range audit.Rules() {
 		status, breaches := "kept", 0
-		for _, b := range o.Verdict.Breaches {
+		for _, b := range r.Verdict.Breaches {
 			if b.Rule == rule {
 				status, breaches = "BROKEN", breaches+1
 			}
 		}
-		fmt.Fprintf(w, "%-26s %-7s checked %d times", rule, status, o.Verdict.Checks[rule])
+		fmt.Fprintf(w, "%-26s %-7s checked %d times", rule, status, r.Verdict.Checks[rule])
 		if breaches > 0 {
 			fmt.Fprintf(w, ", broken %d times", breaches)
 		}
 		fmt.Fprintln(w)
 	}
-	for i, b := range o.Verdict.Breaches {
+	for i, b := range r.Verdict.Breaches {
 		if i == 20 {
-			fmt.Fprintf(w, "... and %d more\n", len(o.Verdict.Breaches)-i)
+			fmt.Fprintf(w, "... and %d more\n", len(r.Verdict.Breaches)-i)
 			break
 		}
 		fmt.Fprintf(w, "  %s at %s: box %s session %s: %s\n",
