--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -31,19 +31,19 @@
 		return core.Result{Outcome: control.NotSent}
 	}
 	for {
-		l, err := p.acquireWithRetry(ctx, s)
+		c, err := p.acquireWithRetry(ctx, s)
 		if err != nil {
 			p.node.Log.Info("no connection to server", "session", a.ID, "server", a.Server, "error", err)
 			return core.Result{Outcome: connectOutcome(ctx, err)}
 		}
-		reused := l.lastUsed > 0
+		reused := c.lastUsed > 0
 		if p.node.beforeAdmission != nil {
 			p.node.beforeAdmission(a.ID)
 		}
-		switch p.admit(ctx, l, a.ID, viewerSession) {
+		switch p.admit(ctx, c, a.ID, viewerSession) {
 		case notWanted:
 			p.node.Log.Info("attempt not sent", "session", a.ID, "server", a.Server, "attempt", a.Number, "wanted", viewerSession.mayBeginAttempt(), "left", p.node.timeLeft(ctx))
-			p.putBack(l)
+			p.putBack(c)
 			return core.Result{Outcome: control.NotSent}
 		case connectionClosed:
 			if reused {
@@ -52,13 +52,13 @@
 			return core.Result{Outcome: control.ConnectFailed} // the server's process ended just after accepting the connection
 		}
 		var attrs [10]string
-		l.send(jsonlines.TypeOpen, a.ID, viewerSession.appendSetUpAttrs(attrs[:0], p.node.timeLeft(ctx), a.Rung), -1, viewerSession.description)
+		c.send(jsonlines.TypeOpen, a.ID, viewerSession.appendSetUpAttrs(attrs[:0], p.node.timeLeft(ctx), a.Rung), -1, viewerSession.description)
 		select {
-		case r := <-l.results:
-			r.Cleanup = func() { p.putBack(l) }
+		case r := <-c.results:
+			r.Cleanup = func() { p.putBack(c) }
 			return r
 		case <-ctx.Done():
-			return p.giveUp(ctx, l, a)
+			return p.giveUp(ctx, c, a)
 		}
 	}
 }
@@ -67,9 +67,9 @@
 // connecting.
 func (p *pool) acquireWithRetry(ctx context.Context, s *server) (*serverConn, error) {
 	for deadline := time.Now().Add(p.node.Config.Platform.ConnectTimeout); ; {
-		l, err := p.acquire(ctx, s)
+		c, err := p.acquire(ctx, s)
 		if err == nil || !errors.Is(err, errLocal) || time.Now().After(deadline) {
-			return l, err
+			return c, err
 		}
 		select {
 		case <-ctx.Done():
@@ -85,20 +85,20 @@
 // admit assigns a connection to a set-up if the set-up may still be sent. Its viewer may have withdrawn while it
 // waited for the connection. This is read from the session itself, since the orchestrator may not have handled the
 // withdrawal yet: hundreds of requests may be queued before it.
-func (p *pool) admit(ctx context.Context, l *serverConn, id string, viewerSession *session) admissionResult {
+func (p *pool) admit(ctx context.Context, c *serverConn, id string, viewerSession *session) admissionResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case ctx.Err() != nil || p.node.timeLeft(ctx) <= 0 || l.server.state != control.Ready || !viewerSession.mayBeginAttempt():
+	case ctx.Err() != nil || p.node.timeLeft(ctx) <= 0 || c.server.state != control.Ready || !viewerSession.mayBeginAttempt():
 		return notWanted
-	case l.detached:
+	case c.detached:
 		return connectionClosed
 	case !viewerSession.beginAttempt():
 		return notWanted
 	}
-	l.activeID, l.lastActivity = id, p.node.now()
-	l.setUpPending.Store(true)
-	l.server.pendingReleases.Confirm(id) // drops a release of an earlier attempt: sent again, it would end this one
+	c.activeID, c.lastActivity = id, p.node.now()
+	c.setUpPending.Store(true)
+	c.server.pendingReleases.Confirm(id) // drops a release of an earlier attempt: sent again, it would end this one
 	return admitted
 }
 
@@ -114,28 +114,28 @@
 
 // giveUp cancels a set-up at its server. If the server did not answer in time, the connection is retired, since a late
 // answer would arrive among the messages of the next set-up.
-func (p *pool) giveUp(ctx context.Context, l *serverConn, a core.Attempt) core.Result {
+func (p *pool) giveUp(ctx context.Context, c *serverConn, a core.Attempt) core.Result {
 	p.mu.Lock()
 	var r core.Result
 	select {
-	case r = <-l.results: // the answer arrived just before
+	case r = <-c.results: // the answer arrived just before
 		p.mu.Unlock()
-		p.putBack(l)
+		p.putBack(c)
 		return r
 	default:
 	}
-	l.activeID = ""
-	l.setUpPending.Store(false)
-	timedOut := errors.Is(ctx.Err(), context.DeadlineExceeded) && !l.detached
-	l.send(jsonlines.TypeClose, a.ID, nil, jsonlines.CauseEnd, "")
-	p.recordGiveUp(l, a.ID)
+	c.activeID = ""
+	c.setUpPending.Store(false)
+	timedOut := errors.Is(ctx.Err(), context.DeadlineExceeded) && !c.detached
+	c.send(jsonlines.TypeClose, a.ID, nil, jsonlines.CauseEnd, "")
+	p.recordGiveUp(c, a.ID)
 	if timedOut {
-		l.server.detector.RecordSetUpTimeout()
-		p.retireConn(l)
+		c.server.detector.RecordSetUpTimeout()
+		p.retireConn(c)
 	}
 	p.mu.Unlock()
 	if !timedOut {
-		p.putBack(l)
+		p.putBack(c)
 	}
 	return core.Result{Outcome: control.Reset} // core replaces the outcome with the reason for giving up
 }
--- a/internal/node/checkservers.go
+++ b/internal/node/checkservers.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	watchInterval = 200 * time.Millisecond
-	checkTimeout  = 1200 * time.Millisecond // exceeds the 1 s after which a lost SYN is retransmitted (RFC 6298)
+	checkServersInterval = 200 * time.Millisecond
+	checkTimeout         = 1200 * time.Millisecond // exceeds the 1 s after which a lost SYN is retransmitted (RFC 6298)
 )
 
 // runEvery calls fn at once and then at each interval, until ctx ends.
@@ -121,9 +121,9 @@
 // dialForCheckOnce dials in a reserved slot. It reports whether the result is conclusive, so that a second dial would
 // not change it.
 func (p *pool) dialForCheckOnce(ctx context.Context, s *server) bool {
-	l, err := p.dial(ctx, s, checkTimeout, dialForCheck)
+	c, err := p.dial(ctx, s, checkTimeout, dialForCheck)
 	if err == nil {
-		p.putBack(l)
+		p.putBack(c)
 		return true
 	}
 	p.node.Log.Debug("no connection to server", "server", s.id, "error", err)
--- a/internal/node/giveup_test.go
+++ b/internal/node/giveup_test.go
@@ -73,7 +73,7 @@
 			n := startNode(t, b)
 			v := n.dial().send(setUpRequest(idA, "free", ""))
 			v.wantAnswer(idA, 200)
-			time.Sleep(2 * watchInterval)
+			time.Sleep(2 * checkServersInterval)
 			n.wantSessionCount(1)
 		})
 	}
@@ -109,7 +109,7 @@
 	_ = last.Conn.(*net.TCPConn).SetLinger(0)
 	_ = last.Close()
 	eventually(t, "another connection", func() bool { return b.acceptedCount() > before })
-	time.Sleep(2 * watchInterval)
+	time.Sleep(2 * checkServersInterval)
 	v.wantNoMessage()
 	n.wantSessionCount(1)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -199,7 +199,7 @@
 		}
 	}
 	n.startGoroutine(func() { n.follower.Run(runCtx) })
-	n.startGoroutine(func() { runEvery(runCtx, watchInterval, func() { n.pool.checkServers(runCtx) }) })
+	n.startGoroutine(func() { runEvery(runCtx, checkServersInterval, func() { n.pool.checkServers(runCtx) }) })
 	n.startGoroutine(func() { n.monitorClocks(runCtx) })
 	n.startGoroutine(func() { runEvery(runCtx, noticeExpiryInterval, n.expireNoticesAndAnswers) })
 	n.startGoroutine(func() { n.reloadOnHangup(runCtx, hangup) })
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -258,15 +258,15 @@
 	if !s.pendingReleases.HasWaiting() {
 		return
 	}
-	l := s.anyConn()
-	if l == nil {
+	c := s.anyConn()
+	if c == nil {
 		return
 	}
 	for _, m := range s.pendingReleases.Waiting() {
-		if !l.send(jsonlines.TypeClose, m.Key, nil, jsonlines.CauseCancelled, "") {
+		if !c.send(jsonlines.TypeClose, m.Key, nil, jsonlines.CauseCancelled, "") {
 			return // the connection is closing: the rest is sent on the next one
 		}
-		s.pendingReleases.MarkSent(m.Key, l.id, p.node.now())
+		s.pendingReleases.MarkSent(m.Key, c.id, p.node.now())
 	}
 }
 
@@ -275,8 +275,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.servers[a.Server]; s != nil {
-		if l := s.anyConn(); l != nil {
-			l.send(jsonlines.TypeLevel, a.ID, []string{"rung", formatRung(rung)}, -1, "")
+		if c := s.anyConn(); c != nil {
+			c.send(jsonlines.TypeLevel, a.ID, []string{"rung", formatRung(rung)}, -1, "")
 		}
 	}
 }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -31,32 +31,32 @@
 func (p *pool) runProbe(s *server, probeID string) (bool, *control.LoadReport) {
 	ctx, stop := context.WithTimeout(p.node.serveCtx, p.node.Config.Platform.ConnectTimeout+probeTimeout)
 	defer stop()
-	l, err := p.acquire(ctx, s)
+	c, err := p.acquire(ctx, s)
 	if err != nil {
 		return false, nil
 	}
 	p.mu.Lock()
-	if l.detached || s.state == control.Gone {
+	if c.detached || s.state == control.Gone {
 		p.mu.Unlock()
-		p.putBack(l)
+		p.putBack(c)
 		return false, nil
 	}
-	l.activeID, l.isProbe, l.lastActivity = probeID, true, p.node.now()
-	l.send(jsonlines.TypeProbe, probeID, nil, 0, "")
+	c.activeID, c.isProbe, c.lastActivity = probeID, true, p.node.now()
+	c.send(jsonlines.TypeProbe, probeID, nil, 0, "")
 	p.mu.Unlock()
 	var r core.Result
 	select {
-	case r = <-l.results:
-		p.putBack(l)
+	case r = <-c.results:
+		p.putBack(c)
 	case <-ctx.Done():
 		p.mu.Lock()
 		select {
-		case r = <-l.results: // the answer arrived just before
+		case r = <-c.results: // the answer arrived just before
 		default:
 			r.Outcome = control.TimedOut
-			l.activeID, l.isProbe = "", false
+			c.activeID, c.isProbe = "", false
 		}
-		p.retireConn(l) // a late answer on it is ignored
+		p.retireConn(c) // a late answer on it is ignored
 		p.mu.Unlock()
 	}
 	return r.Outcome == control.Served, r.Load
--- a/internal/node/reserve.go
+++ b/internal/node/reserve.go
@@ -43,8 +43,8 @@
 // another such server is closed only if this server has waited for long and that connection was open long enough.
 func (p *pool) reserveSlotForCheck(s *server, now time.Duration) bool {
 	overdue := s.unconnectedFor(now) >= maxUnconnectedTime
-	return p.reserveSlot(func(l *serverConn) bool {
-		return l.server != s && evictionCost(l) < costOnlyConn || overdue && now-l.openedAt >= minConnectionTime
+	return p.reserveSlot(func(c *serverConn) bool {
+		return c.server != s && evictionCost(c) < costOnlyConn || overdue && now-c.openedAt >= minConnectionTime
 	})
 }
 
@@ -67,11 +67,11 @@
 		return false
 	}
 	if p.connCount >= p.maxConns {
-		l := p.cheapestIdle(evictable)
-		if l == nil {
+		c := p.cheapestIdle(evictable)
+		if c == nil {
 			return false
 		}
-		p.dropConn(l)
+		p.dropConn(c)
 	}
 	p.connCount++
 	return true
@@ -84,11 +84,11 @@
 	costOnlyConn            // the server has sessions and no other connection
 )
 
-func evictionCost(l *serverConn) int {
+func evictionCost(c *serverConn) int {
 	switch {
-	case len(l.server.activeSessions) == 0 && !l.server.pendingReleases.HasWaiting():
+	case len(c.server.activeSessions) == 0 && !c.server.pendingReleases.HasWaiting():
 		return costNoSessions
-	case len(l.server.conns) > 1:
+	case len(c.server.conns) > 1:
 		return costSeveralConns
 	}
 	return costOnlyConn
@@ -98,12 +98,12 @@
 // had the most time to send its pending messages.
 func (p *pool) cheapestIdle(evictable func(*serverConn) bool) (cheapest *serverConn) {
 	for _, s := range p.servers {
-		for _, l := range s.idleConns {
-			if !evictable(l) {
+		for _, c := range s.idleConns {
+			if !evictable(c) {
 				continue
 			}
-			if cheapest == nil || cheaperToClose(l, cheapest) {
-				cheapest = l
+			if cheapest == nil || cheaperToClose(c, cheapest) {
+				cheapest = c
 			}
 		}
 	}
--- a/internal/node/serverconn.go
+++ b/internal/node/serverconn.go
@@ -51,67 +51,67 @@
 )
 
 // dropConn closes a connection at once; a set-up in progress on it ends as Reset.
-func (p *pool) dropConn(l *serverConn) {
-	if l.detached {
+func (p *pool) dropConn(c *serverConn) {
+	if c.detached {
 		return
 	}
-	p.detach(l)
-	p.closeSocket(l)
-	if l.activeID != "" {
-		if !l.isProbe {
-			l.server.abandonedSetUps[l.activeID] = true
+	p.detach(c)
+	p.closeSocket(c)
+	if c.activeID != "" {
+		if !c.isProbe {
+			c.server.abandonedSetUps[c.activeID] = true
 		}
-		l.deliverResult(core.Result{Outcome: control.Reset})
+		c.deliverResult(core.Result{Outcome: control.Reset})
 	}
 }
 
 // retireConn takes a connection out of use and closes it once its queue is flushed, so that a release queued just
 // before is not lost. The connection counts towards the limit until its descriptor is free.
-func (p *pool) retireConn(l *serverConn) {
-	if l.detached {
+func (p *pool) retireConn(c *serverConn) {
+	if c.detached {
 		return
 	}
-	p.detach(l)
-	p.retired[l] = struct{}{}
-	l.out.closeAfterFlush()
+	p.detach(c)
+	p.retired[c] = struct{}{}
+	c.out.closeAfterFlush()
 	time.AfterFunc(lingerTimeout, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.closeRetired(l)
+		p.closeRetired(c)
 	})
 }
 
 // closeRetired closes a retired connection, unless it is closed already.
-func (p *pool) closeRetired(l *serverConn) {
-	if _, ok := p.retired[l]; ok {
-		delete(p.retired, l)
-		p.closeSocket(l)
+func (p *pool) closeRetired(c *serverConn) {
+	if _, ok := p.retired[c]; ok {
+		delete(p.retired, c)
+		p.closeSocket(c)
 	}
 }
 
 // closeSocket frees a connection's descriptor. Releases sent on it a short time ago are sent again on another one.
-func (p *pool) closeSocket(l *serverConn) {
+func (p *pool) closeSocket(c *serverConn) {
 	p.connCount--
-	l.out.abort()
-	_ = l.conn.Close()
-	if l.server.pendingReleases.ConnectionEnded(l.id, p.node.now()) > 0 {
-		p.sendReleases(l.server)
+	c.out.abort()
+	_ = c.conn.Close()
+	if c.server.pendingReleases.ConnectionEnded(c.id, p.node.now()) > 0 {
+		p.sendReleases(c.server)
 	}
 }
 
 // detach takes a connection out of use.
-func (p *pool) detach(l *serverConn) {
-	l.detached = true
-	l.server.conns = removeConn(l.server.conns, l)
-	l.server.idleConns = removeConn(l.server.idleConns, l)
-	if len(l.server.conns) == 0 {
-		l.server.unconnectedSince = p.node.now()
+func (p *pool) detach(c *serverConn) {
+	c.detached = true
+	c.server.conns = removeConn(c.server.conns, c)
+	c.server.idleConns = removeConn(c.server.idleConns, c)
+	if len(c.server.conns) == 0 {
+		c.server.unconnectedSince = p.node.now()
 	}
 }
 
-func removeConn(list []*serverConn, l *serverConn) []*serverConn {
+func removeConn(list []*serverConn, c *serverConn) []*serverConn {
 	for i := range list {
-		if list[i] == l {
+		if list[i] == c {
 			return append(list[:i], list[i+1:]...)
 		}
 	}
@@ -120,13 +120,13 @@
 
 // deliverResult ends the set-up or probe on a connection. It returns false if there is none, as for a duplicate
 // answer.
-func (l *serverConn) deliverResult(r core.Result) bool {
-	if l.activeID == "" {
+func (c *serverConn) deliverResult(r core.Result) bool {
+	if c.activeID == "" {
 		return false
 	}
-	l.activeID, l.isProbe = "", false
-	l.setUpPending.Store(false)
-	l.results <- r // never blocks: the channel buffers one result
+	c.activeID, c.isProbe = "", false
+	c.setUpPending.Store(false)
+	c.results <- r // never blocks: the channel buffers one result
 	return true
 }
 
@@ -194,12 +194,12 @@
 func (p *pool) addConn(s *server, conn net.Conn) *serverConn {
 	p.lastConnID++
 	now := p.node.now()
-	l := &serverConn{server: s, id: p.lastConnID, openedAt: now, conn: conn, results: make(chan core.Result, 1), lastActivity: now}
-	l.out.conn, l.out.onError = conn, func() { p.closeConn(l, false) }
-	s.conns = append(s.conns, l)
-	p.readers.Go(func() { p.readConn(l) })
+	c := &serverConn{server: s, id: p.lastConnID, openedAt: now, conn: conn, results: make(chan core.Result, 1), lastActivity: now}
+	c.out.conn, c.out.onError = conn, func() { p.closeConn(c, false) }
+	s.conns = append(s.conns, c)
+	p.readers.Go(func() { p.readConn(c) })
 	p.sendReleases(s)
-	return l
+	return c
 }
 
 func dialTCP(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
@@ -217,43 +217,43 @@
 
 // closeConn closes a connection that can no longer be read or written. If orderly is set, neither side broke the
 // connection, and the server has read everything that was written on it.
-func (p *pool) closeConn(l *serverConn, orderly bool) {
+func (p *pool) closeConn(c *serverConn, orderly bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !orderly {
-		p.resendGiveUps(l)
+		p.resendGiveUps(c)
 	}
-	p.dropConn(l)
-	p.scheduleReconnect(l.server, reconnectDelay)
+	p.dropConn(c)
+	p.scheduleReconnect(c.server, reconnectDelay)
 }
 
 // recordGiveUp records that a server was notified on a connection to give up a set-up.
-func (p *pool) recordGiveUp(l *serverConn, id string) {
+func (p *pool) recordGiveUp(c *serverConn, id string) {
 	now := p.node.now()
-	l.givenUpSetUps = slices.DeleteFunc(l.givenUpSetUps, func(g givenUpSetUp) bool { return now-g.at > releaseDeliveryWindow })
-	l.givenUpSetUps = append(l.givenUpSetUps, givenUpSetUp{id, now})
+	c.givenUpSetUps = slices.DeleteFunc(c.givenUpSetUps, func(g givenUpSetUp) bool { return now-g.at > releaseDeliveryWindow })
+	c.givenUpSetUps = append(c.givenUpSetUps, givenUpSetUp{id, now})
 }
 
 // wasGivenUp reports whether a set-up was recently given up on a connection.
-func (l *serverConn) wasGivenUp(id string) bool {
-	return slices.ContainsFunc(l.givenUpSetUps, func(g givenUpSetUp) bool { return g.id == id })
+func (c *serverConn) wasGivenUp(id string) bool {
+	return slices.ContainsFunc(c.givenUpSetUps, func(g givenUpSetUp) bool { return g.id == id })
 }
 
 // resendGiveUps notifies a server again, on another connection, of the set-ups that were given up on a broken one. The
 // first message may be lost; if the server answered the set-up, the session would otherwise keep running unused.
-func (p *pool) resendGiveUps(l *serverConn) {
+func (p *pool) resendGiveUps(c *serverConn) {
 	now := p.node.now()
-	for _, g := range l.givenUpSetUps {
+	for _, g := range c.givenUpSetUps {
 		if now-g.at <= releaseDeliveryWindow {
-			p.holdRelease(l.server, g.id)
+			p.holdRelease(c.server, g.id)
 		}
 	}
-	l.givenUpSetUps = nil
+	c.givenUpSetUps = nil
 }
 
 // runsSession reports whether a session is active at a server or its set-up is in progress there.
 func (s *server) runsSession(id string) bool {
-	return s.activeSessions[id] || slices.ContainsFunc(s.conns, func(l *serverConn) bool { return l.activeID == id })
+	return s.activeSessions[id] || slices.ContainsFunc(s.conns, func(c *serverConn) bool { return c.activeID == id })
 }
 
 // scheduleReconnect schedules a new connection to a server with sessions after a delay, even if others are open. A
@@ -268,8 +268,8 @@
 	}
 }
 
-func (l *serverConn) send(kind, id string, attrs []string, cause int, text string) bool {
-	return l.out.enqueue(func(b []byte) []byte { return jsonlines.Append(b, kind, id, attrs, cause, text) })
+func (c *serverConn) send(kind, id string, attrs []string, cause int, text string) bool {
+	return c.out.enqueue(func(b []byte) []byte { return jsonlines.Append(b, kind, id, attrs, cause, text) })
 }
 
 // acquire returns a connection for a set-up: the most recently used idle one, or a new one. A connection that has been
@@ -278,13 +278,13 @@
 func (p *pool) acquire(ctx context.Context, s *server) (*serverConn, error) {
 	p.mu.Lock()
 	for now := p.node.now(); len(s.idleConns) > 0; {
-		l := s.idleConns[len(s.idleConns)-1]
+		c := s.idleConns[len(s.idleConns)-1]
 		s.idleConns = s.idleConns[:len(s.idleConns)-1]
-		if !p.isStale(l, now) {
+		if !p.isStale(c, now) {
 			p.mu.Unlock()
-			return l, nil
+			return c, nil
 		}
-		p.retireConn(l)
+		p.retireConn(c)
 	}
 	reserved := p.reserveSlotForSetUp()
 	p.mu.Unlock()
@@ -296,20 +296,20 @@
 }
 
 // isStale reports whether a connection has been idle for so long that its server may close it at any moment.
-func (p *pool) isStale(l *serverConn, now time.Duration) bool {
+func (p *pool) isStale(c *serverConn, now time.Duration) bool {
 	idle := p.node.Config.Platform.ConnIdle
-	return idle > 0 && now-l.lastActivity > time.Duration(idleTimeoutShare*float64(idle))
+	return idle > 0 && now-c.lastActivity > time.Duration(idleTimeoutShare*float64(idle))
 }
 
 // putBack returns a connection to the idle list. Surplus connections are not closed at once: a server treats a
 // connection that closes just after its answer as a given-up set-up, and ends the session. Observed when 300 viewers
 // reconnected within a second: a third of them lost the session they had just obtained.
-func (p *pool) putBack(l *serverConn) {
+func (p *pool) putBack(c *serverConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !l.detached {
-		l.lastUsed = p.node.now()
-		l.server.idleConns = append(l.server.idleConns, l)
+	if !c.detached {
+		c.lastUsed = p.node.now()
+		c.server.idleConns = append(c.server.idleConns, c)
 	}
 }
 
@@ -329,8 +329,8 @@
 	for _, s := range p.servers {
 		p.closeServerConns(s)
 	}
-	for l := range p.retired {
-		p.closeRetired(l)
+	for c := range p.retired {
+		p.closeRetired(c)
 	}
 	p.mu.Unlock()
 	p.readers.Wait()
--- a/internal/node/serverread.go
+++ b/internal/node/serverread.go
@@ -14,17 +14,17 @@
 )
 
 // readConn handles the messages of a server on one connection until the connection ends.
-func (p *pool) readConn(l *serverConn) {
-	r := bufio.NewReaderSize(&deadlineReader{conn: l.conn}, jsonlines.MaxLineBytes)
+func (p *pool) readConn(c *serverConn) {
+	r := bufio.NewReaderSize(&deadlineReader{conn: c.conn}, jsonlines.MaxLineBytes)
 	for {
-		m, err := p.nextMessage(l, r)
+		m, err := p.nextMessage(c, r)
 		if err != nil {
-			p.node.Log.Debug("connection to server closed", "server", l.server.id, "error", err)
-			verdict := socketerror.Classify(err, socketerror.Transfer)
-			p.closeConn(l, verdict == socketerror.ClosedLocally || verdict == socketerror.PeerClosed)
+			p.node.Log.Debug("connection to server closed", "server", c.server.id, "error", err)
+			category := socketerror.Classify(err, socketerror.Transfer)
+			p.closeConn(c, category == socketerror.ClosedLocally || category == socketerror.PeerClosed)
 			return
 		}
-		if p.handleMessage(l, m) {
+		if p.handleMessage(c, m) {
 			runtime.Gosched() // let the answer be passed on before the next read
 		}
 	}
@@ -32,11 +32,11 @@
 
 // nextMessage waits for a message and reads it. If no set-up is pending on the connection, goroutines that read an
 // answer on another connection run first: a viewer may leave while its answer is queued after notes.
-func (p *pool) nextMessage(l *serverConn, r *bufio.Reader) (*jsonlines.Message, error) {
+func (p *pool) nextMessage(c *serverConn, r *bufio.Reader) (*jsonlines.Message, error) {
 	if _, err := r.Peek(1); err != nil { // a reset is reported only once
 		return nil, err
 	}
-	if !l.setUpPending.Load() {
+	if !c.setUpPending.Load() {
 		p.node.yieldProcessor()
 	}
 	return jsonlines.Read(r)
@@ -51,50 +51,50 @@
 	jsonlines.CauseCancelled: control.Cancelled}
 
 // handleMessage handles one message of a server. It reports whether the message ended the set-up on the connection.
-func (p *pool) handleMessage(l *serverConn, m *jsonlines.Message) (answered bool) {
+func (p *pool) handleMessage(c *serverConn, m *jsonlines.Message) (answered bool) {
 	load := wire.ConvertLoad(m.NumberMap("load"))
 	p.mu.Lock()
-	l.lastActivity = p.node.now()
-	l.server.detector.RecordHeartbeat(l.lastActivity)
-	matches := l.activeID != "" && l.activeID == m.ID
+	c.lastActivity = p.node.now()
+	c.server.detector.RecordHeartbeat(c.lastActivity)
+	matches := c.activeID != "" && c.activeID == m.ID
 	switch {
-	case m.Type == jsonlines.TypeReady && matches && !l.isProbe:
+	case m.Type == jsonlines.TypeReady && matches && !c.isProbe:
 		r := core.Result{Outcome: control.Served}
 		if m.Text == nil || *m.Text == "" {
 			r = core.Result{Outcome: control.Failed, Load: load} // it ran, but returned no description
 		} else {
 			r.Payload = *m.Text
-			l.server.activeSessions[m.ID] = true
+			c.server.activeSessions[m.ID] = true
 		}
-		answered = l.deliverResult(r)
+		answered = c.deliverResult(r)
 		p.mu.Unlock()
-	case m.Type == jsonlines.TypeProbed && matches && l.isProbe:
+	case m.Type == jsonlines.TypeProbed && matches && c.isProbe:
 		r := core.Result{Outcome: control.Failed, Load: load}
 		if m.Cause() == jsonlines.CauseProbePassed {
 			r.Outcome = control.Served
 		}
-		l.deliverResult(r)
+		c.deliverResult(r)
 		p.mu.Unlock()
 	case m.Type == jsonlines.TypeClose && matches:
 		outcome, ok := closeOutcomes[m.Cause()]
 		if !ok {
 			outcome = control.Reset
 		}
-		answered = l.deliverResult(core.Result{Outcome: outcome, Load: load})
+		answered = c.deliverResult(core.Result{Outcome: outcome, Load: load})
 		p.mu.Unlock()
-	case m.Type == jsonlines.TypeClose && l.wasGivenUp(m.ID): // ends that attempt only; a later one may be active
+	case m.Type == jsonlines.TypeClose && c.wasGivenUp(m.ID): // ends that attempt only; a later one may be active
 		p.mu.Unlock()
 	case m.Type == jsonlines.TypeClose:
 		p.mu.Unlock()
-		p.handleSessionEnd(l, m, load)
+		p.handleSessionEnd(c, m, load)
 	case m.Type == jsonlines.TypeEvent:
-		active := l.server.activeSessions[m.ID]
+		active := c.server.activeSessions[m.ID]
 		p.mu.Unlock()
 		if kind, v, ok := parseNote(m); ok && active {
 			if p.node.Log.Enabled(context.Background(), slog.LevelDebug) {
-				p.node.Log.Debug("note", "session", m.ID, "server", l.server.id, "note", m.Attr("note"), "value", v)
+				p.node.Log.Debug("note", "session", m.ID, "server", c.server.id, "note", m.Attr("note"), "value", v)
 			}
-			p.node.orchestrator.AddNote(control.Note{ID: m.ID, Server: l.server.id, Kind: kind, Value: v})
+			p.node.orchestrator.AddNote(control.Note{ID: m.ID, Server: c.server.id, Kind: kind, Value: v})
 		}
 	default:
 		p.mu.Unlock()
@@ -103,21 +103,21 @@
 }
 
 // handleSessionEnd handles a server's release of a session that is active or not known to this node yet.
-func (p *pool) handleSessionEnd(l *serverConn, m *jsonlines.Message, load *control.LoadReport) {
+func (p *pool) handleSessionEnd(c *serverConn, m *jsonlines.Message, load *control.LoadReport) {
 	outcome, ok := endOutcomes[m.Cause()]
 	if !ok {
 		outcome = control.Reset
 	}
 	p.mu.Lock()
-	wasActive := l.server.activeSessions[m.ID]
-	delete(l.server.activeSessions, m.ID)
+	wasActive := c.server.activeSessions[m.ID]
+	delete(c.server.activeSessions, m.ID)
 	if !wasActive {
-		p.storeEarlyEnd(l.server, m.ID, earlyEnd{outcome, load, p.node.now()})
+		p.storeEarlyEnd(c.server, m.ID, earlyEnd{outcome, load, p.node.now()})
 	}
 	p.mu.Unlock()
-	p.node.Log.Debug("released by server", "session", m.ID, "server", l.server.id, "cause", m.Cause(), "stood", wasActive)
+	p.node.Log.Debug("released by server", "session", m.ID, "server", c.server.id, "cause", m.Cause(), "stood", wasActive)
 	if wasActive {
-		p.node.orchestrator.EndedByServer(m.ID, l.server.id, outcome, load)
+		p.node.orchestrator.EndedByServer(m.ID, c.server.id, outcome, load)
 	}
 }
 
--- a/internal/node/trial_test.go
+++ b/internal/node/trial_test.go
@@ -158,7 +158,7 @@
 // wantNoSession waits until no server runs a session of the request.
 func (s *trialServers) wantNoSession(t *testing.T, q trialRequest) {
 	time.Sleep(quietPeriod)
-	for deadline := time.Now().Add(testTimeout); s.runningSessions(q.id) > 0; time.Sleep(watchInterval) {
+	for deadline := time.Now().Add(testTimeout); s.runningSessions(q.id) > 0; time.Sleep(checkServersInterval) {
 		if time.Now().After(deadline) {
 			t.Errorf("%+v: its session still runs", q)
 			return
--- a/internal/node/viewerconns.go
+++ b/internal/node/viewerconns.go
@@ -57,9 +57,9 @@
 			continue
 		case err != nil: // the peer has already gone, or no descriptor is available: evict a connection or wait
 			v.node.nearMisses.localErrors.Add(1)
-			verdict := socketerror.Classify(err, socketerror.Accept)
-			v.node.Log.Info("connection not accepted", "error", err, "verdict", verdict.String())
-			if verdict == socketerror.LocalDescriptorLimit { // the only error that closing a connection here can remedy
+			category := socketerror.Classify(err, socketerror.Accept)
+			v.node.Log.Info("connection not accepted", "error", err, "verdict", category.String())
+			if category == socketerror.LocalDescriptorLimit { // the only error that closing a connection here can remedy
 				v.evict(time.Now())
 			}
 			time.Sleep(acceptRetryDelay)
--- a/internal/node/writequeue.go
+++ b/internal/node/writequeue.go
@@ -147,9 +147,9 @@
 			return nil
 		}
 		overdue := time.Since(deadline)
-		switch v := socketerror.Classify(err, socketerror.Transfer); {
-		case v.IsLocal() && overdue < 0:
-		case v == socketerror.DeadlineExceeded && overdue > maxExpiryDelay: // the process was paused: the peer may still read
+		switch category := socketerror.Classify(err, socketerror.Transfer); {
+		case category.IsLocal() && overdue < 0:
+		case category == socketerror.DeadlineExceeded && overdue > maxExpiryDelay: // the process was paused: the peer may still read
 			deadline = time.Now().Add(writeTimeout)
 		default:
 			return err
