--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -344,15 +344,15 @@
 	unblock := sync.OnceFunc(func() { close(l.resume) })
 	defer unblock()
 	v := n.dial().send(setUpRequest(idA, "free", ""))
-	plays := b.next(t, "open")
-	answerReady(plays)
+	playing := b.next(t, "open")
+	answerReady(playing)
 	v.wantAnswer(idA, 200)
 	v.send(setUpRequest(idB, "paid", ""))
 	b.next(t, "open")
 	n.stop()
 	<-l.blocked
 	v.wantAnswer(idB, 504) // all requests are answered by now
-	plays.endSession()
+	playing.endSession()
 	v.wantRelease(idA, "cause=16")
 	unblock()
 	n.waitForEnd()
--- a/internal/node/giveup_test.go
+++ b/internal/node/giveup_test.go
@@ -98,9 +98,9 @@
 	n := startNode(t, b)
 	v := n.dial().send(setUpRequest(idA, "free", ""))
 	v.wantAnswer(idA, 200)
-	stands := b.next(t, jsonlines.TypeOpen)
-	for stands.conn == nil || attempts.Load() < 2 {
-		stands = b.next(t, jsonlines.TypeOpen)
+	later := b.next(t, jsonlines.TypeOpen)
+	for later.conn == nil || attempts.Load() < 2 {
+		later = b.next(t, jsonlines.TypeOpen)
 	}
 	b.mu.Lock()
 	last := b.conns[len(b.conns)-1]
--- a/internal/node/localerrors_test.go
+++ b/internal/node/localerrors_test.go
@@ -71,14 +71,14 @@
 // server's sessions.
 func TestDialTimeoutDuringPauseKeepsSessions(t *testing.T) {
 	var paused atomic.Bool
-	var tries atomic.Int64
+	var dials atomic.Int64
 	b := newBox(t, "s-1", nil)
 	n := startModifiedNode(t, func(n *Node) {
 		n.Dial = func(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
 			if !paused.Load() {
 				return dialTCP(ctx, addr, within)
 			}
-			tries.Add(1)
+			dials.Add(1)
 			n.clocks.mu.Lock()
 			n.clocks.pauseStart, n.clocks.pauseEnd = time.Now(), time.Now()
 			n.clocks.mu.Unlock()
@@ -91,7 +91,7 @@
 	v.wantAnswer(idA, 200)
 	paused.Store(true)
 	_ = m.conn.Close()
-	eventually(t, "several dials", func() bool { return tries.Load() >= 4 })
+	eventually(t, "several dials", func() bool { return dials.Load() >= 4 })
 	paused.Store(false)
 	v.wantNoMessage()
 	n.wantSessionCount(1)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -226,12 +226,12 @@
 	defer stop()
 	withdrawn, withdraw := context.WithCancel(long)
 	withdraw()
-	try := core.Attempt{ID: idA, Server: "s-1", Listener: &session{node: n.Node}}
-	if r := n.pool.SetUp(withdrawn, try); r.Outcome != control.NotSent {
+	attempt := core.Attempt{ID: idA, Server: "s-1", Listener: &session{node: n.Node}}
+	if r := n.pool.SetUp(withdrawn, attempt); r.Outcome != control.NotSent {
 		t.Errorf("outcome of a withdrawn set-up: %v", core.OutcomeName(r.Outcome))
 	}
 	n.pool.applyList([]control.Server{{ID: "s-1", State: control.Draining}}, nil, false)
-	if r := n.pool.SetUp(long, try); r.Outcome != control.NotSent {
+	if r := n.pool.SetUp(long, attempt); r.Outcome != control.NotSent {
 		t.Errorf("outcome at a draining server: %v", core.OutcomeName(r.Outcome))
 	}
 	n.pool.applyList([]control.Server{{ID: "s-1", State: control.Ready}}, nil, false)
@@ -272,8 +272,8 @@
 	n.wantSessionCount(0)
 	n.pool.mu.Lock()
 	now = n.now()
-	for _, l := range s.idleConns {
-		l.lastUsed = now
+	for _, c := range s.idleConns {
+		c.lastUsed = now
 	}
 	n.pool.closeSurplus(s, now+surplusIdleTimeout/2)
 	early := len(s.conns)
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -35,11 +35,11 @@
 	v.wantAnswer(idA, 200)
 	n.wantSessionCount(1)
 	s := n.pool.servers["s-1"]
-	if ok, l := n.probeWithCause(b, s, 0); ok || l != nil {
-		t.Errorf("failed probe: ok %v, load %+v", ok, l)
+	if ok, load := n.probeWithCause(b, s, 0); ok || load != nil {
+		t.Errorf("failed probe: ok %v, load %+v", ok, load)
 	}
-	if ok, l := n.probeWithCause(b, s, 1); !ok || l == nil || *l.Link != 0.5 {
-		t.Errorf("passed probe: ok %v, load %+v", ok, l)
+	if ok, load := n.probeWithCause(b, s, 1); !ok || load == nil || *load.Link != 0.5 {
+		t.Errorf("passed probe: ok %v, load %+v", ok, load)
 	}
 	v.send(setUpRequest(idB, "paid", "")) // on the connection that carried the probe
 	answerReady(b.next(t, "open"))
--- a/internal/node/resent_test.go
+++ b/internal/node/resent_test.go
@@ -78,10 +78,10 @@
 func resentCases() (cases []resentCase) {
 	for _, class := range []string{"free", "paid"} {
 		for ending := range connEndings {
-			for _, copyFirst := range []bool{false, true} {
+			for _, resendFirst := range []bool{false, true} {
 				for _, answered := range []bool{false, true} {
 					id := fmt.Sprintf("%016x", 0xa000+len(cases))
-					cases = append(cases, resentCase{class, ending, copyFirst, answered, id})
+					cases = append(cases, resentCase{class, ending, resendFirst, answered, id})
 				}
 			}
 		}
@@ -150,13 +150,13 @@
 }
 
 func (c resentCase) run(t *testing.T, r *relay, received *messageLog) {
-	first, x := r.dial(t)
+	first, relayed := r.dial(t)
 	second, _ := r.dial(t) // connected in advance, so that no handshake delays the resend
 	second.send(optionsRequest).wantAnswer("", 200)
 	first.send(c.setUp())
 	eventually(t, "an attempt", func() bool { opens, _ := received.forSession(c.id); return len(opens) == 1 })
 	opens, _ := received.forSession(c.id)
-	_ = x.client.Close()
+	_ = relayed.client.Close()
 	if c.answered {
 		answerReady(opens[0])
 		time.Sleep(resendDelay)
@@ -164,9 +164,9 @@
 	if c.resendFirst {
 		second.send(c.setUp())
 		time.Sleep(resendDelay)
-		connEndings[c.ending](x.node)
+		connEndings[c.ending](relayed.node)
 	} else {
-		connEndings[c.ending](x.node)
+		connEndings[c.ending](relayed.node)
 		time.Sleep(resendDelay)
 		second.send(c.setUp())
 	}
--- a/internal/node/scripted_test.go
+++ b/internal/node/scripted_test.go
@@ -27,10 +27,10 @@
 	mu sync.Mutex
 }
 
-func (p *scriptedConn) send(format string, a ...any) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	_, _ = fmt.Fprintf(p, format+"\n", a...)
+func (c *scriptedConn) send(format string, a ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, _ = fmt.Fprintf(c, format+"\n", a...)
 }
 
 // box is a scripted server. It passes each received message to answer and then to the channel received.
@@ -72,18 +72,18 @@
 	return b
 }
 
-func (b *box) read(p *scriptedConn) {
-	defer p.Close()
-	r := bufio.NewReaderSize(p, jsonlines.MaxLineBytes)
+func (b *box) read(c *scriptedConn) {
+	defer c.Close()
+	r := bufio.NewReaderSize(c, jsonlines.MaxLineBytes)
 	for {
 		m, err := jsonlines.Read(r)
 		if err != nil {
 			return
 		}
 		if b.answer != nil {
-			b.answer(receivedMessage{m, p})
+			b.answer(receivedMessage{m, c})
 		}
-		b.received <- receivedMessage{m, p}
+		b.received <- receivedMessage{m, c}
 	}
 }
 
@@ -99,8 +99,8 @@
 	_ = b.listener.Close()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, p := range b.conns {
-		_ = p.Close()
+	for _, c := range b.conns {
+		_ = c.Close()
 	}
 }
 
--- a/internal/node/serverconn_test.go
+++ b/internal/node/serverconn_test.go
@@ -19,11 +19,11 @@
 	if !r.pool.reserveFreeSlot() {
 		r.t.Fatal("no slot for a connection to the server")
 	}
-	l, err := r.pool.dial(context.Background(), s, testTimeout, dialForSetUp)
+	c, err := r.pool.dial(context.Background(), s, testTimeout, dialForSetUp)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.pool.putBack(l)
+	r.pool.putBack(c)
 }
 
 // TestServerClosesBeforeSetUpIsSent covers a server that closes a connection just before or after a set-up is written.
@@ -86,11 +86,11 @@
 	if len(n.pool.servers["s-2"].conns) > 0 {
 		first, other = b, a
 	}
-	l := n.pool.servers[first.id].conns[0]
+	c := n.pool.servers[first.id].conns[0]
 	n.pool.mu.Unlock()
 	eventually(t, "the connection accepted", func() bool { return first.acceptedCount() == 1 })
 	first.crash()
-	eventually(t, "the end of the connection detected", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return l.detached })
+	eventually(t, "the end of the connection detected", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return c.detached })
 	close(g.open)
 	m := other.next(t, "open")
 	if m.ID != idA || len(first.received) > 0 {
@@ -162,9 +162,9 @@
 	n.wantSessionCount(1)
 	n.pool.mu.Lock()
 	s := n.pool.servers["s-1"]
-	l := s.anyConn()
-	l.send("close", idA, nil, 31, "")
-	n.pool.retireConn(l)
+	surplus := s.anyConn()
+	surplus.send("close", idA, nil, 31, "")
+	n.pool.retireConn(surplus)
 	counted, inUse := n.pool.connCount, len(s.conns)
 	n.pool.mu.Unlock()
 	if c := b.next(t, "close"); c.ID != idA {
--- a/internal/node/trial_ending_test.go
+++ b/internal/node/trial_ending_test.go
@@ -38,10 +38,10 @@
 		Servers: servers.start(t)}}})
 	p := startChild(t, childOptions{trialSockets, defaultSettings, []string{helperArrivalWindowEnv + "=1"}},
 		f.Listener.Addr().String(), f.updates)
-	var resting [shutdownConnections]*viewerClient
-	for i := range resting {
-		resting[i] = p.dial().send(optionsRequest)
-		resting[i].wantAnswer("", statusOK)
+	var idle [shutdownConnections]*viewerClient
+	for i := range idle {
+		idle[i] = p.dial().send(optionsRequest)
+		idle[i].wantAnswer("", statusOK)
 	}
 	var clients sync.WaitGroup
 	var signalledAt time.Time
@@ -53,7 +53,7 @@
 				t.Fatal(err)
 			}
 		}
-		conn := resting[i]
+		conn := idle[i]
 		if random.IntN(3) == 0 && (signalledAt.IsZero() || time.Since(signalledAt) < 200*time.Millisecond) {
 			conn = p.dial() // new connections arrive only for a short time after the signal
 		}
--- a/internal/node/trial_test.go
+++ b/internal/node/trial_test.go
@@ -108,7 +108,7 @@
 // run plays one request and checks its answer.
 func (q trialRequest) run(t *testing.T, r *relay, servers *trialServers) {
 	text := strings.Replace(setUpRequest(q.id, q.class, ""), "X-Timer-Ms: 3000", fmt.Sprintf("X-Timer-Ms: %d", trialTimer.Milliseconds()), 1)
-	v, x := r.dial(t)
+	v, relayed := r.dial(t)
 	v.send(optionsRequest).wantAnswer("", statusOK)
 	time.Sleep(q.idleTime)
 	v.tryWrite(text[:q.splitAt])
@@ -125,9 +125,9 @@
 			q.checkAnswer(t, servers, v, answer, err, sentAt)
 			return
 		}
-		node := time.AfterFunc(max(q.nodeEndLag, 0), func() { connEndings[q.ending](x.node) })
+		node := time.AfterFunc(max(q.nodeEndLag, 0), func() { connEndings[q.ending](relayed.node) })
 		defer node.Stop()
-		_ = x.client.Close()
+		_ = relayed.client.Close()
 		time.Sleep(q.resendDelay)
 		conn, _ = r.dial(t)
 		conn.send(text)
--- a/internal/node/withdrawal_test.go
+++ b/internal/node/withdrawal_test.go
@@ -51,9 +51,9 @@
 			n := startModifiedNode(t, func(n *Node) { n.Dial = gatedDial(g) }, b)
 			v := n.dial().send(setUpRequest(idA, "paid", ""))
 			g.wait(t)
-			gone, unblock := n.attemptsBlocked(idA), n.blockOrchestrator()
+			blocked, unblock := n.attemptsBlocked(idA), n.blockOrchestrator()
 			leave(n, v)
-			eventually(t, "the viewer's leaving noticed", gone)
+			eventually(t, "the viewer's leaving noticed", blocked)
 			close(g.open)
 			eventually(t, "the attempt ended", func() bool {
 				n.pool.mu.Lock()
@@ -98,9 +98,9 @@
 			n.openIdleConn(b)
 			v := n.dial().send(setUpRequest(idA, "free", ""))
 			g.wait(t)
-			gone, unblock := n.attemptsBlocked(idA), n.blockOrchestrator()
+			blocked, unblock := n.attemptsBlocked(idA), n.blockOrchestrator()
 			leave(n, v)
-			eventually(t, "the viewer's leaving noticed", gone)
+			eventually(t, "the viewer's leaving noticed", blocked)
 			close(g.open)
 			unblock()
 			n.wantSessionCount(0)
@@ -124,7 +124,7 @@
 	case m = <-b.received:
 		first, other = b, a
 	}
-	gone, unblock := n.attemptsBlocked(idA), n.blockOrchestrator()
+	blocked, unblock := n.attemptsBlocked(idA), n.blockOrchestrator()
 	m.conn.send(`{"msg":"close","sid":%q,"code":47}`, idA)
 	eventually(t, "the failure handled", func() bool {
 		n.pool.mu.Lock()
@@ -132,7 +132,7 @@
 		return len(n.pool.servers[first.id].idleConns) == 1
 	})
 	_ = v.Close()
-	eventually(t, "the viewer's leaving noticed", gone)
+	eventually(t, "the viewer's leaving noticed", blocked)
 	unblock()
 	n.wantSessionCount(0)
 	select {
