--- a/control/api.go
+++ b/control/api.go
@@ -62,7 +62,7 @@
 	Aim, Deadline    time.Duration
 	Worth            float64
 	RateFactor       float64 // ratio of its rates to those of the ladder; 0 counts as 1
-	MinRung, MaxRung int     // lowest and highest rung; settings without the latter use the ladder's top
+	MinRung, MaxRung int     // lowest and highest rung; New limits MaxRung to the top of the ladder
 	Seats            int     // most sessions of one title that a front may run; 0: no limit
 	Live             bool    // viewers of one title can share a stream
 	LateWorth        float64
@@ -104,7 +104,7 @@
 const (
 	WeightNone    WeightMode = iota
 	WeightSize               // proportional to the capacity of the server's link
-	WeightDynamic            // changes with the load, so it says nothing about the size
+	WeightDynamic            // changes with the load, so the size cannot be derived from it
 )
 
 // ReportMode is the way in which load reports arrive.
@@ -166,7 +166,8 @@
 type Event interface{ event() }
 
 // ListUpdate carries the changed lines of the server list, or the complete
-// list if Whole. Failed reports that the subscription to the list failed.
+// list if Whole. Failed reports that the subscription to the list failed, and
+// Cached that the list was stored earlier and may be outdated.
 type ListUpdate struct {
 	Whole, Failed, Cached bool
 	Servers               []Server
@@ -183,8 +184,8 @@
 	BestRung           int           // highest rung that the viewer can use
 	GiveUpAt           time.Duration // time at which the viewer gives up
 	ExpectedLength     time.Duration // rough length of the session; 0: unknown
-	Repeat, Returned   bool
-	Moved              bool
+	Repeat, Returned   bool          // requested before; requested again after an interruption or a refusal
+	Moved              bool          // requested again because the session was moved
 	Playing            bool
 	Server             string // set if Playing
 }
--- a/control/collectors.go
+++ b/control/collectors.go
@@ -44,8 +44,8 @@
 	return true
 }
 
-// probeHolder probes the holder whose load was reported the longest ago. One probe per request keeps the
-// cost of probes proportional to the traffic.
+// probeHolder probes the holder whose load report is the oldest. One probe per request keeps the cost of
+// probes proportional to the traffic.
 func (c *Controller) probeHolder(sess *session) {
 	var oldest *server
 	for _, s := range c.sortedServers {
--- a/control/collectors_test.go
+++ b/control/collectors_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// A collector replies with what other fronts reported. The querying front chooses by the reply, ignores invalid
-// messages, and does not wait longer than necessary.
+// TestCollectorQueries checks that a collector replies with what other fronts reported to it, and that the querying
+// front chooses by the reply, ignores invalid messages, and does not wait longer than necessary.
 func TestCollectorQueries(t *testing.T) {
 	settings := testSettings()
 	settings.AllowPeerMessages, settings.Fronts, settings.Position = true, 2, 1 // front 0 is the collector of cells 0 to 5
@@ -72,7 +72,8 @@
 		t.Error("a request waits although recent queries remained unanswered")
 	}
 	querier.c.unansweredQueries = 0
-	if out := querier.step(Request{ID: "late", CellSpan: 6, BestRung: 2, GiveUpAt: querier.now + 50*ms}); querier.sentTo(out) == "" {
+	if out := querier.step(Request{ID: "late", CellSpan: 6, BestRung: 2,
+		GiveUpAt: querier.now + 50*ms}); querier.sentTo(out) == "" {
 		t.Error("the request of a viewer about to give up waits for collectors")
 	}
 	querier.request("gone", 0)
@@ -87,7 +88,7 @@
 	}
 }
 
-// Random messages cause no panic and no action other than a message.
+// FuzzPeerMessage checks that random messages cause no panic and no action other than a message.
 func FuzzPeerMessage(f *testing.F) {
 	f.Add(1, "q00000a05")
 	f.Add(0, "n0010abV3Wg0")
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,7 +7,8 @@
 	"rainpulley/control"
 )
 
-// A front creates one controller, passes its observations in as events and carries out the returned actions.
+// Example shows a front: it creates one controller, passes its observations in as events and carries out the returned
+// actions.
 func Example() {
 	c, err := control.New(control.Settings{
 		Ladder: []float64{300, 700}, RungWorth: []float64{0.5, 1},
--- a/control/list.go
+++ b/control/list.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// handleListUpdate applies an update of the server list. After a failure, it subscribes again with a random
-// delay.
+// handleListUpdate applies an update of the server list. After a failed subscription, it subscribes again
+// after a random delay.
 func (c *Controller) handleListUpdate(u ListUpdate) {
 	if u.Failed {
 		if c.cfg.MustSubscribe {
--- a/control/list_test.go
+++ b/control/list_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The controller subscribes at its first step, and again when the timer set after a failure expires.
+// TestSubscribes checks that the controller subscribes at its first step, and again when the timer that it sets after a
+// failure expires.
 func TestSubscribes(t *testing.T) {
 	settings := testSettings()
 	settings.MustSubscribe = true
@@ -14,7 +15,8 @@
 	if _, ok := findAction[Subscribe](c.Step(time.Second, []Event{ListUpdate{Whole: true, Cached: true}})); !ok {
 		t.Fatal("the first step does not subscribe to the server list")
 	}
-	if timer, ok := findAction[SetTimer](c.Step(2*time.Second, []Event{ListUpdate{Failed: true}})); !ok || timer.Label != "subscribe" {
+	if timer, ok := findAction[SetTimer](c.Step(2*time.Second, []Event{ListUpdate{Failed: true}})); !ok ||
+		timer.Label != "subscribe" {
 		t.Fatal("no timer is set to retry a failed subscription")
 	}
 	if _, ok := findAction[Subscribe](c.Step(4*time.Second, []Event{TimerFired{"subscribe"}})); !ok {
@@ -22,7 +24,8 @@
 	}
 }
 
-// New rejects invalid settings. Minimal settings are valid, and an empty server list refuses a request.
+// TestInvalidSettings checks that New rejects invalid settings, that minimal settings are valid, and that a request is
+// refused while the server list is empty.
 func TestInvalidSettings(t *testing.T) {
 	for name, invalidate := range map[string]func(*Settings){
 		"empty ladder":  func(s *Settings) { s.Ladder = nil },
@@ -46,8 +49,8 @@
 	}
 }
 
-// Where servers are replaced by new ones all day, the gone ones are removed after a while, except those that still run
-// sessions.
+// TestRemovesServersLongGone checks that servers that are gone are removed after a while, except those that still run
+// sessions. Otherwise the lists would grow without bound where servers are replaced by new ones all day.
 func TestRemovesServersLongGone(t *testing.T) {
 	f := startFront(t, testSettings())
 	inUse := f.startSession("x", 0)
--- a/control/load.go
+++ b/control/load.go
@@ -62,7 +62,7 @@
 
 // clearRestartSuspicion handles a note about a session that played before the last failure. Since the
 // session survived, the server did not restart: an answer or the connection was lost. One failure remains
-// counted, because of which at-most-once set-ups still avoid the server.
+// counted, so that at-most-once set-ups still avoid the server.
 func (c *Controller) clearRestartSuspicion(s *server, sess *session) {
 	if s.failures > 0 && sess != nil && sess.assignedTo == s && sess.playing &&
 		sess.startedAt < s.lastFailureAt-c.cfg.NoteDelay {
--- a/control/load_test.go
+++ b/control/load_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A link whose reported utilization is above 1 makes its sessions step down.
+// TestOverloadedLinkStepsDown checks that sessions step down if the reported utilization of their link is above 1.
 func TestOverloadedLinkStepsDown(t *testing.T) {
 	f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
 	for i := range 6 {
@@ -21,7 +21,7 @@
 	}
 }
 
-// A session steps up if a note reports its link as nearly empty.
+// TestFreeCapacityStepsUp checks that a session steps up if a note reports a low utilization of its link.
 func TestFreeCapacityStepsUp(t *testing.T) {
 	f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
 	f.step(Request{ID: "a", Playing: true, Server: "s0", BestRung: 2, ExpectedLength: time.Minute})
@@ -29,12 +29,12 @@
 	f.now += 5 * time.Second
 	f.step(Note{ID: "a", Server: "s0", Kind: NoteLink, Value: 0.06})
 	if r, ok := findAction[SetRung](f.step(TimerFired{"beat"})); !ok || r.Rung < 1 {
-		t.Error("no step up on a nearly empty link")
+		t.Error("no step up on a link with low utilization")
 	}
 }
 
-// Missing notes make a server suspect only while notes about other servers arrive. If all notes stop, the delivery of
-// the notes failed.
+// TestMissingNotesOfOneServer checks that missing notes make a server suspect only while notes of other servers arrive.
+// If the notes of all servers stop, the delivery of notes is at fault.
 func TestMissingNotesOfOneServer(t *testing.T) {
 	f := startFront(t, testSettings())
 	server := f.startSession("a", 0)
@@ -53,8 +53,9 @@
 	}
 }
 
-// Notes are delayed: a short share is attributed to a link that was full a short time ago, even if a newer report shows
-// free capacity. Without a full link it is attributed to the uplink.
+// TestDelayedShortShareIsAttributedToFullLink checks that a short share is attributed to a link that was full a short
+// time ago, even if a newer report shows free capacity, because notes are delayed. Without such a link it is attributed
+// to the uplink.
 func TestDelayedShortShareIsAttributedToFullLink(t *testing.T) {
 	f := startOneRackFront(t, 5000)
 	before := f.c.racks[0].capacity
@@ -72,7 +73,8 @@
 	}
 }
 
-// The estimated capacity of a heavily used uplink grows as long as no short share is reported.
+// TestUplinkCapacityGrowsWithoutShortShares checks that the estimated capacity of a heavily used uplink grows as long
+// as no short share is reported.
 func TestUplinkCapacityGrowsWithoutShortShares(t *testing.T) {
 	f := startOneRackFront(t, 2000)
 	before := f.c.racks[0].capacity
@@ -84,8 +86,8 @@
 	}
 }
 
-// Each request probes another server if load reports arrive by probes, and the results decide the placement. If reports
-// arrive in answers, there are no probes.
+// TestProbesOnlyForReportsByProbe checks that each request probes another server if load reports arrive by probes, and
+// that the results decide the placement. If reports arrive in answers, there are no probes.
 func TestProbesOnlyForReportsByProbe(t *testing.T) {
 	settings := testSettings()
 	settings.ReportMode, settings.AllowProbes, settings.LinkNoteInterval = ReportsByProbe, true, 0
@@ -113,7 +115,8 @@
 	}
 }
 
-// A note about a session that started before a failure shows that the server did not restart, so it gets no slow start.
+// TestNoteOnOlderSessionDisprovesRestart checks that a note about a session that started before a failure prevents a
+// slow start: it shows that the server did not restart.
 func TestNoteOnOlderSessionDisprovesRestart(t *testing.T) {
 	f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
 	f.startSession("a", 0)
@@ -129,7 +132,8 @@
 	}
 }
 
-// Without messages between fronts, a front steps up by less after one report: all fronts use the same free capacity.
+// TestSmallerStepsUpWithoutPeers checks that, without messages between fronts, a front steps up fewer sessions after
+// one report, because all fronts would use the same free capacity.
 func TestSmallerStepsUpWithoutPeers(t *testing.T) {
 	stepsUp := func(peers bool) (n int) {
 		settings := testSettings()
--- a/control/message.go
+++ b/control/message.go
@@ -17,7 +17,7 @@
 const (
 	messageUpdate messageKind = 'n' // the sender's own sessions at a server changed, or it received a load report
 	messageQuery  messageKind = 'q' // asks for the load of a title's holders
-	messageReply  messageKind = 'a' // load of these holders as the collector knows it
+	messageReply  messageKind = 'a' // load of these holders as last reported to the collector
 )
 
 // message is a decoded message of any kind.
--- a/control/placement_test.go
+++ b/control/placement_test.go
@@ -9,6 +9,8 @@
 	"time"
 )
 
+// TestPlacementAndInitialRung checks which server a request is sent to and at which rung, by the reported utilization
+// of the links.
 func TestPlacementAndInitialRung(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -30,7 +32,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			f := startFront(t, testSettings())
 			f.reportLinks(tt.utilization...)
-			out := f.step(Request{ID: "a", Class: tt.class, CellSpan: tt.span, BestRung: tt.best, GiveUpAt: f.now + 4*time.Second})
+			out := f.step(Request{ID: "a", Class: tt.class, CellSpan: tt.span, BestRung: tt.best,
+				GiveUpAt: f.now + 4*time.Second})
 			if got := f.sentTo(out); got != tt.want {
 				t.Fatalf("sent to %q, want %q", got, tt.want)
 			}
@@ -103,11 +106,13 @@
 	}
 }
 
-// A tick visits each server a bounded number of times, independent of the size of the fleet.
+// TestTickCostIsLinear checks that a tick visits each server a bounded number of times, independent of the size of the
+// fleet.
 func TestTickCostIsLinear(t *testing.T) {
 	visitsPerTick := func(n int) (visits float64) {
 		settings := testSettings()
-		settings.Cells, settings.Racks, settings.TotalLinkRate, settings.RackUplinkRate, settings.Fronts = n, n/5, float64(2000*n), 8000, n
+		settings.Cells, settings.Racks, settings.TotalLinkRate, settings.RackUplinkRate, settings.Fronts =
+			n, n/5, float64(2000*n), 8000, n
 		var servers []Server
 		for i := range n {
 			servers = append(servers, Server{ID: fmt.Sprintf("s%03d", i), Cell: i, State: Ready, Weight: 1})
@@ -132,8 +137,8 @@
 	}
 }
 
-// Up to the mean rung of the own sessions, a new session may fill a link beyond the utilization at which steps up
-// end.
+// TestNewSessionsStartAtMeanRung checks that, up to the mean rung of the own sessions, a new session may fill a link
+// beyond the utilization at which steps up end.
 func TestNewSessionsStartAtMeanRung(t *testing.T) {
 	for _, tt := range []struct{ meanRung, want int }{{2, 1}, {0, 0}} {
 		f := startFront(t, testSettings())
@@ -149,8 +154,8 @@
 	}
 }
 
-// A hold keeps out other sessions, admits those that it is for, and ends with an update that no longer lists it.
-// Invalid holds have no effect.
+// TestHoldReservesCapacity checks that a hold keeps out other sessions, admits those that it is for, and ends with an
+// update that no longer lists it. Invalid holds have no effect.
 func TestHoldReservesCapacity(t *testing.T) {
 	announced, other := uint64(7), uint64(8)
 	for _, tt := range []struct {
@@ -162,7 +167,8 @@
 		{"no hold", other, nil, true},
 		{"held for another title", other, []Hold{{Server: "s0", Title: announced, Rate: 1e9}}, false},
 		{"held for its title", announced, []Hold{{Server: "s0", Title: announced, Rate: 1e9}}, true},
-		{"held for its title in another class", announced, []Hold{{Server: "s0", Class: 1, Title: announced, Rate: 1e9}}, false},
+		{"held for its title in another class", announced, []Hold{{Server: "s0", Class: 1, Title: announced, Rate: 1e9}},
+			false},
 		{"streams held for another title", other, []Hold{{Server: "s0", Title: announced, Streams: 1e6}}, false},
 		{"small hold", other, []Hold{{Server: "s0", Title: announced, Rate: 1, Streams: 1}}, true},
 		{"invalid holds", other, []Hold{{Server: "s0", Title: announced, Rate: -1e9}, {Server: "none", Rate: 1e9}}, true},
@@ -189,8 +195,8 @@
 	}
 }
 
-// Explicitly listed holders replace the title's cells wherever holders are looked up: placement, probes and queries
-// to collectors. An empty list means that no server has the title.
+// TestExplicitHolders checks that explicitly listed holders replace the title's cells in placement and in queries to
+// collectors. An empty list means that no server has the title.
 func TestExplicitHolders(t *testing.T) {
 	settings := testSettings()
 	settings.Cells, settings.Fronts, settings.AllowPeerMessages = 16, 2, true
@@ -210,8 +216,9 @@
 				list.Servers = append(list.Servers, Server{ID: fmt.Sprintf("b%02d", i), Cell: i, State: Ready, Weight: 1})
 			}
 			controller.Step(0, []Event{list})
-			out := controller.Step(time.Second, []Event{Request{ID: "x", HomeCell: 0, CellSpan: 2, BestRung: len(settings.Ladder) - 1,
-				Holders: c.holders, GiveUpAt: 5 * time.Second}})
+			out := controller.Step(time.Second,
+				[]Event{Request{ID: "x", HomeCell: 0, CellSpan: 2, BestRung: len(settings.Ladder) - 1,
+					Holders: c.holders, GiveUpAt: 5 * time.Second}})
 			out = append(out, controller.Step(2*time.Second, []Event{TimerFired{Label: "look x"}})...)
 			sent, queried := false, false
 			for _, a := range out {
@@ -232,8 +239,8 @@
 	}
 }
 
-// With reported uplinks, a somewhat more utilized link behind a much less utilized uplink is chosen; without
-// reports, the link alone decides.
+// TestReportedUplinksWidenTies checks that, with reported uplinks, a somewhat more utilized link behind a much less
+// utilized uplink is chosen; without such reports, the link alone decides.
 func TestReportedUplinksWidenTies(t *testing.T) {
 	for _, reported := range []bool{true, false} {
 		settings := testSettings()
--- a/control/request_test.go
+++ b/control/request_test.go
@@ -124,7 +124,8 @@
 
 func TestUnknownEventsAreIgnored(t *testing.T) {
 	f := startFront(t, testSettings())
-	out := f.step(SessionStarted{ID: "x", Server: "x"}, AttemptEnded{ID: "x", Server: "x"}, Note{ID: "x", Server: "x", Kind: 9},
+	out := f.step(SessionStarted{ID: "x", Server: "x"}, AttemptEnded{ID: "x", Server: "x"},
+		Note{ID: "x", Server: "x", Kind: 9},
 		ViewerLeft{ID: "x"}, ProbeResult{Server: "x"}, TimerFired{"x"}, PeerMessage{Data: "x"}, Request{ID: "y", Class: 99})
 	if len(out) > 0 {
 		t.Errorf("unknown events led to actions %v", out)
@@ -150,8 +151,8 @@
 	}
 }
 
-// If one answer of every holder is missing, at-most-once set-ups are still sent; if every holder may have
-// restarted, they are not.
+// TestAtMostOnceWhenAllAreSuspect checks that at-most-once set-ups are still sent if one answer of every holder is
+// missing, but not if every holder may have restarted.
 func TestAtMostOnceWhenAllAreSuspect(t *testing.T) {
 	for _, tt := range []struct {
 		outcome  Outcome
@@ -168,7 +169,8 @@
 	}
 }
 
-// An error may be caused by the request: one does not make a server suspect, several in a row do.
+// TestConsecutiveErrorsMakeServerSuspect checks that a single error does not make a server suspect, since the request
+// may have caused it, while several in a row do.
 func TestConsecutiveErrorsMakeServerSuspect(t *testing.T) {
 	f := startFront(t, testSettings(), Server{ID: "s0", State: Ready, Weight: 1})
 	for i := range restartFailureCount + 1 {
@@ -188,8 +190,8 @@
 	}
 }
 
-// A set-up that was not sent because its server started to drain is placed again; one that was not sent although
-// its server is ready is refused.
+// TestUnsentSetUpOnDrainingServer checks that a set-up that was not sent because its server started to drain is placed
+// again, and that one that was not sent although its server is ready is refused.
 func TestUnsentSetUpOnDrainingServer(t *testing.T) {
 	f := startFront(t, testSettings())
 	s := f.sentTo(f.request("a", 1))
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -9,7 +9,8 @@
 )
 
 // decisionFiles are the files that implement decisions. deploy/balancer.toml must list them as policy.
-var decisionFiles = []string{"collectors.go", "headroom.go", "list.go", "load.go", "placement.go", "request.go", "rungs.go", "slowstart.go", "tuning.go"}
+var decisionFiles = []string{"collectors.go", "headroom.go", "list.go", "load.go", "placement.go", "request.go",
+	"rungs.go", "slowstart.go", "tuning.go"}
 
 // TestModuleSize checks the limits on lines and columns of the package's files, and that deploy/balancer.toml lists
 // exactly the files with decisions as policy. The other files are those with the API, bookkeeping and messages.
@@ -28,7 +29,8 @@
 		if strings.HasSuffix(name, "_test.go") {
 			continue
 		}
-		if listed := strings.Contains(string(deploy), `"control/`+name+`"`); listed != slices.Contains(decisionFiles, name) || !listed && !slices.Contains(others, name) {
+		if listed := strings.Contains(string(deploy), `"control/`+name+`"`); listed != slices.Contains(decisionFiles, name) ||
+			!listed && !slices.Contains(others, name) {
 			t.Errorf("%s: listed as policy in balancer.toml: %v; this differs from the list of the test", name, listed)
 		}
 		text, err := os.ReadFile(name)
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -9,8 +9,8 @@
 // part of that interval, so that the fronts do not all send when they are notified of the start. The rate is
 // integrated over the wait because it rises meanwhile: with the rate at the end of the wait, hundreds of
 // fronts together sent up to 1.6 times the intended rate. The limit also applies to a server that may have
-// restarted cold before the list says so; unless the server serves, this limit ends one ramp time after the
-// last failure. Trade-off: a server that only hung gets new sessions slowly.
+// restarted before the server list shows it. If no set-up succeeds there, this limit ends one ramp time
+// after the last failure. Trade-off: a server that only hung gets new sessions slowly.
 func (c *Controller) slowStartAllows(s *server) bool {
 	restarted := s.mayHaveRestarted && c.now-s.lastFailureAt < c.cfg.Ramp
 	if c.cfg.Ramp <= 0 || !restarted && (s.coldFrom == 0 || c.now-s.coldFrom >= c.cfg.Ramp) {
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// A single lost answer does not make a server cold; a lost connection or several lost answers in a row do.
+// TestLostAnswerIsNoRestart checks that a single unanswered set-up does not lead to a slow start, while a lost
+// connection or several unanswered set-ups in a row do.
 func TestLostAnswerIsNoRestart(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -62,7 +63,8 @@
 	}
 }
 
-// A hundred fronts that are notified of a server's start at the same time do not all send a set-up at once.
+// TestFrontsSpreadFirstSetUps checks that a hundred fronts that are notified of a server's start at the same time do
+// not all send a set-up at once.
 func TestFrontsSpreadFirstSetUps(t *testing.T) {
 	sent := 0
 	for seed := range 100 {
@@ -73,7 +75,8 @@
 		c.Step(now, []Event{ListUpdate{Whole: true,
 			Servers: []Server{{ID: "s0", State: Ready, Weight: 1, Started: now - time.Second}}}})
 		now += time.Second
-		if _, ok := findAction[Send](c.Step(now, []Event{Request{ID: "a", CellSpan: 6, BestRung: 2, GiveUpAt: now + time.Second}})); ok {
+		if _, ok := findAction[Send](c.Step(now,
+			[]Event{Request{ID: "a", CellSpan: 6, BestRung: 2, GiveUpAt: now + time.Second}})); ok {
 			sent++
 		}
 	}
--- a/control/state.go
+++ b/control/state.go
@@ -27,7 +27,7 @@
 
 	awaitingReplies   []*session      // requests that wait for replies of collectors
 	meanOwnRate       float64         // kB/s, mean ladder rate of the own playing sessions
-	coversMostServers bool            // this front has sessions at more than a set part of the ready servers
+	coversMostServers bool            // the part of the ready servers with own sessions exceeds coverageThreshold
 	unansweredQueries int             // consecutive queries without a reply
 	lastStamp         int             // stamp of the last message sent
 	peerStamps        map[int]int     // stamp of the last message accepted from each front
@@ -43,7 +43,7 @@
 	uplinkSums       int  // uplink rates summed; tests check an upper bound
 
 	comparingServers bool // servers are being compared: no input of their load changes
-	comparisonCount  int
+	comparisonCount  int  // comparisons so far; rack.cachedFor refers to it
 }
 
 // New returns the controller of one front, or an error if the settings are invalid.
@@ -58,7 +58,7 @@
 		peerStamps: map[int]int{}, serversByShortID: map[int]*server{}}, nil
 }
 
-// Step processes the events that the front observed at a time, in order, and returns the actions to carry out.
+// Step processes, in order, the events that the front observed by the time now, and returns the actions to carry out.
 func (c *Controller) Step(now time.Duration, events []Event) []Action {
 	c.now, c.actions = max(now, c.now), nil
 	if !c.tickStarted {
@@ -97,6 +97,8 @@
 	return c.actions
 }
 
+// handleTimer handles an expired timer by its label: "beat" is the periodic tick, "subscribe" renews a failed
+// subscription, and "look " with the ID of a request ends its wait for the replies of collectors.
 func (c *Controller) handleTimer(e TimerFired) {
 	switch e.Label {
 	case "beat":
@@ -136,12 +138,12 @@
 	lastFullAt        time.Duration // last time at which the estimate had the link nearly full
 	lastShortShareAt  time.Duration // time of the last note about a short share
 	lastNoteAt        time.Duration // time of the last note about any of its sessions
-	failures          int           // consecutive set-ups and sessions lost
-	failedSetUps      int           // unsuccessful set-ups since the last successful one
+	failures          int           // consecutive failed set-ups and lost sessions
+	failedSetUps      int           // failed attempts since a set-up last succeeded
 	avoidUntil        time.Duration
 	lastFailureAt     time.Duration
 	mayHaveRestarted  bool          // a failure may have been a restart
-	coldFrom          time.Duration // start of the slow start; 0: none
+	coldFrom          time.Duration // start of the last slow start; 0: none
 	goneSince         time.Duration // time at which a list update first found it gone; 0: listed
 	rateLimitedSince  time.Duration // time from which the slow start's allowance accumulates
 	waitFactor        float64       // part of the interval between set-ups that this front waits before the next
@@ -272,8 +274,8 @@
 	return ((s.Cell-first)%cells+cells)%cells < span
 }
 
-// hasTitle reports whether a server has x's title: it is one of the named holders or, if none are named, in one of the
-// title's cells.
+// hasTitle reports whether a server has the title of sess: it is one of the named holders or, if none are named, in one
+// of the title's cells.
 func (c *Controller) hasTitle(sess *session, s *server) bool {
 	if sess.Holders == nil {
 		return s.inCellRange(sess.HomeCell, sess.CellSpan, c.cfg.Cells)
--- a/control/tuning.go
+++ b/control/tuning.go
@@ -7,7 +7,7 @@
 // Utilization is the rate requested from a link or uplink, divided by its capacity.
 const (
 	stepDownTarget         = 0.90 // utilization after steps down: actual rates vary around the ladder's
-	stepUpTarget           = 0.88 // utilization after steps up and for new sessions: crowds come unannounced
+	stepUpTarget           = 0.88 // utilization after steps up and for new sessions: spare for sudden bursts
 	overloadThreshold      = 1.02 // utilization above which sessions step down: less than asked is delivered
 	nearlyFullThreshold    = 0.90 // utilization from which a link is taken as the cause of a short share
 	admissionLimit         = 1.0  // utilization up to which a session at its lowest rung is admitted
@@ -22,7 +22,7 @@
 	switchGainFactor       = 2.5  // a step up must gain this many times the cost of a rung change
 	reportWeight           = 0.8  // weight of a new note against the previous estimate
 	collectorWeight        = 0.9  // weight of a collector's reply: it combines the updates of all fronts
-	coverageThreshold      = 0.5  // part of the servers with own sessions above which own notes are enough
+	coverageThreshold      = 0.5  // part of servers with own sessions above which own notes suffice
 	cellsPerCollector      = 8    // consecutive cells whose servers one collector covers
 	maxQueriesPerRequest   = 3    // collectors queried: titles with many holders need no more
 
@@ -50,7 +50,7 @@
 	streamReportMaxAge     = time.Second      // an older report of streams does not prevent a set-up
 	minAvoidTime           = time.Second      // no set-ups for this long after a failure; doubles each time
 	restartFailureCount    = 3                // consecutive failed set-ups that count as a restart
-	maxAvoidTime           = 8 * time.Second  // limit of the doubling, to find a recovered server soon
+	maxAvoidTime           = 8 * time.Second  // limit of the doubling: a recovered server must be found soon
 	maxMissedNotes         = 4.0              // note periods missed by one server alone until it is suspect
 	stalledShare           = 0.2              // lower shares count as this: a stall, not a full link
 	slowStartMargin        = 0.6              // part of a cold server's sustainable rate that fronts use
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -19,7 +19,7 @@
 	Leaving                   // the viewer left, but an attempt may still be in flight
 )
 
-// Session is the viewer's session for a title and class, as far as the edge knows it.
+// Session is the viewer's session for a title and class, as recorded by the edge.
 type Session struct {
 	State State
 	Moved bool          // with Lost: this edge took the session off its server
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -60,8 +60,8 @@
 )
 
 // Merge combines updates into one: the last entry of each server, in the order in which the servers first appear. A
-// full list discards all entries before it; full then reports that servers without an entry are gone. Since a history
-// is merged before it is applied, a drained server does not become available again between two of its updates.
+// full list discards all entries before it; full then reports that servers without an entry are gone. Because a history
+// is merged before it is applied, a drained server does not become available again while its older updates are applied.
 func Merge(updates []Update) (entries []Entry, full bool) {
 	indexByID := map[string]int{}
 	for _, u := range updates {
--- a/internal/coordinator/crossing_test.go
+++ b/internal/coordinator/crossing_test.go
@@ -230,8 +230,9 @@
 	for range changes {
 		e := &Endpoints{Full: len(u.Updates) == 0}
 		for i := range servers {
-			e.Servers = append(e.Servers, Entry{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("10.1.%d.%d:3868", i/256, i%256), Zone: "middle-hall",
-				Kind: "four-core", State: "up", Weight: 4, StartedMs: 1_800_000_000_000})
+			e.Servers = append(e.Servers,
+				Entry{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("10.1.%d.%d:3868", i/256, i%256), Zone: "middle-hall",
+					Kind: "four-core", State: "up", Weight: 4, StartedMs: 1_800_000_000_000})
 		}
 		u.Updates = append(u.Updates, Update{Endpoints: e})
 	}
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -72,14 +72,16 @@
 
 func (f *fakeExecutor) ReadList() { f.record("read") }
 
-func (f *fakeExecutor) SendToPeer(to int, data string) { f.record(fmt.Sprint("tell ", to, " ", data)) }
+func (f *fakeExecutor) SendToPeer(to int, data string) {
+	f.record(fmt.Sprint("send to peer ", to, " ", data))
+}
 
 // recordingListener is a Listener that records its calls.
 type recordingListener struct {
 	t        testing.TB
 	mu       sync.Mutex
 	answers  []Answer
-	changes  []string      // calls of Rung and Ended
+	changes  []string      // calls of RungChanged and Ended
 	answered chan struct{} // closed by Answered
 	closed   chan struct{} // closed by Closed
 }
--- a/internal/core/orchestrator.go
+++ b/internal/core/orchestrator.go
@@ -50,7 +50,7 @@
 	Rung       int
 	Attempt    int           // with Playing: number of the attempt that succeeded
 	RetryAfter time.Duration // with Refused: how long the viewer should wait before it retries
-	Payload    any           // with Playing: Result.Setup of the successful attempt
+	Payload    any           // with Playing: Result.Payload of the successful attempt
 }
 
 // Listener receives the progress of one request. Its methods are called on the orchestrator's goroutine and must not
@@ -58,7 +58,7 @@
 type Listener interface {
 	Answered(Answer)                           // at most once; not if the viewer leaves first or the session was adopted
 	RungChanged(rung int)                      // the rung of a playing session changed
-	Ended(outcome control.Outcome, moved bool) // a playing session ended; moved: it was taken off its server
+	Ended(outcome control.Outcome, moved bool) // a playing session ended; moved: by a Move action
 	Closed()                                   // the request is over and has no attempt in flight; the last call
 }
 
@@ -75,7 +75,7 @@
 type Result struct {
 	Outcome control.Outcome // control.Served: the session plays
 	Load    *control.LoadReport
-	Payload any
+	Payload any    // passed on in the Answer; its type is agreed between executor and listener
 	Cleanup func() // if set, called after the result was queued: work that must not delay the answer
 }
 
@@ -104,7 +104,7 @@
 }
 
 // Budget limits further attempts, which are those after a request's first: in any Span, a fixed number of free ones
-// and Share of the accepted requests. The module enforces it. The orchestrator covers what the module cannot know: an
+// and Share of the accepted requests. The module enforces it. The orchestrator covers what the module cannot detect: an
 // earlier instance of this process may have used the free attempts shortly before the restart.
 type Budget struct {
 	Span  time.Duration
--- a/internal/core/run_test.go
+++ b/internal/core/run_test.go
@@ -33,7 +33,7 @@
 	l := h.submit(t, "x", time.Second)
 	l.waitAnswer()
 	l.waitClosed()
-	if got := strings.Join(h.executor.calls, "; "); got != "probe p; subscribe; read; tell 3 d; rung x 4" {
+	if got := strings.Join(h.executor.calls, "; "); got != "probe p; subscribe; read; send to peer 3 d; rung x 4" {
 		t.Error(got)
 	}
 	if got := strings.Join(l.changes, "; "); got != "rung 4; ended cancelled true" {
--- a/internal/hls/hls_test.go
+++ b/internal/hls/hls_test.go
@@ -46,11 +46,13 @@
 // TestParseMedia checks variables, keys, map, byte ranges and unknown tags of a playlist that has all of them.
 func TestParseMedia(t *testing.T) {
 	m := parseMedia(t, fullPlaylist)
-	if m.Version != 7 || m.TargetDuration != 6 || m.MediaSequence != 10 || m.DiscontinuitySequence != 2 || !m.EndList || len(m.Segments) != 3 {
+	if m.Version != 7 || m.TargetDuration != 6 || m.MediaSequence != 10 || m.DiscontinuitySequence != 2 || !m.EndList ||
+		len(m.Segments) != 3 {
 		t.Errorf("unexpected playlist fields: %+v", m)
 	}
 	a, b, c := m.Segments[0], m.Segments[1], m.Segments[2]
-	if a.URI != "v1/all.mp4" || a.ByteRange != "1000@600" || a.Title != "first" || len(a.Keys) != 2 || !strings.Contains(a.Map, "v1/init.mp4") ||
+	if a.URI != "v1/all.mp4" || a.ByteRange != "1000@600" || a.Title != "first" || len(a.Keys) != 2 ||
+		!strings.Contains(a.Map, "v1/init.mp4") ||
 		len(a.OtherTags) != 1 {
 		t.Errorf("first segment: %+v", a)
 	}
@@ -81,7 +83,8 @@
 		{head + "#EXT-X-KEY:URI=\"x\"\n", "METHOD"}, {head + "#EXT-X-MAP:URI=\"x\n", "quote"},
 		{head + "#EXT-X-MAP:URI=\"x\",URI=\"y\"\n", "duplicate attribute URI"},
 		{head + "#EXT-X-MAP:uri=\"x\"\n", "malformed"},
-		{head + "#EXTINF:1,\n{$no}\n", ""}, {head + "#EXT-X-DEFINE:NAME=\"a\",VALUE=\"b\"\n#EXTINF:1,\n{$no}\n", "line 5"}, {head + "#EXT-X-DEFINE:NAME=\"a\",VALUE=\"{$a}\"\n#EXTINF:1,\n{$a}", ""},
+		{head + "#EXTINF:1,\n{$no}\n", ""}, {head + "#EXT-X-DEFINE:NAME=\"a\",VALUE=\"b\"\n#EXTINF:1,\n{$no}\n", "line 5"},
+		{head + "#EXT-X-DEFINE:NAME=\"a\",VALUE=\"{$a}\"\n#EXTINF:1,\n{$a}", ""},
 		{head + "#EXT-X-DEFINE:IMPORT=\"a\"\n", "IMPORT"}, {head + "#EXTINF:1,\na\x01\n", "control"},
 		{head + "#EXT-X-STREAM-INF:BANDWIDTH=1\n", "in a media playlist"}, {head + "#EXT-X-PLAYLIST-TYPE:LIVE\n", "neither"},
 	} {
@@ -91,8 +94,10 @@
 		}
 	}
 	for _, c := range []struct{ text, want string }{
-		{"#EXTM3U\n", "no variant"}, {"#EXTM3U\na\n", "URI without"}, {"#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=x\na\n", "BANDWIDTH"},
-		{"#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1\n", "no URI"}, {"#EXTM3U\n#EXT-X-MEDIA:TYPE=AUDIO\n", "GROUP-ID"}, {"#EXTM3U\n#EXTINF:1,\n", "multivariant"},
+		{"#EXTM3U\n", "no variant"}, {"#EXTM3U\na\n", "URI without"},
+		{"#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=x\na\n", "BANDWIDTH"},
+		{"#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1\n", "no URI"}, {"#EXTM3U\n#EXT-X-MEDIA:TYPE=AUDIO\n", "GROUP-ID"},
+		{"#EXTM3U\n#EXTINF:1,\n", "multivariant"},
 	} {
 		if _, err := ParseMultivariant([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v, want %q", c.text, err, c.want)
@@ -118,7 +123,8 @@
 	if got := string(m.Append(nil)); got != text {
 		t.Errorf("written as\n%s", got)
 	}
-	if got := m.Renditions[0].Attributes.WithValue("URI", "/r1").String(); got != `TYPE=AUDIO,GROUP-ID="a",NAME="hi, there",URI="/r1"` {
+	if got := m.Renditions[0].Attributes.WithValue("URI", "/r1").String(); got !=
+		`TYPE=AUDIO,GROUP-ID="a",NAME="hi, there",URI="/r1"` {
 		t.Error(got)
 	}
 }
@@ -126,9 +132,11 @@
 // TestResolvePath checks relative and absolute references; an empty want means an error.
 func TestResolvePath(t *testing.T) {
 	for _, c := range []struct{ base, ref, want string }{
-		{"http://b/t/x/index.m3u8", "r1/media.m3u8", "/t/x/r1/media.m3u8"}, {"http://b/t/x/r1/media.m3u8", "../../y?a=b#c", "/t/y?a=b"},
+		{"http://b/t/x/index.m3u8", "r1/media.m3u8", "/t/x/r1/media.m3u8"},
+		{"http://b/t/x/r1/media.m3u8", "../../y?a=b#c", "/t/y?a=b"},
 		{"http://b/t/", "/abs", "/abs"}, {"http://b/t/", "http://b/same", "/same"},
-		{"http://b/t/", "http://evil/x", ""}, {"http://b/t/", "//evil/x", ""}, {"http://b/t/", "https://b/x", ""}, {"http://b/t/", "data:x", ""},
+		{"http://b/t/", "http://evil/x", ""}, {"http://b/t/", "//evil/x", ""}, {"http://b/t/", "https://b/x", ""},
+		{"http://b/t/", "data:x", ""},
 	} {
 		got, err := ResolvePath(c.base, c.ref)
 		if got != c.want || (err != nil) != (c.want == "") {
@@ -192,7 +200,8 @@
 	w.SetSource("http://b1", "s=1", track, 0)
 	w.Publish(1, 1)
 	got := string(w.Append(nil))
-	for _, want := range []string{`#EXT-X-MAP:URI="http://b1/t/v1/init.mp4",BYTERANGE="600@0"`, `URI="http://b1/t/key?id=1",IV=0x01`,
+	for _, want := range []string{`#EXT-X-MAP:URI="http://b1/t/v1/init.mp4",BYTERANGE="600@0"`,
+		`URI="http://b1/t/key?id=1",IV=0x01`,
 		`URI="skd://x"`, "#EXT-X-BYTERANGE:2000@1600", "http://b1/t/v1/all.mp4?s=1", "#EXT-X-MEDIA-SEQUENCE:1"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("%s is missing in\n%s", want, got)
@@ -204,7 +213,8 @@
 		!strings.Contains(got, "#EXT-X-SPECIAL") {
 		t.Error(got)
 	}
-	if _, err := NewTrack(parseMedia(t, "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\nhttp://evil/x\n"), "http://box/m"); err == nil {
+	if _, err := NewTrack(parseMedia(t, "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\nhttp://evil/x\n"),
+		"http://box/m"); err == nil {
 		t.Error("a segment on another host was accepted")
 	}
 }
@@ -276,9 +286,12 @@
 
 func TestRoundTrip(t *testing.T) {
 	checkRoundTrip(t, []byte(fullPlaylist))
-	lines := []string{"#EXT-X-VERSION:7", "#EXT-X-MEDIA-SEQUENCE:4", "#EXT-X-DISCONTINUITY", "#EXT-X-KEY:METHOD=NONE", "#EXTINF:3.25,t",
-		`#EXT-X-KEY:METHOD=AES-128,URI="k"`, `#EXT-X-KEY:METHOD=AES-128,URI="j",KEYFORMAT="z"`, `#EXT-X-MAP:URI="m"`, "#EXT-X-BYTERANGE:5@3",
-		"#EXT-X-BYTERANGE:5", "a.ts", "b.ts", "#EXT-X-NEW:1", "# comment", "#EXT-X-ENDLIST", "#EXT-X-START:TIME-OFFSET=0", "#EXT-X-GAP"}
+	lines := []string{"#EXT-X-VERSION:7", "#EXT-X-MEDIA-SEQUENCE:4", "#EXT-X-DISCONTINUITY", "#EXT-X-KEY:METHOD=NONE",
+		"#EXTINF:3.25,t",
+		`#EXT-X-KEY:METHOD=AES-128,URI="k"`, `#EXT-X-KEY:METHOD=AES-128,URI="j",KEYFORMAT="z"`, `#EXT-X-MAP:URI="m"`,
+		"#EXT-X-BYTERANGE:5@3",
+		"#EXT-X-BYTERANGE:5", "a.ts", "b.ts", "#EXT-X-NEW:1", "# comment", "#EXT-X-ENDLIST", "#EXT-X-START:TIME-OFFSET=0",
+		"#EXT-X-GAP"}
 	rapid.Check(t, func(rt *rapid.T) {
 		body := rapid.SliceOfN(rapid.SampledFrom(lines), 0, 30).Draw(rt, "lines")
 		checkRoundTrip(t, []byte("#EXTM3U\n#EXT-X-TARGETDURATION:4\n"+strings.Join(body, "\n")))
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -39,7 +39,8 @@
 }
 
 // Client sends each request exactly once, on a connection of its own. With persistent connections, a request on one
-// that the server had closed would have to be resent on another: a second attempt that the caller did not request.
+// that the server had already closed would have to be resent on another: a second attempt that the caller did not
+// request.
 type Client struct {
 	Limits         Limits
 	ConnectTimeout time.Duration // for opening a connection; on expiry the error wraps ErrNotSent
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -93,7 +93,8 @@
 		{"NUL in value", "GET / HTTP/1.1\r\nHost: a\x00\r\n\r\n", "400"},
 		{"no host", "GET / HTTP/1.1\r\n\r\n", "400"},
 		{"two hosts", "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", "400"},
-		{"two body lengths", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
+		{"two body lengths", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+			"400"},
 		{"repeated length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", "400"},
 		{"content-length with a sign", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc", "400"},
 		{"unsupported transfer coding", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", "501"},
@@ -223,8 +224,10 @@
 // TestClientInvalidResponses checks that truncated or malformed responses are errors, but not ErrNotSent: the
 // request may have been processed.
 func TestClientInvalidResponses(t *testing.T) {
-	for _, answer := range []string{"", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nshort", "HTTP/1.1 2x0 OK\r\n\r\n", "nonsense\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n",
+	for _, answer := range []string{"", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nshort", "HTTP/1.1 2x0 OK\r\n\r\n",
+		"nonsense\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9)} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -282,9 +285,11 @@
 		if err != nil {
 			return
 		}
-		out := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", q.Method, q.Path, len(body), body)
+		out := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", q.Method, q.Path, len(body),
+			body)
 		if len(q.Query) > 0 {
-			out = fmt.Appendf(nil, "%s %s?%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", q.Method, q.Path, q.Query, len(body), body)
+			out = fmt.Appendf(nil, "%s %s?%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", q.Method, q.Path, q.Query,
+				len(body), body)
 		}
 		if len(out) > 200 {
 			return
@@ -322,7 +327,8 @@
 // TestAbsoluteForm checks that the server accepts request targets in absolute form (RFC 9112, 3.2.2).
 func TestAbsoluteForm(t *testing.T) {
 	addr := startServer(t, echo)
-	for _, c := range []struct{ target, want string }{{"http://a/b?key=c", "GET /b key=c c|"}, {"HTTP://a:80/", "GET /  |"},
+	for _, c := range []struct{ target, want string }{{"http://a/b?key=c", "GET /b key=c c|"},
+		{"HTTP://a:80/", "GET /  |"},
 		{"http://a", "GET /  |"}, {"http://a?key=@", "GET / key=@ @|"}, {"http://a/b@c", "GET /b@c  |"}} {
 		got := sendRaw(t, addr, "GET "+c.target+" HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 		if !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.HasSuffix(got, c.want) {
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -208,7 +208,7 @@
 		return malformed("more than one body length")
 	}
 	if lengths+codings == 0 {
-		m.bodyLength = -1 // no body in a request, a body up to the end of the connection in a response
+		m.bodyLength = -1 // a request then has no body; the body of a response ends with the connection
 	}
 	return nil
 }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -22,7 +22,7 @@
 	minorVersion        int // of HTTP/1
 }
 
-// parseRequestLine parses method, target and version from the start line.
+// parseRequestLine parses method, target and version from the start line. Of the target it keeps path and query.
 func (q *Request) parseRequestLine() error {
 	line := q.startLine()
 	first, last := bytes.IndexByte(line, ' '), bytes.LastIndexByte(line, ' ')
@@ -273,8 +273,8 @@
 	connClosed
 )
 
-// lazyDeadline is a connection deadline that is renewed only once a quarter of its time has passed. Setting a
-// deadline costs more than a small request justifies; in return, a timeout may be up to a quarter shorter than its
+// lazyDeadline is a connection deadline that is renewed only once a quarter of its time has passed, because setting a
+// deadline is expensive compared with a small request. A timeout may therefore be up to a quarter shorter than its
 // limit, which is acceptable.
 type lazyDeadline struct{ at time.Time }
 
--- a/internal/jsonlines/jsonlines_test.go
+++ b/internal/jsonlines/jsonlines_test.go
@@ -13,7 +13,8 @@
 // TestParse checks the attributes, the numbers and the cause code of a message, including malformed values.
 func TestParse(t *testing.T) {
 	m, err := Parse([]byte(`{"msg":"close","sid":"9b","attrs":{"load":"rif:12;x0:0.5; x1:-1;bad:x;big:1e999","value":2,"n":null},"code":34,"new":[1]}` + "\n"))
-	if err != nil || m.Type != TypeClose || m.Cause() != CauseFull || m.Attr("value") != "2" || m.Attr("n") != "" || m.Text != nil {
+	if err != nil || m.Type != TypeClose || m.Cause() != CauseFull || m.Attr("value") != "2" || m.Attr("n") != "" ||
+		m.Text != nil {
 		t.Fatalf("close message: got %+v, %v", m, err)
 	}
 	load := m.NumberMap("load")
@@ -30,8 +31,10 @@
 // TestMalformedLines checks that Read returns ErrMalformed for a line that is not a valid message, since nothing that
 // follows on the connection can then be trusted.
 func TestMalformedLines(t *testing.T) {
-	for _, line := range []string{"noise\n", "{}\n", "\n", `{"msg":"ready"` + "\n", `{"msg":"ready","sid":4}` + "\n", `{"msg":"ready","text":"a` + "\xff" + `"}` + "\n",
-		`{"msg":"ready","text":"\ud800"}` + "\n", `{"msg":"ready"}{}` + "\n", `[1]` + "\n", `{"msg":"ready","attrs":3}` + "\n",
+	for _, line := range []string{"noise\n", "{}\n", "\n", `{"msg":"ready"` + "\n", `{"msg":"ready","sid":4}` + "\n",
+		`{"msg":"ready","text":"a` + "\xff" + `"}` + "\n",
+		`{"msg":"ready","text":"\ud800"}` + "\n", `{"msg":"ready"}{}` + "\n", `[1]` + "\n",
+		`{"msg":"ready","attrs":3}` + "\n",
 		`{"msg":"ready","text":"` + strings.Repeat("a", MaxLineBytes) + "\"}\n", strings.Repeat("x", 2*MaxLineBytes)} {
 		if _, err := Read(bufio.NewReaderSize(strings.NewReader(line), MaxLineBytes)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%.40q: got error %v, want ErrMalformed", line, err)
@@ -74,7 +77,8 @@
 
 // TestSplitAtEveryBoundary checks that a line that arrives in two pieces is read correctly, wherever it is split.
 func TestSplitAtEveryBoundary(t *testing.T) {
-	const text = `{"msg":"ready","sid":"9b","attrs":{"load":"x0:1"},"text":"a\r\n\"ü\""}` + "\n" + `{"msg":"close","sid":"9c","attrs":{},"code":34}` + "\n"
+	const text = `{"msg":"ready","sid":"9b","attrs":{"load":"x0:1"},"text":"a\r\n\"ü\""}` + "\n" +
+		`{"msg":"close","sid":"9c","attrs":{},"code":34}` + "\n"
 	for at := 1; at < len(text); at++ {
 		r := bufio.NewReaderSize(io.MultiReader(strings.NewReader(text[:at]), strings.NewReader(text[at:])),
 			MaxLineBytes)
@@ -82,7 +86,8 @@
 		if err != nil || first.Type != TypeReady || first.ID != "9b" || first.Text == nil || *first.Text != "a\r\n\"ü\"" {
 			t.Errorf("split at byte %d: first message %+v, %v", at, first, err)
 		}
-		if second, err := Read(r); err != nil || second.Type != TypeClose || second.ID != "9c" || second.Cause() != CauseFull {
+		if second, err := Read(r); err != nil || second.Type != TypeClose || second.ID != "9c" ||
+			second.Cause() != CauseFull {
 			t.Errorf("split at byte %d: second message %+v, %v", at, second, err)
 		}
 	}
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -25,14 +25,14 @@
 	Lost                 // the server's sessions have ended
 )
 
-// Limits of the detector. A link note is due in each period, and a check is cheap, so a note need not be long overdue
-// before the server is checked.
+// Limits of the detector. A link note is due in each period, and a check is cheap, so a server is checked as soon as a
+// note is slightly overdue.
 const (
 	overdueFactor = 1.2         // a note is overdue after this many periods
-	minSilence    = time.Second // a server is never checked for silence sooner than this
+	minSilence    = time.Second // shortest silence after which a server is checked
 
-	// silenceWithoutNotes replaces the overdue time of a note if the server sends none. Silence then says little, but a
-	// lost server must be found in time for the releases of its sessions, which are due within 8 s.
+	// silenceWithoutNotes replaces the overdue time of a note if the server sends none. Silence is then weak evidence, but
+	// a lost server must be found in time for the releases of its sessions, which are due within 8 s.
 	silenceWithoutNotes = 4 * time.Second
 
 	retryInterval   = 400 * time.Millisecond // between checks while the last one has failed
@@ -57,7 +57,7 @@
 	d.lastHeartbeat, d.failedChecks, d.lost, d.suspected = now, 0, false, false
 }
 
-// RecordSetupTimeout records that a set-up timed out. The server is then checked without waiting for an overdue note. A
+// RecordSetUpTimeout records that a set-up timed out. The server is then checked without waiting for an overdue note. A
 // server that is merely slow accepts the connection of the check and is kept.
 func (d *Detector) RecordSetUpTimeout() { d.suspected = true }
 
@@ -85,7 +85,7 @@
 	return Check
 }
 
-// BeginCheck starts a check that the caller wants for reasons of its own. It returns false, and starts none, while a
+// BeginCheck starts a check for a reason outside the detector. It returns false, and starts none, while a
 // check is in progress and for retryInterval after one has failed.
 func (d *Detector) BeginCheck(now time.Duration) bool {
 	if d.checking || now-d.lastChecked < retryInterval && d.failedChecks > 0 {
@@ -98,7 +98,7 @@
 // CheckInProgress reports whether a check is in progress.
 func (d *Detector) CheckInProgress() bool { return d.checking }
 
-// DiscardCheck ends a check that failed for local reasons and therefore says nothing about the server.
+// DiscardCheck ends a check that failed for local reasons, whose result is therefore no evidence about the server.
 func (d *Detector) DiscardCheck(now time.Duration) { d.lastChecked, d.checking = now, false }
 
 // DeferCheck ends a check that could not be started. The next call of Next asks for it again.
--- a/internal/liveness/detector_test.go
+++ b/internal/liveness/detector_test.go
@@ -14,8 +14,8 @@
 		dial          func(at time.Duration) DialResult
 		openConns     func(at time.Duration) int
 		removed       bool
-		setupsTimeOut bool
-		setupDial     DialResult // result of each connection opened for a set-up
+		setUpsTimeOut bool
+		setUpDial     DialResult // result of each connection opened for a set-up
 		lost          bool
 		minLostAt     time.Duration
 		maxLostAt     time.Duration
@@ -28,17 +28,17 @@
 		{name: "process ended, connections closed", dial: always(Refused), openConns: noConns,
 			lost: true, maxLostAt: time.Second, minChecks: 1},
 		{name: "refuses more connections, notes arrive",
-			heartbeat: func(at time.Duration) bool { return at%every == 0 }, setupDial: Refused, openConns: oneConn},
+			heartbeat: func(at time.Duration) bool { return at%every == 0 }, setUpDial: Refused, openConns: oneConn},
 		{name: "connections of set-ups are slow", heartbeat: func(at time.Duration) bool { return at%every == 0 },
-			setupDial: NoResponse, dial: always(Connected), openConns: oneConn, minChecks: 10},
+			setUpDial: NoResponse, dial: always(Connected), openConns: oneConn, minChecks: 10},
 		{name: "process ended, connections left open", dial: always(Refused), openConns: oneConn, lost: true,
 			minLostAt: 2 * time.Second, maxLostAt: 4 * time.Second, minChecks: 2},
 		{name: "removed, connections left open", removed: true,
 			heartbeat: func(at time.Duration) bool { return at == time.Second }, dial: always(Refused),
 			openConns: oneConn, lost: true, minLostAt: time.Second, maxLostAt: 2 * time.Second, minChecks: 2},
-		{name: "machine vanished, set-ups time out", setupsTimeOut: true, dial: always(NoResponse), openConns: oneConn,
+		{name: "machine vanished, set-ups time out", setUpsTimeOut: true, dial: always(NoResponse), openConns: oneConn,
 			lost: true, maxLostAt: time.Second, minChecks: 2},
-		{name: "slow server, set-ups time out", setupsTimeOut: true, dial: always(Connected), openConns: oneConn,
+		{name: "slow server, set-ups time out", setUpsTimeOut: true, dial: always(Connected), openConns: oneConn,
 			minChecks: 10},
 		{name: "removed, still running", removed: true, dial: always(Connected), openConns: oneConn, minChecks: 3},
 		{name: "connections reset, server alive", dial: always(Connected), openConns: noConns, minChecks: 3},
@@ -54,11 +54,11 @@
 			if c.heartbeat != nil && c.heartbeat(at) {
 				detector.RecordHeartbeat(at)
 			}
-			if c.setupsTimeOut {
+			if c.setUpsTimeOut {
 				detector.RecordSetUpTimeout()
 			}
-			if c.setupDial != Connected {
-				detector.RecordDial(at, c.setupDial, c.openConns(at))
+			if c.setUpDial != Connected {
+				detector.RecordDial(at, c.setUpDial, c.openConns(at))
 			}
 			switch detector.Next(at, every, c.openConns(at), !c.removed) {
 			case Check:
@@ -112,7 +112,8 @@
 				lostAt = at
 			}
 		}
-		if dial == Connected && (checks == 0 || checks > 3 || lostAt >= 0) || dial == NoResponse && (lostAt < 0 || lostAt > 6*time.Second) {
+		if dial == Connected && (checks == 0 || checks > 3 || lostAt >= 0) ||
+			dial == NoResponse && (lostAt < 0 || lostAt > 6*time.Second) {
 			t.Errorf("%s: %d checks, lost at %v", name, checks, lostAt)
 		}
 	}
--- a/internal/rtsp/rtsp.go
+++ b/internal/rtsp/rtsp.go
@@ -2,8 +2,8 @@
 // and responses in either direction, distinguished by their first line, each with a Content-Length. The package
 // contains no decision logic. Every size is bounded.
 //
-// Like package http1 it is stricter than the RFC: it rejects bare LF, bare CR, folded lines, white space before a colon
-// and ambiguous lengths, since two parsers that interpret a message differently disagree on where the next one starts.
+// Like package http1, it is stricter than the RFC: it rejects bare LF, bare CR, folded lines, white space before a colon
+// and ambiguous lengths, because two parsers that interpret a message differently disagree on where the next one starts.
 package rtsp
 
 import (
@@ -16,7 +16,7 @@
 	"strings"
 )
 
-// MaxMessage is the size of the largest message, head and body together, in bytes.
+// MaxMessageBytes is the maximum size of a message in bytes, head and body together.
 const MaxMessageBytes = 16 << 10
 
 const maxHeaderLines = 32
@@ -170,7 +170,8 @@
 	}
 	method, target, _ := strings.Cut(line, " ")
 	uri, protocol, ok := strings.Cut(target, " ")
-	if !ok || protocol != version || !isToken(method) || uri == "" || strings.ContainsFunc(uri, func(c rune) bool { return c <= ' ' || c > '~' }) {
+	if !ok || protocol != version || !isToken(method) || uri == "" ||
+		strings.ContainsFunc(uri, func(c rune) bool { return c <= ' ' || c > '~' }) {
 		return badRequest("malformed request line")
 	}
 	m.Method, m.URI = method, uri
@@ -189,7 +190,8 @@
 }
 
 // reasonPhrases are the reason phrases of the status codes (RFC 2326, section 7.1.1).
-var reasonPhrases = map[int]string{100: "Continue", 200: "OK", 400: "Bad Request", 408: "Request Time-out", 413: "Request Entity Too Large",
+var reasonPhrases = map[int]string{100: "Continue", 200: "OK", 400: "Bad Request", 408: "Request Time-out",
+	413: "Request Entity Too Large",
 	453: "Not Enough Bandwidth", 454: "Session Not Found", 500: "Internal Server Error", 501: "Not Implemented",
 	503: "Service Unavailable", 504: "Gateway Time-out"}
 
--- a/internal/rtsp/rtsp_test.go
+++ b/internal/rtsp/rtsp_test.go
@@ -19,7 +19,8 @@
 		"RTSP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n"
 	r := newTestReader(text)
 	m, err := r.Next()
-	if err != nil || m.Method != "SETUP" || m.URI != "rtsp://media/7f" || m.Get("Session") != "a" || string(m.Body) != "a\nb" {
+	if err != nil || m.Method != "SETUP" || m.URI != "rtsp://media/7f" || m.Get("Session") != "a" ||
+		string(m.Body) != "a\nb" {
 		t.Fatalf("request: got %+v, %v", m, err)
 	}
 	if m, err = r.Next(); err != nil || m.Status != 200 || m.Method != "" {
@@ -37,10 +38,14 @@
 		text   string
 		status int
 	}{
-		{"noise\r\n\r\n", 400}, {"\x00\xff\x01\r\n\r\n", 400}, {start + "X: 1\n" + end, 400}, {start + " folded\r\n" + end, 400},
-		{start + "X : 1\r\n" + end, 400}, {start + ": 1\r\n" + end, 400}, {start + "\r\n", 400}, {"SETUP a b RTSP/1.0\r\n" + end, 400},
-		{"SETUP rtsp://media/1 RTSP/2.0\r\n" + end, 400}, {"RTSP/1.0 20 OK\r\n" + end, 400}, {"RTSP/1.0 -20 OK\r\n" + end, 400},
-		{start + "Content-Length: -1\r\n\r\n", 400}, {start + "Content-Length: +1\r\n\r\na", 400}, {start + "Content-Length: 1e3\r\n\r\n", 400},
+		{"noise\r\n\r\n", 400}, {"\x00\xff\x01\r\n\r\n", 400}, {start + "X: 1\n" + end, 400},
+		{start + " folded\r\n" + end, 400},
+		{start + "X : 1\r\n" + end, 400}, {start + ": 1\r\n" + end, 400}, {start + "\r\n", 400},
+		{"SETUP a b RTSP/1.0\r\n" + end, 400},
+		{"SETUP rtsp://media/1 RTSP/2.0\r\n" + end, 400}, {"RTSP/1.0 20 OK\r\n" + end, 400},
+		{"RTSP/1.0 -20 OK\r\n" + end, 400},
+		{start + "Content-Length: -1\r\n\r\n", 400}, {start + "Content-Length: +1\r\n\r\na", 400},
+		{start + "Content-Length: 1e3\r\n\r\n", 400},
 		{start + "Content-Length: 99999999999999999999\r\n\r\n", 400}, {start + "Content-Length: \r\n\r\n", 400},
 		{start + "Content-Length: 0\r\n" + end, 400}, {start + "Content-Length: 60000000\r\n\r\n", 413},
 		{start + "X: " + strings.Repeat("a", 5000) + "\r\n" + end, 413}, {start + strings.Repeat("X: 1\r\n", 40) + end, 400},
@@ -92,7 +97,8 @@
 			}
 			t.Fatalf("reading the written message %q: %v", b, err)
 		}
-		if again.Method != m.Method || again.URI != m.URI || again.Status != m.Status || !reflect.DeepEqual(again.Body, m.Body) {
+		if again.Method != m.Method || again.URI != m.URI || again.Status != m.Status ||
+			!reflect.DeepEqual(again.Body, m.Body) {
 			t.Fatalf("%q was read as %+v, then as %+v", text, m, again)
 		}
 	})
@@ -112,7 +118,8 @@
 		want[i] = m
 	}
 	for at := 1; at < len(text); at++ {
-		split := NewReader(bufio.NewReaderSize(io.MultiReader(strings.NewReader(text[:at]), strings.NewReader(text[at:])), 4<<10))
+		split := NewReader(bufio.NewReaderSize(io.MultiReader(strings.NewReader(text[:at]), strings.NewReader(text[at:])),
+			4<<10))
 		for i := range want {
 			if m, err := split.Next(); err != nil || !reflect.DeepEqual(m, want[i]) {
 				t.Errorf("split at byte %d, message %d: %+v, %v", at, i, m, err)
--- a/internal/socketerror/socketerror.go
+++ b/internal/socketerror/socketerror.go
@@ -1,4 +1,4 @@
-// Package socketerror classifies errors of socket calls: what an error says about the peer, and whether the call is
+// Package socketerror classifies errors of socket calls: what an error implies about the peer, and whether the call is
 // worth repeating. It is the only place that inspects errno values. The values are those in the Linux manual pages
 // socket(2), connect(2), accept(2), recv(2), send(2) and tcp(7). The package has no clock and does no I/O.
 package socketerror
@@ -12,12 +12,12 @@
 	"syscall"
 )
 
-// Category is the kind of failure that an error stands for.
+// Category is the kind of failure that an error indicates.
 type Category int
 
 // Categories of errors.
 const (
-	// Unknown is an error that fits no other category. It says nothing about the peer; the connection is not reused.
+	// Unknown is an error that fits no other category. It implies nothing about the peer; the connection is not reused.
 	Unknown Category = iota
 	// PeerClosed means that the peer closed the connection in an orderly way.
 	PeerClosed
@@ -25,7 +25,7 @@
 	PeerReset
 	// PeerRefused means that the peer's machine is up, but nothing listens on the port.
 	PeerRefused
-	// PeerUnreachable means that the peer did not respond in time or that its host is unreachable.
+	// PeerUnreachable means that the peer did not respond in time or that its host cannot be reached.
 	PeerUnreachable
 	// DeadlineExceeded means that a deadline set by this process passed; the connection itself is intact.
 	DeadlineExceeded
@@ -33,13 +33,14 @@
 	ClosedLocally
 	// LocalDescriptorLimit means that this process has no file descriptor left.
 	LocalDescriptorLimit
-	// LocalTemporary means that this machine lacks a resource for the moment. It says nothing about the peer.
+	// LocalTemporary means that this machine temporarily lacks a resource. It implies nothing about the peer.
 	LocalTemporary
 )
 
 // String returns the name of a category for logs.
 func (c Category) String() string {
-	names := [...]string{"unknown", "peer closed", "peer reset", "peer refused", "peer silent", "deadline exceeded", "closed here",
+	names := [...]string{"unknown", "peer closed", "peer reset", "peer refused", "peer silent", "deadline exceeded",
+		"closed here",
 		"no descriptor", "local moment"}
 	if c >= 0 && int(c) < len(names) {
 		return names[c]
@@ -47,7 +48,7 @@
 	return names[Unknown]
 }
 
-// IsLocal reports whether the error was caused by this machine. Such an error says nothing about the peer.
+// IsLocal reports whether the error was caused by this machine. Such an error implies nothing about the peer.
 func (c Category) IsLocal() bool { return c == LocalDescriptorLimit || c == LocalTemporary }
 
 // Call is the kind of call that failed. Some errno values mean different things in different calls.
@@ -128,5 +129,6 @@
 
 func isTimeout(err error) bool {
 	var timeout net.Error
-	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) || errors.As(err, &timeout) && timeout.Timeout()
+	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) ||
+		errors.As(err, &timeout) && timeout.Timeout()
 }
--- a/internal/starttime/starttime.go
+++ b/internal/starttime/starttime.go
@@ -3,9 +3,9 @@
 // machine received a start time, on its own monotonic clock. The package has no clock and does no I/O.
 //
 // A server cannot have started after its start time was received. Each start time therefore gives a lower bound on the
-// offset of the other clock from this one, and the highest bound is kept: a server is assumed to be as young as the
-// bound allows. This is the conservative choice, since a young server gets little work, and it is close to the true age
-// once a start time has been received soon after the start.
+// offset of the other clock from this one, and the highest bound is kept: a server is assumed to have started as late
+// as the bound allows. This is the conservative choice, since a recently started server gets few sessions, and it is
+// close to the true time once a start time has been received soon after the start.
 package starttime
 
 import "time"
@@ -33,7 +33,7 @@
 
 // Translate returns the start times of one message, received now, in this machine's time, with 0 for a server without a
 // reported start. A start time that was reported before keeps its translation. A new one was not known at the last
-// contact, so its translation is never earlier than that contact, whatever the other clock says.
+// contact, so its translation is never earlier than that contact, whatever the other clock shows.
 func (t *Translator) Translate(starts []Start, now time.Duration) []time.Duration {
 	for _, s := range starts {
 		if s.RemoteTime > 0 && (!t.offsetKnown || s.RemoteTime-now > t.minOffset) {
--- a/internal/starttime/starttime_test.go
+++ b/internal/starttime/starttime_test.go
@@ -44,7 +44,8 @@
 	const now = 1000 * time.Second
 	for _, skew := range []time.Duration{0, time.Hour, -800 * time.Second} {
 		var tr Translator
-		got := tr.Translate([]Start{{"a", now - 100*time.Second + skew}, {"none", 0}, {"b", now - 10*time.Second + skew}}, now)
+		got := tr.Translate(
+			[]Start{{"a", now - 100*time.Second + skew}, {"none", 0}, {"b", now - 10*time.Second + skew}}, now)
 		if got[0] != now-90*time.Second || got[1] != 0 || got[2] != now {
 			t.Errorf("clock skew %v: translated to %v", skew, got)
 		}
@@ -52,7 +53,8 @@
 		if c := tr.Translate([]Start{{"c", now + 6*time.Second + skew}}, now+7*time.Second)[0]; c != now+7*time.Second {
 			t.Errorf("clock skew %v: later start translated to %v", skew, c)
 		}
-		if again := tr.Translate([]Start{{"a", now + 100*time.Second + skew}}, now+8*time.Second)[0]; again != now+8*time.Second {
+		if again := tr.Translate([]Start{{"a", now + 100*time.Second + skew}}, now+8*time.Second)[0]; again !=
+			now+8*time.Second {
 			t.Errorf("clock skew %v: restarted server translated to %v", skew, again)
 		}
 		tr.Prune(func(id string) bool { return id == "b" })
@@ -67,7 +69,8 @@
 func TestFastestMessageBoundsError(t *testing.T) {
 	var tr Translator
 	tr.Translate([]Start{{"quick", 100 * time.Second}}, 100*time.Second+50*time.Millisecond)
-	if got := tr.Translate([]Start{{"slow", 110 * time.Second}}, 113*time.Second)[0]; got != 110*time.Second+50*time.Millisecond {
+	if got := tr.Translate([]Start{{"slow", 110 * time.Second}}, 113*time.Second)[0]; got !=
+		110*time.Second+50*time.Millisecond {
 		t.Errorf("translated to %v", got)
 	}
 }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -64,7 +64,7 @@
 // carries the current version.
 type Update struct {
 	Version       uint64   `json:"v"`
-	NowMs         int64    `json:"now_ms,omitempty"` // planner's clock when sent; gives the age of a box with StartedMs
+	NowMs         int64    `json:"now_ms,omitempty"` // planner's clock when sent; the age of a box is NowMs - StartedMs
 	BaseVersion   uint64   `json:"base,omitempty"`   // version that the changes apply to
 	Full          bool     `json:"whole,omitempty"`
 	Boxes         []Box    `json:"boxes,omitempty"`
@@ -151,7 +151,8 @@
 			return update, fmt.Errorf("view: box %q: started_ms %d is out of range", box.ID, box.StartedMs)
 		}
 		if box.ID == "" || box.State != StateReady && box.State != StateDraining && box.State != StateGone || box.Cell < 0 {
-			return update, fmt.Errorf("view: box %q: missing id, unknown state %q or negative cell %d", box.ID, box.State, box.Cell)
+			return update, fmt.Errorf("view: box %q: missing id, unknown state %q or negative cell %d", box.ID, box.State,
+				box.Cell)
 		}
 	}
 	if update.Holds != nil {
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -14,8 +14,9 @@
 	var v View
 	for _, id := range []string{"a:1", "b:1", "c:1", "d:1"} {
 		if rapid.Bool().Draw(t, name+id) {
-			v.Boxes = append(v.Boxes, Box{ID: id, Zone: "z", Kind: "k", State: rapid.SampledFrom([]State{StateReady, StateDraining}).Draw(t, "state"),
-				Cell: rapid.IntRange(0, 2).Draw(t, "cell"), StartedMs: rapid.Int64Range(0, 2).Draw(t, "started")})
+			v.Boxes = append(v.Boxes, Box{ID: id, Zone: "z", Kind: "k",
+				State: rapid.SampledFrom([]State{StateReady, StateDraining}).Draw(t, "state"),
+				Cell:  rapid.IntRange(0, 2).Draw(t, "cell"), StartedMs: rapid.Int64Range(0, 2).Draw(t, "started")})
 		}
 	}
 	for _, n := range []string{"t", "u"} {
@@ -50,7 +51,8 @@
 		var a, c View
 		_ = json.Unmarshal(x, &a)
 		_ = json.Unmarshal(y, &c)
-		if len(a.Boxes)+len(c.Boxes) > 0 && !reflect.DeepEqual(a.Boxes, c.Boxes) || len(a.Titles)+len(c.Titles) > 0 && !reflect.DeepEqual(a.Titles, c.Titles) {
+		if len(a.Boxes)+len(c.Boxes) > 0 && !reflect.DeepEqual(a.Boxes, c.Boxes) ||
+			len(a.Titles)+len(c.Titles) > 0 && !reflect.DeepEqual(a.Titles, c.Titles) {
 			t.Fatalf("%s -> %s, want %s", b, x, y)
 		}
 		if after, _ := json.Marshal(from); string(before) != string(after) {
@@ -66,7 +68,8 @@
 	for _, c := range []struct {
 		line string
 		want error
-	}{{`{"v":5}`, nil}, {`{"v":6}`, ErrVersionGap}, {`{"v":4}`, ErrVersionGap}, {`{"v":7,"base":6}`, ErrVersionGap}, {`{"v":5,"base":5}`, ErrVersionGap}, {`{"v":3,"whole":true}`, nil}} {
+	}{{`{"v":5}`, nil}, {`{"v":6}`, ErrVersionGap}, {`{"v":4}`, ErrVersionGap}, {`{"v":7,"base":6}`, ErrVersionGap},
+		{`{"v":5,"base":5}`, ErrVersionGap}, {`{"v":3,"whole":true}`, nil}} {
 		update, err := Decode([]byte(c.line))
 		if err == nil {
 			_, _, err = Apply(v, update)
@@ -75,8 +78,10 @@
 			t.Errorf("%s: %v, want %v", c.line, err, c.want)
 		}
 	}
-	for _, bad := range []string{"", "{", `{"w":1}`, `{"v":1,"boxes":[{"id":"a","state":"ready","cell":0}]}`, `{"v":1,"whole":true,"boxes":[{"id":"a","state":"?"}]}`,
-		`{"v":1,"whole":true,"boxes":[{"id":"a","state":"ready","cell":-1}]}`, `{"v":1,"whole":true,"titles":[{"name":"t","span":0}]}`} {
+	for _, bad := range []string{"", "{", `{"w":1}`, `{"v":1,"boxes":[{"id":"a","state":"ready","cell":0}]}`,
+		`{"v":1,"whole":true,"boxes":[{"id":"a","state":"?"}]}`,
+		`{"v":1,"whole":true,"boxes":[{"id":"a","state":"ready","cell":-1}]}`,
+		`{"v":1,"whole":true,"titles":[{"name":"t","span":0}]}`} {
 		if _, err := Decode([]byte(bad)); err == nil {
 			t.Errorf("%q was accepted", bad)
 		}
--- a/internal/viewstore/viewstore.go
+++ b/internal/viewstore/viewstore.go
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// syncDir makes renames in a directory survive a loss of power.
+// syncDir syncs a directory, so that renames in it are not lost on a power failure.
 func syncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -80,9 +80,9 @@
 	Path      string
 }
 
-// Read returns the newest intact view. A truncated or unknown file is skipped in favour of the previous one; the error
-// then names it and is returned together with that view, or alone if neither file is intact. If no file exists, the
-// error is fs.ErrNotExist.
+// Read returns the newest intact view. A damaged file, or one of another format, is skipped in favour of the previous
+// one; the error then names the skipped file and is returned together with the view, or alone if neither file is
+// intact. If no file exists, the error is fs.ErrNotExist.
 func (s *Store) Read() (*View, error) {
 	var errs []error
 	missing := 0
--- a/internal/viewstore/viewstore_test.go
+++ b/internal/viewstore/viewstore_test.go
@@ -39,7 +39,8 @@
 			t.Fatal(err)
 		}
 		v, err := s.Read()
-		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), s.path) || v == nil || string(v.Body) != "first" {
+		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), s.path) || v == nil ||
+			string(v.Body) != "first" {
 			t.Errorf("file damaged, want error %q: got %+v, %v", want, v, err)
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -143,7 +143,7 @@
 
 func fromMicroseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// elementOr returns the element at an index, or a default where the list is too short.
+// elementOr returns the element at index i, or missing if the list is too short.
 func elementOr[T any](list []T, i int, missing T) T {
 	if i < len(list) {
 		return list[i]
@@ -353,7 +353,7 @@
 	return &Host{controllers: map[int]*control.Controller{}, lists: map[int][]ListEntry{}}
 }
 
-// HandleLine processes one input line and returns its reply. It fails without a reply if the line is malformed.
+// HandleLine processes one input line and returns its reply. It returns an error and no reply if the line is malformed.
 func (h *Host) HandleLine(line []byte) ([]byte, error) {
 	var batch Batch
 	if err := json.Unmarshal(line, &batch); err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -67,7 +67,8 @@
 			}
 			want += strings.TrimSuffix(outbox, "]}")
 		}
-		if _, outbox, _ := strings.Cut(string(got), `"outbox":[`); strings.TrimSuffix(strings.TrimSpace(outbox), "]}") != want {
+		if _, outbox, _ := strings.Cut(string(got), `"outbox":[`); strings.TrimSuffix(strings.TrimSpace(outbox), "]}") !=
+			want {
 			t.Errorf("line %d: shared host %s, separate hosts %s", i+1, got, want)
 		}
 	}
