--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -31,7 +31,8 @@
 }
 
 func boxEntry(event, box, id string, attempt int) Entry {
-	return Entry{Observer: "box", Subject: box, Event: event, Session: id, Attempt: attempt, Edge: "0.a", Title: "t", Class: "play", Rung: 1}
+	return Entry{Observer: "box", Subject: box, Event: event, Session: id, Attempt: attempt, Edge: "0.a",
+		Title: "t", Class: "play", Rung: 1}
 }
 
 func modified(e Entry, change func(*Entry)) Entry {
@@ -41,7 +42,8 @@
 
 // withAttempt appends a set-up attempt that ran.
 func (r timeline) withAttempt(from, to float64, box, id string, attempt int) timeline {
-	return r.at(from, boxEntry(SetUpReceived, box, id, attempt)).at(to, modified(boxEntry(SetUpEnded, box, id, attempt), func(e *Entry) { e.Text = "playing" }))
+	return r.at(from, boxEntry(SetUpReceived, box, id, attempt)).at(to,
+		modified(boxEntry(SetUpEnded, box, id, attempt), func(e *Entry) { e.Text = "playing" }))
 }
 
 func stateEntry(edge, box, state string) Entry {
@@ -51,40 +53,75 @@
 // Judge reports each breach with its rule, box and session, and reports none for similar runs without the breach.
 func TestJudgeFindsBreaches(t *testing.T) {
 	atMostOnce := func(e *Entry) { e.Class = "paid" }
-	base := timeline{}.at(0, viewerEntry(RequestSent, "q")).withAttempt(0.1, 0.2, "b1", "s1", 0).at(0.3, viewerEntry(AnswerReceived, "q"))
+	base := timeline{}.at(0, viewerEntry(RequestSent, "q")).withAttempt(0.1, 0.2, "b1", "s1", 0).
+		at(0.3, viewerEntry(AnswerReceived, "q"))
 	for _, c := range []struct {
 		name, rule, box, session string
 		day                      timeline
 	}{
 		{"no breach", "", "", "", base},
 		{"no answer", NoSessionLost, "", "q2", base.at(1, viewerEntry(RequestSent, "q2"))},
-		{"no answer, edge killed", "", "", "", base.at(1, viewerEntry(RequestSent, "q2")).at(2, Entry{Observer: "script", Subject: "0", Event: EdgeKilled}).at(2, viewerEntry(Unanswered, "q2"))},
-		{"another edge killed", NoSessionLost, "", "q2", base.at(1, viewerEntry(RequestSent, "q2")).at(2, Entry{Observer: "script", Subject: "1", Event: EdgeKilled}).at(2, viewerEntry(Unanswered, "q2"))},
-		{"late answer", NoSessionLost, "", "q2", base.at(1, viewerEntry(RequestSent, "q2")).at(5.3, viewerEntry(AnswerReceived, "q2"))},
-		{"answer within the tolerance", "", "", "", base.at(1, viewerEntry(RequestSent, "q2")).at(5.1, viewerEntry(AnswerReceived, "q2"))},
-		{"gave up before the deadline", "", "", "", base.at(1, viewerEntry(RequestSent, "q2")).at(3, viewerEntry(ViewerGaveUp, "q2"))},
-		{"gave up after the deadline", NoSessionLost, "", "q2", base.at(1, viewerEntry(RequestSent, "q2")).at(9, viewerEntry(ViewerGaveUp, "q2"))},
+		{"no answer, edge killed", "", "", "",
+			base.at(1, viewerEntry(RequestSent, "q2")).at(2, Entry{Observer: "script", Subject: "0", Event: EdgeKilled}).
+				at(2, viewerEntry(Unanswered, "q2"))},
+		{"another edge killed", NoSessionLost, "", "q2",
+			base.at(1, viewerEntry(RequestSent, "q2")).at(2, Entry{Observer: "script", Subject: "1", Event: EdgeKilled}).
+				at(2, viewerEntry(Unanswered, "q2"))},
+		{"late answer", NoSessionLost, "", "q2",
+			base.at(1, viewerEntry(RequestSent, "q2")).at(5.3, viewerEntry(AnswerReceived, "q2"))},
+		{"answer within the tolerance", "", "", "",
+			base.at(1, viewerEntry(RequestSent, "q2")).at(5.1, viewerEntry(AnswerReceived, "q2"))},
+		{"gave up before the deadline", "", "", "",
+			base.at(1, viewerEntry(RequestSent, "q2")).at(3, viewerEntry(ViewerGaveUp, "q2"))},
+		{"gave up after the deadline", NoSessionLost, "", "q2",
+			base.at(1, viewerEntry(RequestSent, "q2")).at(9, viewerEntry(ViewerGaveUp, "q2"))},
 		{"two answers", NoSessionLost, "", "q", base.at(0.4, viewerEntry(AnswerReceived, "q"))},
 		{"bytes after the answer", NoSessionLost, "", "q", base.at(0.4, viewerEntry(ExtraBytes, "q"))},
-		{"overlapping attempts", NoDuplicateSetUp, "b2", "s2", base.at(1, boxEntry(SetUpReceived, "b1", "s2", 0)).withAttempt(1.5, 1.6, "b2", "s2", 1).at(2, boxEntry(SetUpEnded, "b1", "s2", 0))},
-		{"attempt without an end", NoDuplicateSetUp, "b2", "s2", base.at(1, boxEntry(SetUpReceived, "b1", "s2", 0)).withAttempt(1.5, 1.6, "b2", "s2", 1)},
+		{"overlapping attempts", NoDuplicateSetUp, "b2", "s2",
+			base.at(1, boxEntry(SetUpReceived, "b1", "s2", 0)).withAttempt(1.5, 1.6, "b2", "s2", 1).
+				at(2, boxEntry(SetUpEnded, "b1", "s2", 0))},
+		{"attempt without an end", NoDuplicateSetUp, "b2", "s2",
+			base.at(1, boxEntry(SetUpReceived, "b1", "s2", 0)).withAttempt(1.5, 1.6, "b2", "s2", 1)},
 		{"consecutive attempts", "", "", "", base.withAttempt(1, 1.5, "b1", "s2", 0).withAttempt(1.5, 1.6, "b2", "s2", 1)},
-		{"at-most-once set-up sent again", NoDuplicateSetUp, "b2", "s2", base.at(1, modified(boxEntry(SetUpReceived, "b1", "s2", 0), atMostOnce)).at(1.1, modified(boxEntry(SetUpEnded, "b1", "s2", 0), atMostOnce)).
-			at(1.2, modified(boxEntry(SetUpReceived, "b2", "s2", 1), atMostOnce)).at(1.3, modified(boxEntry(SetUpEnded, "b2", "s2", 1), atMostOnce))},
-		{"at-most-once set-up sent again after one that did not run", "", "", "", base.at(1, modified(boxEntry(SetUpReceived, "b1", "s2", 0), atMostOnce)).at(1.1, modified(boxEntry(SetUpNotRun, "b1", "s2", 0), atMostOnce)).
-			at(1.1, modified(boxEntry(SetUpEnded, "b1", "s2", 0), atMostOnce)).at(1.2, modified(boxEntry(SetUpReceived, "b2", "s2", 1), atMostOnce)).at(1.3, modified(boxEntry(SetUpEnded, "b2", "s2", 1), atMostOnce))},
-		{"set-up on a draining box", DrainsRespected, "b1", "s2", base.at(1, stateEntry("0", "b1", "draining")).withAttempt(2.2, 2.3, "b1", "s2", 0)},
-		{"gone after draining", DrainsRespected, "b1", "s2", base.at(1, stateEntry("0", "b1", "draining")).at(2, stateEntry("0", "b1", "gone")).withAttempt(2.2, 2.3, "b1", "s2", 0)},
-		{"draining, within the grace period", "", "", "", base.at(1, stateEntry("0", "b1", "draining")).withAttempt(1.9, 2, "b1", "s2", 0)},
-		{"draining, reported to another edge", "", "", "", base.at(1, stateEntry("1", "b1", "draining")).withAttempt(3, 3.1, "b1", "s2", 0)},
-		{"draining, ready again", "", "", "", base.at(1, stateEntry("0", "b1", "draining")).at(2, stateEntry("0", "b1", "ready")).withAttempt(3, 3.1, "b1", "s2", 0)},
-		{"cold box crashed", ColdBoxesProtected, "b1", "", base.at(1, Entry{Observer: "box", Subject: "b1", Event: BoxOverloaded})},
-		{"rung below the floor", ClassTermsRespected, "b1", "s2", base.at(1, modified(boxEntry(RungSet, "b1", "s2", 0), func(e *Entry) { e.Rung = 0 }))},
-		{"more sessions than seats", ClassTermsRespected, "b2", "s3", base.withAttempt(1, 1.1, "b1", "s2", 0).withAttempt(2, 2.1, "b2", "s3", 0)},
-		{"seats of another edge", "", "", "", base.withAttempt(1, 1.1, "b1", "s2", 0).at(2, modified(boxEntry(SetUpReceived, "b2", "s3", 0), func(e *Entry) { e.Edge = "1.b" }))},
-		{"seat released", "", "", "", base.withAttempt(1, 1.1, "b1", "s2", 0).at(1.5, boxEntry(SessionEnd, "b1", "s1", 0)).withAttempt(2, 2.1, "b2", "s3", 0)},
-		{"attempts beyond the budget", AttemptBudgetRespected, "b2", "s3", base.withAttempt(1, 1.1, "b2", "s1", 1).withAttempt(1.2, 1.3, "b2", "s3", 1)},
-		{"attempts in different windows", "", "", "", base.withAttempt(1, 1.1, "b2", "s1", 1).withAttempt(12, 12.1, "b2", "s3", 1)},
+		{"at-most-once set-up sent again", NoDuplicateSetUp, "b2", "s2",
+			base.at(1, modified(boxEntry(SetUpReceived, "b1", "s2", 0), atMostOnce)).
+				at(1.1, modified(boxEntry(SetUpEnded, "b1", "s2", 0), atMostOnce)).
+				at(1.2, modified(boxEntry(SetUpReceived, "b2", "s2", 1), atMostOnce)).
+				at(1.3, modified(boxEntry(SetUpEnded, "b2", "s2", 1), atMostOnce))},
+		{"at-most-once set-up sent again after one that did not run", "", "", "",
+			base.at(1, modified(boxEntry(SetUpReceived, "b1", "s2", 0), atMostOnce)).
+				at(1.1, modified(boxEntry(SetUpNotRun, "b1", "s2", 0), atMostOnce)).
+				at(1.1, modified(boxEntry(SetUpEnded, "b1", "s2", 0), atMostOnce)).
+				at(1.2, modified(boxEntry(SetUpReceived, "b2", "s2", 1), atMostOnce)).
+				at(1.3, modified(boxEntry(SetUpEnded, "b2", "s2", 1), atMostOnce))},
+		{"set-up on a draining box", DrainsRespected, "b1", "s2",
+			base.at(1, stateEntry("0", "b1", "draining")).withAttempt(2.2, 2.3, "b1", "s2", 0)},
+		{"gone after draining", DrainsRespected, "b1", "s2",
+			base.at(1, stateEntry("0", "b1", "draining")).at(2, stateEntry("0", "b1", "gone")).
+				withAttempt(2.2, 2.3, "b1", "s2", 0)},
+		{"draining, within the grace period", "", "", "",
+			base.at(1, stateEntry("0", "b1", "draining")).withAttempt(1.9, 2, "b1", "s2", 0)},
+		{"draining, reported to another edge", "", "", "",
+			base.at(1, stateEntry("1", "b1", "draining")).withAttempt(3, 3.1, "b1", "s2", 0)},
+		{"draining, ready again", "", "", "",
+			base.at(1, stateEntry("0", "b1", "draining")).at(2, stateEntry("0", "b1", "ready")).
+				withAttempt(3, 3.1, "b1", "s2", 0)},
+		{"cold box crashed", ColdBoxesProtected, "b1", "",
+			base.at(1, Entry{Observer: "box", Subject: "b1", Event: BoxOverloaded})},
+		{"rung below the floor", ClassTermsRespected, "b1", "s2",
+			base.at(1, modified(boxEntry(RungSet, "b1", "s2", 0), func(e *Entry) { e.Rung = 0 }))},
+		{"more sessions than seats", ClassTermsRespected, "b2", "s3",
+			base.withAttempt(1, 1.1, "b1", "s2", 0).withAttempt(2, 2.1, "b2", "s3", 0)},
+		{"seats of another edge", "", "", "",
+			base.withAttempt(1, 1.1, "b1", "s2", 0).
+				at(2, modified(boxEntry(SetUpReceived, "b2", "s3", 0), func(e *Entry) { e.Edge = "1.b" }))},
+		{"seat released", "", "", "",
+			base.withAttempt(1, 1.1, "b1", "s2", 0).at(1.5, boxEntry(SessionEnd, "b1", "s1", 0)).
+				withAttempt(2, 2.1, "b2", "s3", 0)},
+		{"attempts beyond the budget", AttemptBudgetRespected, "b2", "s3",
+			base.withAttempt(1, 1.1, "b2", "s1", 1).withAttempt(1.2, 1.3, "b2", "s3", 1)},
+		{"attempts in different windows", "", "", "",
+			base.withAttempt(1, 1.1, "b2", "s1", 1).withAttempt(12, 12.1, "b2", "s3", 1)},
 	} {
 		v := Judge(testSite(), c.day)
 		if c.rule == "" {
@@ -97,7 +134,8 @@
 			t.Errorf("%s: no breach reported", c.name)
 			continue
 		}
-		if b := v.Breaches[len(v.Breaches)-1]; b.Rule != c.rule || b.Box != c.box || b.Session != c.session || b.Reason == "" {
+		if b := v.Breaches[len(v.Breaches)-1]; b.Rule != c.rule || b.Box != c.box ||
+			b.Session != c.session || b.Reason == "" {
 			t.Errorf("%s: reported breach is %+v", c.name, b)
 		}
 		if got := v.BrokenRules(); len(got) != 1 || got[0] != c.rule {
@@ -112,7 +150,8 @@
 	start := timeline{}.at(0, Entry{Observer: "box", Subject: "b", Event: BoxStarted, Value: 20})
 	burst := func(r timeline, n int, from float64) timeline {
 		for i := range n {
-			r = r.at(from+float64(i)/100, modified(boxEntry(SetUpReceived, "b", "s"+string(rune('a'+i)), 0), func(e *Entry) { e.Class = "other" }))
+			r = r.at(from+float64(i)/100, modified(boxEntry(SetUpReceived, "b", "s"+string(rune('a'+i)), 0),
+				func(e *Entry) { e.Class = "other" }))
 		}
 		return r
 	}
@@ -120,8 +159,10 @@
 		name string
 		day  timeline
 		bad  bool
-	}{{"within the limit", burst(start, 5, 0.1), false}, {"beyond the limit", burst(start, 6, 0.1), true}, {"late in the slow start", burst(start, 6, 9), false},
-		{"after the slow start", burst(start, 20, 11), false}, {"started warm", burst(timeline{}.at(0, Entry{Observer: "box", Subject: "b", Event: BoxStarted, Value: 20, Text: "warm"}), 9, 0.1), false}} {
+	}{{"within the limit", burst(start, 5, 0.1), false}, {"beyond the limit", burst(start, 6, 0.1), true},
+		{"late in the slow start", burst(start, 6, 9), false}, {"after the slow start", burst(start, 20, 11), false},
+		{"started warm", burst(timeline{}.at(0,
+			Entry{Observer: "box", Subject: "b", Event: BoxStarted, Value: 20, Text: "warm"}), 9, 0.1), false}} {
 		if v := Judge(testSite(), c.day); (len(v.Breaches) > 0) != c.bad {
 			t.Errorf("%s: breaches are %+v", c.name, v.Breaches)
 		}
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -34,10 +34,10 @@
 	SetUpReceived  = "setup-arrived" // box: a set-up attempt arrived
 	SetUpRan       = "setup-ran"     // box: the set-up succeeded and the session runs
 	SetUpNotRun    = "setup-never"   // box: the set-up was refused and certainly did not run
-	SetUpEnded     = "setup-over"    // box: the attempt was answered, or its connection closed; Text is "playing" on success
+	SetUpEnded     = "setup-over"    // box: the attempt was answered or its connection closed; Text "playing": success
 	SessionEnd     = "session-end"   // box: a session ended; Text is the reason
 	RungSet        = "rung"          // box: the edge changed a session's rung
-	BoxStarted     = "box-started"   // box: its process started; Value is its stream slots, Text is "warm" if it starts warm
+	BoxStarted     = "box-started"   // box: its process started; Value is its stream slots, Text "warm" if it starts warm
 	BoxOverloaded  = "box-fell"      // box: it crashed from too many set-ups during slow start
 	StatePublished = "told"          // relay: forwarded an update about box Subject to edge Edge; Text is its state
 	RequestSent    = "asked"         // viewer: a request was sent; Value is its deadline in seconds
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -118,17 +118,18 @@
 			openRequests[e.Session] = e
 		case e.Event == ExtraBytes:
 			c.verdict.DuplicateOutcomes++
-			c.addBreach(NoSessionLost, e, "bytes after the one answer")
+			c.addBreach(NoSessionLost, e, "bytes follow the answer")
 		case e.Event == AnswerReceived || e.Event == ViewerGaveUp || e.Event == Unanswered:
 			req, ok := openRequests[e.Session]
 			if !ok {
 				c.verdict.DuplicateOutcomes++
-				c.addBreach(NoSessionLost, e, "a second end of one request")
+				c.addBreach(NoSessionLost, e, "the request ended a second time")
 				continue
 			}
 			delete(openRequests, e.Session)
 			c.countCheck(NoSessionLost)
-			lateness := e.TimeMicros - req.TimeMicros - int64(req.Value*1e6) - c.site.Rules.AnswerSlack.Std().Microseconds() - answerSlack
+			lateness := e.TimeMicros - req.TimeMicros - int64(req.Value*1e6) -
+				c.site.Rules.AnswerSlack.Std().Microseconds() - answerSlack
 			killed := slices.ContainsFunc(killTimes[edgePosition(req.Edge)], func(t int64) bool {
 				return t >= req.TimeMicros-orderSlack && t <= e.TimeMicros+orderSlack
 			})
@@ -136,15 +137,16 @@
 			case e.Event == Unanswered && !killed:
 				c.addBreach(NoSessionLost, e, "the connection ended without an answer")
 			case e.Event == AnswerReceived && lateness > 0:
-				c.addBreach(NoSessionLost, e, "answered %d ms too late", lateness/1000)
+				c.addBreach(NoSessionLost, e, "answered %d ms after the deadline", lateness/1000)
 			case e.Event == ViewerGaveUp && lateness > 0 && !killed: // no answer came by the deadline
-				c.addBreach(NoSessionLost, e, "no answer when the viewer gave up, %d ms past its time", lateness/1000)
+				c.addBreach(NoSessionLost, e, "no answer when the viewer gave up, %d ms after the deadline", lateness/1000)
 			}
 		}
 	}
 	for _, k := range slices.Sorted(maps.Keys(openRequests)) {
 		req := openRequests[k]
-		killed := slices.ContainsFunc(killTimes[edgePosition(req.Edge)], func(t int64) bool { return t >= req.TimeMicros-orderSlack })
+		killed := slices.ContainsFunc(killTimes[edgePosition(req.Edge)],
+			func(t int64) bool { return t >= req.TimeMicros-orderSlack })
 		if c.countCheck(NoSessionLost); !killed {
 			c.addBreach(NoSessionLost, req, "no answer by the end of the run")
 		}
@@ -192,11 +194,11 @@
 			for _, earlier := range attempts[:i] {
 				if earlier.endedAt == 0 || earlier.endedAt > attempt.TimeMicros+orderSlack {
 					c.verdict.OverlappingAttempts++
-					c.addBreach(NoDuplicateSetUp, attempt.Entry, "attempt %d goes out while attempt %d is out at %s",
+					c.addBreach(NoDuplicateSetUp, attempt.Entry, "attempt %d was sent while attempt %d was in progress at %s",
 						attempt.Attempt, earlier.Attempt, earlier.Subject)
 				}
 				if c.classEffect(attempt.Class) == "paid" && !earlier.notRun {
-					c.addBreach(NoDuplicateSetUp, attempt.Entry, "paid set-up sent again: attempt %d at %s may have run",
+					c.addBreach(NoDuplicateSetUp, attempt.Entry, "at-most-once set-up sent again: attempt %d at %s may have run",
 						earlier.Attempt, earlier.Subject)
 				}
 			}
@@ -236,7 +238,8 @@
 		case e.Observer == "box" && e.Event == SetUpReceived:
 			c.countCheck(DrainsRespected)
 			if since, ok := notReadySince[key{edgePosition(e.Edge), e.Subject}]; ok && e.TimeMicros > since+grace {
-				c.addBreach(DrainsRespected, e, "set-up %d ms after edge %s was told", (e.TimeMicros-since)/1000, edgePosition(e.Edge))
+				c.addBreach(DrainsRespected, e, "set-up %d ms after edge %s received that the box drains or is gone",
+					(e.TimeMicros-since)/1000, edgePosition(e.Edge))
 			}
 		}
 	}
@@ -264,7 +267,7 @@
 		}
 		switch e.Event {
 		case BoxOverloaded:
-			c.addBreach(ColdBoxesProtected, e, "the box fell over")
+			c.addBreach(ColdBoxesProtected, e, "the box crashed from too many set-ups")
 		case BoxStarted:
 			if e.Text != "warm" {
 				boxes[e.Subject] = &box{started: e.TimeMicros, streams: e.Value}
@@ -281,8 +284,10 @@
 			}
 			rampShare := float64(e.TimeMicros-b.started) / float64(r.Ramp.Std().Microseconds())
 			rampRate := b.streams / r.Ramp.Std().Seconds() * (r.StartShare + (1-r.StartShare)*rampShare)
-			if allowed := r.FallFactor*rampRate*r.FallSpan.Std().Seconds() + coldSetUpSlack; float64(len(b.recentSetUps)) > allowed {
-				c.addBreach(ColdBoxesProtected, e, "%d set-ups in %v, %.1f allowed", len(b.recentSetUps), r.FallSpan.Std(), allowed)
+			if allowed := r.FallFactor*rampRate*r.FallSpan.Std().Seconds() +
+				coldSetUpSlack; float64(len(b.recentSetUps)) > allowed {
+				c.addBreach(ColdBoxesProtected, e, "%d set-ups in %v, %.1f allowed",
+					len(b.recentSetUps), r.FallSpan.Std(), allowed)
 			}
 		}
 	}
@@ -307,7 +312,7 @@
 		case SetUpReceived, RungSet:
 			c.countCheck(ClassTermsRespected)
 			if e.Rung < class.Floor {
-				c.addBreach(ClassTermsRespected, e, "rung %d under the floor %d of %s", e.Rung, class.Floor, e.Class)
+				c.addBreach(ClassTermsRespected, e, "rung %d is below the floor %d of %s", e.Rung, class.Floor, e.Class)
 			}
 		}
 		switch {
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -59,7 +59,8 @@
 				delete(p.openRequests, e.ID)
 				continue
 			}
-			req.mayHaveRun = req.mayHaveRun || e.Outcome != control.Full && e.Outcome != control.ConnectFailed && e.Outcome != control.NotSent
+			req.mayHaveRun = req.mayHaveRun ||
+				e.Outcome != control.Full && e.Outcome != control.ConnectFailed && e.Outcome != control.NotSent
 			out = append(out, p.trySend(req)...)
 		}
 	}
@@ -85,7 +86,8 @@
 	if req.mayHaveRun && class.Effect != control.Idempotent {
 		return []control.Action{control.Fail{ID: req.ID}}
 	}
-	budgetSpent := isRetry && p.settings.BudgetSpan > 0 && float64(p.retries+1) > p.settings.BudgetShare*float64(p.requests)
+	budgetSpent := isRetry && p.settings.BudgetSpan > 0 &&
+		float64(p.retries+1) > p.settings.BudgetShare*float64(p.requests)
 	if len(holders) == 0 || req.attempts >= 2 || budgetSpent {
 		return []control.Action{control.Refuse{ID: req.ID}}
 	}
--- a/internal/copies/copies.go
+++ b/internal/copies/copies.go
@@ -478,7 +478,7 @@
 	return best
 }
 
-// freeLinkShare is the share of the link that is not in use.
+// freeLinkShare returns the share of the link that is not in use.
 func (b *boxState) freeLinkShare() float64 { return 1 - b.LinkLoad/max(b.LinkCapacity, 1e-9) }
 
 // SessionsByTitle returns the number of sessions that play each title, by the boxes' last inventories.
@@ -494,8 +494,8 @@
 	return out
 }
 
-// FreeDisk is the disk space of a box that is available for complete copies. The space of incomplete copies counts as
-// available, since they may be completed or dropped.
+// FreeDisk returns the disk space of a box that is available for complete copies. The space of incomplete copies counts
+// as available, since they may be completed or dropped.
 func (m *Manager) FreeDisk(id string) (free float64) {
 	if b := m.boxes[id]; b != nil {
 		free = b.inventory.FreeDisk
--- a/internal/edge/adopt.go
+++ b/internal/edge/adopt.go
@@ -45,7 +45,7 @@
 }
 
 // adoptSession takes over a session of an earlier instance of this edge. The session is released instead if its
-// viewer has a new one already.
+// viewer has a new one already or if its manifest cannot be read. One that does not fit the site is ignored.
 func (e *Edge) adoptSession(server string, held heldSession) {
 	class := e.Site.ClassIndex(held.Class)
 	title, ok := e.fleet.Load().titles[held.Title]
--- a/internal/edge/boxes.go
+++ b/internal/edge/boxes.go
@@ -68,7 +68,7 @@
 }
 
 // countOutcome counts the outcome of a set-up for the report to the planner, so that failing set-ups can
-// overrule a health check that passes.
+// overrule a health check that passes. A refusal for lack of capacity and a cancelled set-up do not count.
 func (b *boxClient) countOutcome(ctx context.Context, server string, outcome control.Outcome) {
 	served := outcome == control.Served
 	if outcome == control.Full || !served && errors.Is(ctx.Err(), context.Canceled) {
@@ -175,8 +175,7 @@
 func (e *Edge) instanceName() string { return strconv.Itoa(e.Position) + "." + e.instanceID }
 
 // Release queues a message to a box that a session is over, so that the orchestrator does not wait. When the
-// queue is full the message is dropped, and the box learns of the end from the list of the sessions that the
-// edge holds.
+// queue is full the message is dropped; the box then ends the session once the event stream of the edge is closed.
 func (b *boxClient) Release(id, server string, attempt int) {
 	select {
 	case b.releaseQueue <- releaseRequest{id, server, attempt}:
@@ -231,8 +230,8 @@
 	})
 }
 
-// follower reads the event stream of one box: it carries notes about sessions there, and the box counts as
-// lost when it stays silent.
+// follower reads the event stream of one box, which carries notes about sessions there. A box whose stream
+// cannot be read counts as lost.
 type follower struct {
 	sessions map[string]time.Duration // sessions at the box by ID, with the time when each was added
 }
@@ -321,7 +320,7 @@
 	}
 }
 
-// cancelWhenIdle cancels a stream once the box has been without sessions for streamIdleTimeout without a break.
+// cancelWhenIdle cancels a stream once the edge has had no sessions at the box for streamIdleTimeout.
 func (b *boxClient) cancelWhenIdle(ctx context.Context, cancel context.CancelFunc, f *follower) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
--- a/internal/edge/consul_test.go
+++ b/internal/edge/consul_test.go
@@ -111,8 +111,8 @@
 		_, body := env.get("http://" + env.site.Planner.Listen + "/v1/view")
 		return strings.Count(body, `"state":"ready"`) == 6
 	})
-	if l := env.plannerBox(0); l.Source != "disk" || l.AgeMs <= 0 {
-		t.Errorf("%+v", l)
+	if box := env.plannerBox(0); box.Source != "disk" || box.AgeMs <= 0 {
+		t.Errorf("%+v", box)
 	}
 	if code, _ := env.play(0, "key=a"); code != 200 {
 		t.Error(code)
@@ -123,7 +123,7 @@
 	}
 	env.waitForBoxState(0, "draining", "drain told by consul")
 	env.catalogue.SetFault(standin.CatalogueFault{EmptyList: true})
-	time.Sleep(6 * time.Second) // longer than a missing entry stays valid
+	time.Sleep(6 * time.Second) // longer than a missing entry remains in effect
 	env.waitForBoxState(1, "ready", "kept: checks took away")
 	env.waitForBoxState(0, "draining", "drain told by consul")
 	for i := range 6 {
@@ -140,9 +140,9 @@
 	env := newConsulEnv(t, 3, 2)
 	env.fleet.Boxes[1].SetFaults(func(f *standin.Faults) { f.Hang, f.FalseHealth = true, true })
 	stop := make(chan struct{})
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(done)
 		for i := 0; ; i++ {
 			select {
 			case <-stop:
@@ -156,7 +156,7 @@
 		return strings.Contains(env.plannerBox(1).Reason, "set-ups failed in a row")
 	})
 	close(stop)
-	<-over
+	<-done
 	time.Sleep(2500 * time.Millisecond) // wait for the last requests to end
 	env.fleet.Boxes[1].SetFaults(func(f *standin.Faults) { f.Hang, f.FalseHealth = false, false })
 	if n := env.countEntries(audit.SetUpReceived, ""); n == 0 {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -198,8 +198,8 @@
 		length = max(length-s.resumePosition, 0)
 	}
 	r := control.Request{ID: p.id, Class: s.class, Viewer: hash(s.viewerKey), Title: hash(s.title.Name),
-		HomeCell: s.title.HomeCell, CellSpan: s.title.CellSpan, BestRung: s.maxRung, GiveUpAt: now + timeLeft, ExpectedLength: length,
-		Repeat: d.Repeat, Returned: d.Returned, Moved: d.Moved}
+		HomeCell: s.title.HomeCell, CellSpan: s.title.CellSpan, BestRung: s.maxRung, GiveUpAt: now + timeLeft,
+		ExpectedLength: length, Repeat: d.Repeat, Returned: d.Returned, Moved: d.Moved}
 	if s.title.Listed {
 		r.Holders = s.title.Holders
 	}
--- a/internal/edge/fleet.go
+++ b/internal/edge/fleet.go
@@ -123,8 +123,8 @@
 // toServer converts a box of the view to a server of the module. It returns false if the zone, kind or cell of the box
 // is not in the site file.
 func (e *Edge) toServer(b view.Box, now int64) (control.Server, bool) {
-	s := control.Server{ID: b.ID, Zone: e.Site.ZoneIndex(b.Zone), Kind: e.Site.KindIndex(b.Kind), Cell: b.Cell, Weight: b.Weight,
-		Started: e.boxStartTime(b, now)}
+	s := control.Server{ID: b.ID, Zone: e.Site.ZoneIndex(b.Zone), Kind: e.Site.KindIndex(b.Kind), Cell: b.Cell,
+		Weight: b.Weight, Started: e.boxStartTime(b, now)}
 	switch b.State {
 	case view.StateReady:
 		s.State = control.Ready
--- a/internal/edge/handle.go
+++ b/internal/edge/handle.go
@@ -194,7 +194,8 @@
 	}
 	for i := range len(s) {
 		c := s[i]
-		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '.' || c == '_' || c == '~') {
+		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
+			c == '-' || c == '.' || c == '_' || c == '~') {
 			return false
 		}
 	}
@@ -277,7 +278,7 @@
 // maxClockSkew. It does not allocate.
 func isPastStart(path []byte, now time.Duration) bool {
 	start := path[bytes.LastIndexByte(path, '/')+1:]
-	if len(start) == 0 || len(start) > 12 { // longer ones exceed bound.Latest and could overflow n
+	if len(start) == 0 || len(start) > 12 { // longer ones exceed MaxUnixMilli and could overflow n
 		return false
 	}
 	n := int64(0)
--- a/internal/edge/holds.go
+++ b/internal/edge/holds.go
@@ -24,7 +24,8 @@
 	reportSeq uint64
 }
 
-// maxCounted limits the pairs of class and title whose requests are counted, and the boxes whose set-ups are.
+// maxCounted limits the pairs of class and title whose requests are counted, and the boxes whose set-up outcomes
+// are counted.
 const maxCounted = 10000
 
 // countArrival counts the first request of a viewer.
--- a/internal/edge/restart_test.go
+++ b/internal/edge/restart_test.go
@@ -33,8 +33,8 @@
 	env.waitFor("the planner's view to be applied", func() bool { return strings.Contains(env.status(0), `"boxes":2,`) })
 	env.edgeTasks[0].stopAndWait()
 	file := filepath.Join(env.stateDir, "view-0.json")
-	for _, torn := range []string{"", "{", `{"v":1,"whole":true,"boxes":[{"id":""}]}`, `{"v":1}`} {
-		if err := os.WriteFile(file, []byte(torn), 0o644); err != nil {
+	for _, malformed := range []string{"", "{", `{"v":1,"whole":true,"boxes":[{"id":""}]}`, `{"v":1}`} {
+		if err := os.WriteFile(file, []byte(malformed), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		env.startEdge(0, 2) // the file is ignored; the view comes from the planner
--- a/internal/mapping/drift.go
+++ b/internal/mapping/drift.go
@@ -17,8 +17,9 @@
 
 // Limits on the copies of a DriftTracker.
 const (
-	maxCopiesPerPass = 2    // copies added per pass: popularity changes slowly, and copying uses the viewers' links
-	releaseMargin    = 0.75 // a copy is released when its title could do without it with its sessions divided by this
+	maxCopiesPerPass = 2 // copies added per pass: popularity changes slowly, and copying uses the viewers' links
+	// A copy is released only if its title would have no shortfall without it, even with its sessions divided by this.
+	releaseMargin = 0.75
 )
 
 // NewDriftTracker returns a tracker that has no counts yet.
--- a/internal/mapping/greedy.go
+++ b/internal/mapping/greedy.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// worthPerKB is the worth that each kB earns.
+// worthPerKB returns the worth that each kB earns.
 func worthPerKB(demand *TitleDemand) float64 { return demand.Worth / max(demand.Rate, 1e-9) }
 
 // finishesInTime reports whether the given number of copies can be complete before the peak starts. Each new copy is
@@ -174,7 +174,7 @@
 	return shortfalls, spare
 }
 
-// usableRate is the rate that a box can give a title's viewers within its free link rate and its free streams.
+// usableRate returns the rate that a box can give a title's viewers within its free link rate and its free streams.
 func (s *spreadState) usableRate(box int, demand *TitleDemand) float64 {
 	return min(s.freeLink[box], s.freeStreams[box]*demand.Rate/max(demand.Sessions, 1))
 }
--- a/internal/peaks/peaks_test.go
+++ b/internal/peaks/peaks_test.go
@@ -133,8 +133,8 @@
 	return f
 }
 
-// checkLimits returns an error if a plan exceeds a limit. mayStepDown allows holds to use capacity that sessions give up
-// by stepping down.
+// checkLimits returns an error if a plan exceeds a limit. mayStepDown allows holds to use capacity that sessions give
+// up by stepping down.
 func checkLimits(f *Fleet, demands []Demand, p *Plan, mayStepDown bool) error {
 	link, streams, rack, count := map[string]float64{}, map[string]float64{}, map[int]float64{}, map[string]float64{}
 	box := map[string]*Box{}
--- a/internal/planner/copies.go
+++ b/internal/planner/copies.go
@@ -46,8 +46,9 @@
 	state := copyState{decisions: mapping.NewDecisions(), drift: mapping.NewDriftTracker(driftHalfLife),
 		titleSizes: map[string]float64{}}
 	if settings.Managed {
-		state.manager = copies.New(copies.Config{MinCopies: settings.Least, MaxConcurrent: settings.AtOnce, LinkShare: settings.Share,
-			DropGrace: settings.Grace.Std(), ProgressTimeout: settings.Patience.Std(), Backoff: settings.Backoff.Std()})
+		state.manager = copies.New(copies.Config{MinCopies: settings.Least, MaxConcurrent: settings.AtOnce,
+			LinkShare: settings.Share, DropGrace: settings.Grace.Std(), ProgressTimeout: settings.Patience.Std(),
+			Backoff: settings.Backoff.Std()})
 	}
 	return state
 }
@@ -196,8 +197,10 @@
 		p.mu.Lock()
 		viewPublished := p.published.Version > 0
 		p.mu.Unlock()
-		if !viewPublished { // a restarted planner that does not know all boxes yet would drop the copies that the
-			continue // previous process had made for peaks
+		// A restarted planner that does not know all boxes yet would drop the copies that the previous process had
+		// made for peaks.
+		if !viewPublished {
+			continue
 		}
 		p.chooseCopies()
 		p.mu.Lock()
@@ -327,8 +330,8 @@
 		ratePerCopy += max(min(settings.Share*b.LinkCapacity, b.LinkCapacity-b.LinkLoad), 0) /
 			float64(len(fleet.Boxes)*max(settings.AtOnce, 1))
 	}
-	return mapping.Bounds{MaxUtilization: peaks.MaxUtilization, PricePerKB: fleet.CopyPricePerKB(), MaxCopiesPerTitle: settings.Most, CopyRate: ratePerCopy,
-		SecondsUntilPeak: copyTimeMargin * within}
+	return mapping.Bounds{MaxUtilization: peaks.MaxUtilization, PricePerKB: fleet.CopyPricePerKB(),
+		MaxCopiesPerTitle: settings.Most, CopyRate: ratePerCopy, SecondsUntilPeak: copyTimeMargin * within}
 }
 
 // chooseCopies chooses copies for the peaks without a valid decision. It solves the linear program without holding
@@ -380,8 +383,8 @@
 	}
 	p.copyState.lastChoice = choice
 	p.Log.Info("copies chosen", "hours", len(undecided), "copies", len(choice.Copies), "by", choice.Method,
-		"worth_without", choice.NoCopiesValue, "worth_greedy", choice.GreedyValue, "worth", choice.BestValue, "took", choice.Elapsed,
-		"within_s", bounds.SecondsUntilPeak, "each_kb_s", bounds.CopyRate)
+		"worth_without", choice.NoCopiesValue, "worth_greedy", choice.GreedyValue, "worth", choice.BestValue,
+		"took", choice.Elapsed, "within_s", bounds.SecondsUntilPeak, "each_kb_s", bounds.CopyRate)
 }
 
 // copyDemand returns the expected demand for one title of a peak. The boxes of copies that are already decided count
@@ -404,6 +407,7 @@
 	class := fleet.Classes[d.Class]
 	return d, mapping.TitleDemand{Peak: a.ID, Title: name, Size: p.copyState.titleSizes[name],
 		Rate: d.Sessions * fleet.Ladder[rung] * class.RateFactor, Sessions: d.Sessions,
-		Worth: d.Sessions * d.Worth * fleet.RungWorths[rung], DurationSeconds: float64(a.Duration)/1000 + p.sessionLength(a).Seconds(),
-		Zone: p.Site.ZoneIndex(a.Zone), Holders: d.Holders}, true
+		Worth:           d.Sessions * d.Worth * fleet.RungWorths[rung],
+		DurationSeconds: float64(a.Duration)/1000 + p.sessionLength(a).Seconds(),
+		Zone:            p.Site.ZoneIndex(a.Zone), Holders: d.Holders}, true
 }
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -44,7 +44,9 @@
 		return p.peakState.plan.Value
 	})
 	if manager := p.copyState.manager; manager != nil {
-		gauge("copies_under_way", "Copies that boxes are making.", nil, func() float64 { return float64(manager.RunningJobs()) })
+		gauge("copies_under_way", "Copies that boxes are making.", nil, func() float64 {
+			return float64(manager.RunningJobs())
+		})
 		gauge("copies_wanted", "Copies beyond those at rest that are decided.", nil, func() float64 {
 			return float64(len(p.copyState.decisions.Copies()) + len(p.copyState.driftCopies))
 		})
--- a/internal/planner/overrides.go
+++ b/internal/planner/overrides.go
@@ -91,7 +91,8 @@
 	}
 	p.overrides.Titles = map[string]view.Title{}
 	for name, title := range saved.Titles {
-		if title.Name != name || title.HomeCell < 0 || title.HomeCell >= p.Site.Cells || title.CellSpan < 0 || title.CellSpan > p.Site.Cells {
+		if title.Name != name || title.HomeCell < 0 || title.HomeCell >= p.Site.Cells ||
+			title.CellSpan < 0 || title.CellSpan > p.Site.Cells {
 			p.Log.Warn("dropped a stored title: it does not fit the site's cells", "title", name)
 			continue
 		}
--- a/internal/planner/peaks.go
+++ b/internal/planner/peaks.go
@@ -40,7 +40,8 @@
 }
 
 func newPeakState() peakState {
-	return peakState{announcements: peaks.NewAnnouncementStore(), ledger: peaks.NewLedger(), followers: map[string]*peaks.Follower{},
+	return peakState{announcements: peaks.NewAnnouncementStore(), ledger: peaks.NewLedger(),
+		followers:    map[string]*peaks.Follower{},
 		lastArrivals: map[string]float64{}, pendingArrivals: map[string]float64{}, edgeInstances: map[string]string{},
 		plan: &peaks.Plan{}, fileReadTimes: map[string]time.Time{}}
 }
@@ -57,8 +58,8 @@
 	return known
 }
 
-// announce adds one announcement to the book and stores the book on disk before it returns. It reports whether the
-// book changed.
+// announce adds one announcement and stores all announcements on disk before it returns. It reports whether the
+// announcements changed.
 func (p *Planner) announce(a peaks.Announcement) (bool, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -326,7 +327,8 @@
 		fleet.Ladder, fleet.RungWorths = append(fleet.Ladder, float64(r.Rate)), append(fleet.RungWorths, r.Worth)
 	}
 	for _, k := range site.Classes {
-		c := peaks.Class{RateFactor: k.RateFactor, FloorRung: k.Floor, TopRung: len(site.Ladder) - 1, Worth: k.Worth, Seats: k.Seats}
+		c := peaks.Class{RateFactor: k.RateFactor, FloorRung: k.Floor, TopRung: len(site.Ladder) - 1,
+			Worth: k.Worth, Seats: k.Seats}
 		if c.RateFactor <= 0 {
 			c.RateFactor = 1
 		}
@@ -352,10 +354,11 @@
 			box.MaxStreams = float64(site.Kinds[k].Streams)
 		}
 		used := peakUse[b.ID]
-		box.LinkLoad, box.ActiveSessions = max(state.linkUtilization*box.LinkCapacity-used.Rate, 0), max(state.streams-used.Streams, 0)
+		box.LinkLoad, box.ActiveSessions = max(state.linkUtilization*box.LinkCapacity-used.Rate, 0),
+			max(state.streams-used.Streams, 0)
 		fleet.Boxes = append(fleet.Boxes, box)
-		capacities[b.ID] = peaks.BoxCapacity{Rate: box.LinkCapacity, Streams: box.MaxStreams, Busy: state.linkUtilization * box.LinkCapacity,
-			Playing: state.streams}
+		capacities[b.ID] = peaks.BoxCapacity{Rate: box.LinkCapacity, Streams: box.MaxStreams,
+			Busy: state.linkUtilization * box.LinkCapacity, Playing: state.streams}
 	}
 	p.peakState.ledger.SetCapacities(capacities)
 	return fleet
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -21,7 +21,7 @@
 	"rainpulley/internal/view"
 )
 
-// Options of a planner.
+// Options configures a Planner.
 type Options struct {
 	Site          *config.Site
 	Listener      net.Listener // nil: listens on the site's address
@@ -165,7 +165,7 @@
 // the interval.
 func (p *Planner) runHealthChecks(ctx context.Context, addr string, number int) {
 	interval := p.Site.Planner.CheckEvery.Std()
-	var knownVersion uint64
+	var knownVersion uint64 // version of the list of titles that was read last, plus 1; 0: none was read
 	var lastRead time.Time
 	misses := 0
 	timer := time.NewTimer(interval * time.Duration(number) / time.Duration(max(len(p.Site.Boxes), 64)))
@@ -314,7 +314,8 @@
 	if r.Method == http.MethodPut {
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096))
 		decoder.DisallowUnknownFields()
-		if err := decoder.Decode(&t); err != nil || t.Name != r.PathValue("name") || t.HomeCell < 0 || t.HomeCell >= p.Site.Cells ||
+		if err := decoder.Decode(&t); err != nil || t.Name != r.PathValue("name") ||
+			t.HomeCell < 0 || t.HomeCell >= p.Site.Cells ||
 			t.CellSpan < 1 || t.CellSpan > p.Site.Cells || t.LengthMs < 0 || t.LengthMs > timeconv.MaxDuration.Milliseconds() {
 			http.Error(w, "want {\"name\",\"home\",\"span\",\"length_ms\"} that fit the cells", http.StatusBadRequest)
 			return
--- a/internal/planner/sources.go
+++ b/internal/planner/sources.go
@@ -179,7 +179,8 @@
 	listed := map[string]bool{}
 	for _, t := range titles {
 		listed[t.Name] = true
-		if old := p.monitor.titles[t.Name]; old.HomeCell != t.HomeCell || old.CellSpan != t.CellSpan || old.LengthMs != t.LengthMs {
+		if old := p.monitor.titles[t.Name]; old.HomeCell != t.HomeCell || old.CellSpan != t.CellSpan ||
+			old.LengthMs != t.LengthMs {
 			set(t)
 		}
 	}
--- a/internal/registry/consul.go
+++ b/internal/registry/consul.go
@@ -121,7 +121,7 @@
 // runBlockingQuery repeats one blocking query until ctx ends. It follows Consul's rules for blocking queries: an
 // index that goes backwards is reset to 0, and an index is at least 1, because a query from 0 does not wait; the
 // server lengthens a wait by up to a sixteenth. Every answer is applied, also one at the same index, because it
-// renews the age. The delay after an error doubles and is randomized, so that fronts do not return to a restarted
+// renews the age. The delay after an error doubles and is randomized, so that clients do not return to a restarted
 // catalogue at the same time.
 func (c *Consul) runBlockingQuery(ctx context.Context, subject string, onError func(error),
 	query func(*api.QueryOptions) (*api.QueryMeta, func(), error)) {
--- a/internal/regret/regret.go
+++ b/internal/regret/regret.go
@@ -7,19 +7,32 @@
 
 // The causes. The values appear in results.
 const (
-	RefusedCapacityElsewhere Cause = "refused, room elsewhere"            // only boxes without the title had capacity
-	RefusedDespiteHolder     Cause = "refused, a holder had room"         // a holder had capacity that the front did not know or did not use
-	RefusedForStreams        Cause = "refused for streams"                // no holder had a free stream slot
-	RefusedForSeats          Cause = "refused for seats"                  // all seats of the title and class at the edge were taken
-	RefusedNoCapacity        Cause = "refused, no room anywhere"          // no box had capacity
-	LateStart                Cause = "late"                               // time from a request to its session, without a refusal
-	Interrupted              Cause = "broken"                             // time between two sessions, and time of failed set-ups
-	NotYetRaised             Cause = "climb not yet made"                 // played below a rung that was reached only later
-	SteppedDown              Cause = "stepped down"                       // played below a rung that was reached both before and again later
-	LowShare                 Cause = "lower than its share, no room near" // played below the best rung, which was not reached again
-	Stalls                   Cause = "stalls"                             // time in which playback stalled
-	RungChanges              Cause = "switches"                           // cost of rung changes
-	Remainder                Cause = "rest"                               // the end of sessions that viewers gave up, and rounding errors
+	// RefusedCapacityElsewhere: only boxes without the title had capacity.
+	RefusedCapacityElsewhere Cause = "refused, room elsewhere"
+	// RefusedDespiteHolder: a holder had capacity that the edge did not know of or did not use.
+	RefusedDespiteHolder Cause = "refused, a holder had room"
+	// RefusedForStreams: no holder had a free stream slot.
+	RefusedForStreams Cause = "refused for streams"
+	// RefusedForSeats: all seats of the title and class at the edge were taken.
+	RefusedForSeats Cause = "refused for seats"
+	// RefusedNoCapacity: no box had capacity.
+	RefusedNoCapacity Cause = "refused, no room anywhere"
+	// LateStart: time from a request to its session, without a refusal.
+	LateStart Cause = "late"
+	// Interrupted: time between two sessions, and time of failed set-ups.
+	Interrupted Cause = "broken"
+	// NotYetRaised: played below a rung that was reached only later.
+	NotYetRaised Cause = "climb not yet made"
+	// SteppedDown: played below a rung that was reached both before and again later.
+	SteppedDown Cause = "stepped down"
+	// LowShare: played below the best rung, which was not reached again.
+	LowShare Cause = "lower than its share, no room near"
+	// Stalls: time in which playback stalled.
+	Stalls Cause = "stalls"
+	// RungChanges: cost of rung changes.
+	RungChanges Cause = "switches"
+	// Remainder: the end of sessions that viewers gave up, and rounding errors.
+	Remainder Cause = "rest"
 )
 
 // Causes returns all causes in a fixed order.
--- a/internal/regret/regret_test.go
+++ b/internal/regret/regret_test.go
@@ -16,10 +16,12 @@
 			total += 0.05 + drawUpTo(0.5, "step")
 			worth[i] = total
 		}
-		account := SessionAccount{BestRung: rapid.IntRange(0, 4).Draw(t, "best"), WorthPerSecond: worth, WorthAsked: drawUpTo(100, "asked"), WorthDelivered: drawUpTo(100, "delivered"),
+		account := SessionAccount{BestRung: rapid.IntRange(0, 4).Draw(t, "best"), WorthPerSecond: worth,
+			WorthAsked: drawUpTo(100, "asked"), WorthDelivered: drawUpTo(100, "delivered"),
 			WaitedSeconds: map[Cause]float64{}, StalledSeconds: drawUpTo(5, "stalled"), RungChangeCost: drawUpTo(2, "switches")}
 		for range rapid.IntRange(0, 8).Draw(t, "stretches") {
-			account.PlayedSpans = append(account.PlayedSpans, PlayedSpan{rapid.IntRange(0, 4).Draw(t, "rung"), drawUpTo(20, "seconds")})
+			account.PlayedSpans = append(account.PlayedSpans,
+				PlayedSpan{rapid.IntRange(0, 4).Draw(t, "rung"), drawUpTo(20, "seconds")})
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "waits") {
 			account.WaitedSeconds[rapid.SampledFrom(Causes()).Draw(t, "why")] += drawUpTo(9, "waited")
@@ -33,9 +35,11 @@
 				t.Fatalf("loss %q is negative: %v", c, losses[c])
 			}
 		}
-		if account.WorthAsked > account.WorthDelivered+1e-3 { // for smaller losses the quotient is dominated by rounding errors
+		// For smaller losses the quotient is dominated by rounding errors.
+		if account.WorthAsked > account.WorthDelivered+1e-3 {
 			better := account.WorthDelivered + drawUpTo(50, "better")
-			if d := losses.ScaleToGap(account.WorthAsked, account.WorthDelivered, better).Total(); math.Abs(d-(better-account.WorthDelivered)) > 1e-6*max(1, better) {
+			if d := losses.ScaleToGap(account.WorthAsked, account.WorthDelivered,
+				better).Total(); math.Abs(d-(better-account.WorthDelivered)) > 1e-6*max(1, better) {
 				t.Fatalf("losses scaled to a gap of %v differ from it in sum: %v", better-account.WorthDelivered, d)
 			}
 		}
@@ -45,7 +49,8 @@
 // Playing rungs 0, 1, 0, 1 of 0 to 2 loses worth to a rung not yet raised, a step down and a low share.
 func TestSplitByRung(t *testing.T) {
 	worth := []float64{0.2, 0.5, 1}
-	losses := SplitLoss(SessionAccount{BestRung: 2, WorthPerSecond: worth, WorthAsked: 40, WorthDelivered: 20, PlayedSpans: []PlayedSpan{{0, 10}, {1, 10}, {0, 10}, {1, 10}}})
+	losses := SplitLoss(SessionAccount{BestRung: 2, WorthPerSecond: worth, WorthAsked: 40,
+		WorthDelivered: 20, PlayedSpans: []PlayedSpan{{0, 10}, {1, 10}, {0, 10}, {1, 10}}})
 	for c, want := range map[Cause]float64{NotYetRaised: 3, SteppedDown: 3, LowShare: 20, Remainder: -6} {
 		if math.Abs(losses[c]-want) > 1e-9 {
 			t.Errorf("loss %q is %v, want %v", c, losses[c], want)
--- a/internal/scenario/paced.go
+++ b/internal/scenario/paced.go
@@ -74,12 +74,12 @@
 	fleet := r.fleet.ActualFleet()
 	sim := &pacedSimulation{run: r, usedUplinkRates: make([]float64, len(fleet.Uplinks)),
 		holders: map[string][]*pacedBox{}, seatsTaken: map[[2]string]int{}, leadTime: leadTime}
-	for _, uplink := range fleet.Uplinks { // True divides by peaks.Fill, the utilization limit of plans
+	for _, uplink := range fleet.Uplinks { // ActualFleet divides by the utilization limit of plans
 		sim.uplinkRates = append(sim.uplinkRates, uplink*peaks.MaxUtilization)
 	}
 	for i := range fleet.Boxes {
-		b := &pacedBox{id: fleet.Boxes[i].ID, rack: fleet.Boxes[i].Rack, linkRate: fleet.Boxes[i].LinkCapacity * peaks.MaxUtilization,
-			streamSlots: fleet.Boxes[i].MaxStreams}
+		b := &pacedBox{id: fleet.Boxes[i].ID, rack: fleet.Boxes[i].Rack,
+			linkRate: fleet.Boxes[i].LinkCapacity * peaks.MaxUtilization, streamSlots: fleet.Boxes[i].MaxStreams}
 		sim.boxes = append(sim.boxes, b)
 		for _, title := range r.Site.Titles {
 			if cells := fleet.Cells; spread && r.isPeakTitle(title.Name) ||
--- a/internal/scenario/paced_test.go
+++ b/internal/scenario/paced_test.go
@@ -36,9 +36,9 @@
 	return r
 }
 
-// Within small tolerances, the paced oracle is at most the optimal oracle, which is at most the upper bound, and storing
-// the peak's titles on every box lowers neither oracle. With ample links, the paced oracle loses only the time of its
-// step-ups (share of at least 0.9); its share falls as the load rises. Repeated runs give the same share.
+// Within small tolerances, the paced oracle is at most the optimal oracle, which is at most the upper bound, and
+// storing the peak's titles on every box lowers neither oracle. With ample links, the paced oracle loses only the time
+// of its step-ups (share of at least 0.9); its share falls as the load rises. Repeated runs give the same share.
 func TestOracleOrder(t *testing.T) {
 	pacedByLoad := map[float64]float64{}
 	for _, load := range []float64{0.05, 0.8, 3} {
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -116,8 +116,9 @@
 	verdict := audit.Judge(r.Site, entries)
 	result := &Result{Scenario: r.Script.Name, Policy: r.Policy, Seed: r.Seed,
 		Outcomes:       map[string]int{"played": 0, "late": 0, "refused": 0, "failed": 0},
-		DoubleOutcomes: verdict.DuplicateOutcomes, OverlappingAttempts: verdict.OverlappingAttempts, BrokenRules: verdict.BrokenRules(),
-		Edges: len(r.Site.Edges), Boxes: len(r.Site.Boxes), Faults: r.faultCount, Verdict: verdict, PlayerErrors: []string{}}
+		DoubleOutcomes: verdict.DuplicateOutcomes, OverlappingAttempts: verdict.OverlappingAttempts,
+		BrokenRules: verdict.BrokenRules(), Edges: len(r.Site.Edges), Boxes: len(r.Site.Boxes),
+		Faults: r.faultCount, Verdict: verdict, PlayerErrors: []string{}}
 	firstPlaylistTimes := hdrhistogram.New(1, 60_000_000, 3)
 	for _, c := range r.Site.Classes {
 		result.Classes = append(result.Classes, ClassResult{Name: c.Name})
@@ -130,7 +131,8 @@
 		losses.Add(regret.SplitLoss(report.Account))
 		result.Sessions++
 		result.Outcomes[report.Outcome]++
-		result.WorthAsked, result.WorthDelivered = result.WorthAsked+report.WorthAsked, result.WorthDelivered+report.WorthDelivered
+		result.WorthAsked, result.WorthDelivered = result.WorthAsked+report.WorthAsked,
+			result.WorthDelivered+report.WorthDelivered
 		result.Requests, result.Retries, result.Breaks = result.Requests+report.Requests,
 			result.Retries+max(report.Requests-1, 0), result.Breaks+report.Breaks
 		result.Segments, result.StalledSeconds = result.Segments+report.Segments,
@@ -141,7 +143,8 @@
 		}
 		class := &result.Classes[report.Class]
 		class.Sessions++
-		class.WorthAsked, class.WorthDelivered = class.WorthAsked+report.WorthAsked, class.WorthDelivered+report.WorthDelivered
+		class.WorthAsked, class.WorthDelivered = class.WorthAsked+report.WorthAsked,
+			class.WorthDelivered+report.WorthDelivered
 		*map[string]*int{"played": &class.Played, "late": &class.Late, "refused": &class.Refused,
 			"failed": &class.Failed}[report.Outcome]++
 	}
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -272,7 +272,8 @@
 	first := r.rnd.IntN(len(r.Site.Edges))
 	for i := range r.Site.Edges {
 		edge := (first + i) % len(r.Site.Edges)
-		viewer.Edges, viewer.EdgePositions = append(viewer.Edges, r.Site.Edges[edge].Listen), append(viewer.EdgePositions, edge)
+		viewer.Edges, viewer.EdgePositions = append(viewer.Edges, r.Site.Edges[edge].Listen),
+			append(viewer.EdgePositions, edge)
 	}
 	if r.rnd.Float64() < 0.02 { // gives up after 5 to 64 ms, to race with the answer
 		viewer.GiveUpAfter = time.Duration(5+r.rnd.IntN(60)) * time.Millisecond
--- a/internal/scenario/scripts/bad-day.jsonnet
+++ b/internal/scenario/scripts/bad-day.jsonnet
@@ -1,7 +1,7 @@
 local fault(kind, at, dur, part=0, size=0) = { kind: kind, at: at, 'for': dur, part: part, size: size };
 {
   name: 'bad-day',
-  about: 'edges and planner killed, boxes crash, hang and drain, answers lost and reset, links weak, lists late, a burst',
+  about: 'edges and planner are killed, boxes crash, hang and drain, answers are lost or reset, links slow, server lists late, a burst of viewers',
   length: '192s',
   speed: 6,
   load: 0.8,
--- a/internal/scenario/scripts/catalogue-change.jsonnet
+++ b/internal/scenario/scripts/catalogue-change.jsonnet
@@ -1,7 +1,7 @@
 local fault(kind, at, dur, part=0, size=0) = { kind: kind, at: at, 'for': dur, part: part, size: size };
 {
   name: 'catalogue-change',
-  about: 'titles are removed and put back, moved to other boxes, and updates arrive half written, under load',
+  about: 'titles are removed, restored and moved to other boxes, and truncated updates arrive, under load',
   length: '240s',
   speed: 6,
   load: 0.7,
--- a/internal/scenario/scripts/cold-wave.jsonnet
+++ b/internal/scenario/scripts/cold-wave.jsonnet
@@ -1,7 +1,7 @@
 local fault(kind, at, dur, part=0, size=0) = { kind: kind, at: at, 'for': dur, part: part, size: size };
 {
   name: 'cold-wave',
-  about: 'boxes crash one after another and come back cold under full load',
+  about: 'groups of boxes crash one after another and restart cold under full load',
   length: '120s',
   speed: 6,
   faults: [
--- a/internal/scenario/scripts/crowd.jsonnet
+++ b/internal/scenario/scripts/crowd.jsonnet
@@ -1,7 +1,7 @@
 local fault(kind, at, dur, part=0, size=0) = { kind: kind, at: at, 'for': dur, part: part, size: size };
 {
   name: 'crowd',
-  about: 'a burst and a crowd for one title',
+  about: 'a burst of viewers, and many requests for one title',
   length: '120s',
   speed: 6,
   faults: [
--- a/internal/scenario/scripts/lost-planner.jsonnet
+++ b/internal/scenario/scripts/lost-planner.jsonnet
@@ -1,7 +1,7 @@
 local fault(kind, at, dur, part=0, size=0) = { kind: kind, at: at, 'for': dur, part: part, size: size };
 {
   name: 'lost-planner',
-  about: 'the planner is away while boxes drain and crash, and lists are late',
+  about: 'the planner is down while boxes drain and crash, and server lists are late',
   length: '120s',
   speed: 6,
   faults: [
--- a/internal/scenario/scripts/peak-cancel.jsonnet
+++ b/internal/scenario/scripts/peak-cancel.jsonnet
@@ -1,7 +1,7 @@
 local fault(kind, at, dur, part=0, size=0) = { kind: kind, at: at, 'for': dur, part: part, size: size };
 {
   name: 'peak-cancel',
-  about: 'two hours that want the same boxes; the first is cancelled mid-copy, boxes with copies crash, the planner dies before the second',
+  about: 'two peaks need the same boxes; the first is cancelled during copying, boxes crash, and the planner is killed before the second',
   length: '310s',
   speed: 8,
   boxes: 24,
--- a/internal/scenario/scripts/peak-drain.jsonnet
+++ b/internal/scenario/scripts/peak-drain.jsonnet
@@ -1,6 +1,6 @@
 {
   name: 'peak-drain',
-  about: 'the announced hour with a box that holds most of its titles draining twelve seconds before it',
+  about: 'an announced peak; the box that stores the most of its titles drains twelve seconds before it',
   length: '310s',
   speed: 8,
   boxes: 24,
--- a/internal/scenario/scripts/peak.jsonnet
+++ b/internal/scenario/scripts/peak.jsonnet
@@ -1,6 +1,6 @@
 {
   name: 'peak',
-  about: 'an announced hour: viewers of two titles come for forty seconds, on top of the usual ones',
+  about: 'an announced peak: for forty seconds, additional viewers request two titles',
   length: '310s',
   speed: 8,
   boxes: 24,
--- a/internal/scenario/scripts/quiet.jsonnet
+++ b/internal/scenario/scripts/quiet.jsonnet
@@ -1,1 +1,1 @@
-{ name: 'quiet', about: 'no trouble', length: '120s', load: 0.6, speed: 6 }
+{ name: 'quiet', about: 'no faults', length: '120s', load: 0.6, speed: 6 }
--- a/internal/scenario/scripts/restart-wave.jsonnet
+++ b/internal/scenario/scripts/restart-wave.jsonnet
@@ -1,7 +1,7 @@
 local fault(kind, at, dur, part=0, size=0) = { kind: kind, at: at, 'for': dur, part: part, size: size };
 {
   name: 'restart-wave',
-  about: 'edges restarted in waves, back with their last list',
+  about: 'edges are killed in waves and restart with their last stored server list',
   length: '120s',
   speed: 6,
   faults: [
--- a/internal/scenario/scripts/silent-boxes.jsonnet
+++ b/internal/scenario/scripts/silent-boxes.jsonnet
@@ -1,7 +1,7 @@
 local fault(kind, at, dur, part=0, size=0) = { kind: kind, at: at, 'for': dur, part: part, size: size };
 {
   name: 'silent-boxes',
-  about: 'boxes hang, vanish or lie about their health, answers are lost or reset',
+  about: 'boxes hang, vanish or pass health checks only; answers are lost or reset',
   length: '120s',
   speed: 6,
   faults: [
--- a/internal/scenario/scripts/weak-links.jsonnet
+++ b/internal/scenario/scripts/weak-links.jsonnet
@@ -1,7 +1,7 @@
 local fault(kind, at, dur, part=0, size=0) = { kind: kind, at: at, 'for': dur, part: part, size: size };
 {
   name: 'weak-links',
-  about: 'links and uplinks give less while notes are late',
+  about: 'links and uplinks have less capacity while notes are late',
   length: '120s',
   speed: 6,
   faults: [
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -73,7 +73,7 @@
 	Hang            bool          // accepts requests, but does not answer them
 	FalseHealth     bool          // with Hang: health checks are still answered
 	LostAnswerShare float64       // share of set-ups that run without an answer being sent
-	ResetShare      float64       // share of set-ups that end in a connection reset, half of them after the session started
+	ResetShare      float64       // share of set-ups that end in a connection reset, half of them after they ran
 	Refuse          bool          // refuses set-ups as full
 	LinkDivisor     float64       // divides the link rate; 0: the full rate
 	NoteDelay       time.Duration // added to the site's delay of notes
@@ -110,7 +110,8 @@
 		rng: rand.New(rand.NewPCG(seed, 7)), isolatedZone: -1}
 	for range site.Racks {
 		spread := 1 + 0.2*(2*f.rng.Float64()-1)
-		f.uplinkRates, f.uplinkDivisors = append(f.uplinkRates, float64(site.Links.Uplink)*spread), append(f.uplinkDivisors, 1)
+		f.uplinkRates, f.uplinkDivisors = append(f.uplinkRates, float64(site.Links.Uplink)*spread),
+			append(f.uplinkDivisors, 1)
 	}
 	for _, b := range site.Boxes {
 		kind := site.KindIndex(b.Kind)
@@ -277,8 +278,8 @@
 		actual.Uplinks = append(actual.Uplinks, u/peaks.MaxUtilization)
 	}
 	for i, b := range f.Boxes {
-		actual.Boxes = append(actual.Boxes, peaks.Box{ID: b.Addr, Rack: b.rack, Cell: f.Site.Boxes[i].Cell, LinkCapacity: b.linkRate / peaks.MaxUtilization,
-			MaxStreams: float64(b.streamSlots), RampShare: 1})
+		actual.Boxes = append(actual.Boxes, peaks.Box{ID: b.Addr, Rack: b.rack, Cell: f.Site.Boxes[i].Cell,
+			LinkCapacity: b.linkRate / peaks.MaxUtilization, MaxStreams: float64(b.streamSlots), RampShare: 1})
 	}
 	return actual
 }
@@ -297,7 +298,8 @@
 	}
 	for _, b := range f.Boxes {
 		for _, s := range b.sessions {
-			if position, _, _ := strings.Cut(s.edge, "."); s.title == title && s.class == classConfig.Name && position == strconv.Itoa(edge) {
+			if position, _, _ := strings.Cut(s.edge, "."); s.title == title && s.class == classConfig.Name &&
+				position == strconv.Itoa(edge) {
 				seatsTaken++
 			}
 		}
--- a/internal/standin/catalogue.go
+++ b/internal/standin/catalogue.go
@@ -267,7 +267,8 @@
 			checks = append(checks, map[string]any{"Node": "n", "CheckID": k, "Status": status, "ServiceID": id})
 		}
 		list = append(list, map[string]any{"Node": map[string]any{"Node": "n", "Address": "127.0.0.1"},
-			"Service": map[string]any{"ID": id, "Service": s.Name, "Address": s.Address, "Port": s.Port, "Meta": s.Meta}, "Checks": checks})
+			"Service": map[string]any{"ID": id, "Service": s.Name, "Address": s.Address, "Port": s.Port, "Meta": s.Meta},
+			"Checks":  checks})
 	}
 	c.mu.Unlock()
 	if f.Hang || f.Status != 0 {
--- a/internal/standin/media.go
+++ b/internal/standin/media.go
@@ -32,7 +32,8 @@
 
 // handleMultivariantPlaylist serves a title's multivariant playlist with the rates of the first class.
 func (b *Box) handleMultivariantPlaylist(w http.ResponseWriter, r *http.Request) {
-	if r.PathValue("file") != "index.m3u8" || b.fleet.segmentCount(r.PathValue("title")) == 0 || !b.hasTitle(r.PathValue("title")) {
+	if r.PathValue("file") != "index.m3u8" || b.fleet.segmentCount(r.PathValue("title")) == 0 ||
+		!b.hasTitle(r.PathValue("title")) {
 		http.NotFound(w, r)
 		return
 	}
@@ -103,7 +104,7 @@
 	return b.String()
 }
 
-// newSegment returns segment n as packed audio: an ID3 tag with the time stamp (RFC 8216, 3.4) and a private
+// newSegment returns segment n as packed audio: an ID3 tag with the time stamp (RFC 8216, section 3.4) and a private
 // frame that pads the segment to size, then 48 ADTS frames of silence (AAC-LC, 48 kHz, mono).
 func newSegment(n, size int) []byte {
 	const frames = 48
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -125,7 +125,8 @@
 // logUpdate logs the state of each box in an update.
 func (r *Relay) logUpdate(update view.Update) {
 	add := func(box, state string) {
-		r.Log.Add(audit.Entry{Observer: "relay", Subject: box, Event: audit.StatePublished, Edge: strconv.Itoa(r.Edge), Text: state})
+		r.Log.Add(audit.Entry{Observer: "relay", Subject: box, Event: audit.StatePublished,
+			Edge: strconv.Itoa(r.Edge), Text: state})
 	}
 	listed := map[string]bool{}
 	r.mu.Lock()
--- a/internal/standin/viewer.go
+++ b/internal/standin/viewer.go
@@ -146,8 +146,8 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
-	e := audit.Entry{Observer: "viewer", Subject: v.Key, Viewer: v.Key, Session: id, Edge: strconv.Itoa(v.EdgePositions[edge]),
-		Title: v.Title, Class: class.Name, Value: deadline.Seconds()}
+	e := audit.Entry{Observer: "viewer", Subject: v.Key, Viewer: v.Key, Session: id,
+		Edge: strconv.Itoa(v.EdgePositions[edge]), Title: v.Title, Class: class.Name, Value: deadline.Seconds()}
 	logEvent := func(event string, code int) {
 		e.Event, e.Status = event, code
 		v.Log.Add(e)
@@ -185,7 +185,7 @@
 	return resp.StatusCode, string(text), retryAfter
 }
 
-// player follows one media playlist as RFC 8216, 6.3 requires of clients.
+// player follows one media playlist as RFC 8216, section 6.3, requires of clients.
 type player struct {
 	client        *http.Client
 	nextSequence  uint64    // media sequence number of the next segment to fetch
@@ -234,7 +234,7 @@
 			sleep(ctx, time.Until(minTime(end, p.bufferedUntil)))
 			return true
 		}
-		if !fetched { // RFC 8216, 6.3.4: half the target duration if the playlist did not change
+		if !fetched { // RFC 8216, section 6.3.4: half the target duration if the playlist did not change
 			sleep(ctx, 400*time.Millisecond)
 		} else if buffered := time.Until(p.bufferedUntil); buffered > time.Second {
 			sleep(ctx, buffered-time.Second)
@@ -247,8 +247,9 @@
 // waits for a new set-up has a deadline too.
 func (v *Viewer) reload(ctx context.Context, p *player, edge, uri string) (int, string) {
 	class := v.Site.Classes[v.Class]
-	e := audit.Entry{Observer: "viewer", Subject: v.Key, Viewer: v.Key, Session: "r" + strconv.FormatInt(requestCount.Add(1), 10),
-		Title: v.Title, Class: class.Name, Value: class.Deadline.Std().Seconds(), Text: audit.PlaylistReload}
+	e := audit.Entry{Observer: "viewer", Subject: v.Key, Viewer: v.Key,
+		Session: "r" + strconv.FormatInt(requestCount.Add(1), 10), Title: v.Title, Class: class.Name,
+		Value: class.Deadline.Std().Seconds(), Text: audit.PlaylistReload}
 	for i, a := range v.Edges {
 		if a == edge {
 			e.Edge = strconv.Itoa(v.EdgePositions[i])
@@ -281,7 +282,8 @@
 
 // fetchSegments fetches the new segments of a media playlist, and counts the worth of those that play before end.
 // It reports whether any was fetched.
-func (v *Viewer) fetchSegments(ctx context.Context, p *player, media playlist, end time.Time, report *ViewerReport) (fetched bool) {
+func (v *Viewer) fetchSegments(ctx context.Context, p *player, media playlist, end time.Time,
+	report *ViewerReport) (fetched bool) {
 	if !p.started {
 		p.nextSequence, p.started = media.firstSequence, true
 	}
@@ -368,7 +370,7 @@
 	return resp.StatusCode, string(body), nil
 }
 
-// playlist is a media playlist. The viewer parses it without the front's code, so it is an independent check.
+// playlist is a media playlist. The viewer parses it without the edge's code, so it is an independent check.
 type playlist struct {
 	firstSequence uint64
 	uris          []string
