--- a/internal/node/descriptor_test.go
+++ b/internal/node/descriptor_test.go
@@ -28,9 +28,9 @@
 		[]coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: []coordinator.Entry{a.entry("up")}}}})
 	var all []net.Conn
 	dial := func() *viewerClient {
-		d := child.dial()
-		all = append(all, d.Conn)
-		return d
+		v := child.dial()
+		all = append(all, v.Conn)
+		return v
 	}
 	descriptors := func() int {
 		all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", child.Pid))
@@ -42,9 +42,9 @@
 	dial().send(setUpRequest(idA, "free", "")).wantAnswer(idA, 200)
 	before := descriptors()
 	for i := range idle {
-		d := dial()
+		v := dial()
 		if i%2 == 0 { // half of them have sent one request, as usual clients do
-			_, _ = d.Write([]byte("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n"))
+			_, _ = v.Write([]byte("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n"))
 		}
 		if i%20 == 0 {
 			id := fmt.Sprintf("%016x", i+1)
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -28,14 +28,14 @@
 }
 
 // answerThenEOF reads a final answer to a set-up and then the end of the connection, which must not be a reset.
-func (d *viewerClient) answerThenEOF(id string) (status int) {
-	d.t.Helper()
-	m := d.next()
+func (v *viewerClient) answerThenEOF(id string) (status int) {
+	v.t.Helper()
+	m := v.next()
 	if m.Get("Session") != id || m.Status < 200 {
-		d.t.Errorf("answer %+v", m)
+		v.t.Errorf("answer %+v", m)
 	}
-	if more, err := d.reader.Next(); !errors.Is(err, io.EOF) {
-		d.t.Errorf("after the answer: %+v, %v", more, err)
+	if more, err := v.reader.Next(); !errors.Is(err, io.EOF) {
+		v.t.Errorf("after the answer: %+v, %v", more, err)
 	}
 	return m.Status
 }
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -14,8 +14,8 @@
 }
 
 // confirmRelease answers a release as a viewer does.
-func (d *viewerClient) confirmRelease(id string) {
-	d.send("RTSP/1.0 200 OK\r\nCSeq: 2\r\nSession: " + id + "\r\nContent-Length: 0\r\n\r\n")
+func (v *viewerClient) confirmRelease(id string) {
+	v.send("RTSP/1.0 200 OK\r\nCSeq: 2\r\nSession: " + id + "\r\nContent-Length: 0\r\n\r\n")
 }
 
 // pendingNoticeCount returns the number of unconfirmed notices for all viewers.
--- a/internal/node/reserve_test.go
+++ b/internal/node/reserve_test.go
@@ -8,7 +8,7 @@
 const manyServers = 350
 
 // adoptAt sends a set-up that names a session which a server is already playing.
-func (d *viewerClient) adoptAt(id, server string) { d.send(setUpRequest(id, "free", ";at:"+server)) }
+func (v *viewerClient) adoptAt(id, server string) { v.send(setUpRequest(id, "free", ";at:"+server)) }
 
 // TestMoreServersThanConnections has active sessions at far more servers than the node may have connections to. Half of
 // the servers have ended their session and report it on the next connection; the others keep needing a connection. Each
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -114,9 +114,9 @@
 }
 
 // writeConfig writes the configuration file of a node that follows the coordinator f.
-func (r *testNode) writeConfig(path string, f *scriptedCoordinator, sockets int, known coordinator.Updates) {
+func (r *testNode) writeConfig(path string, c *scriptedCoordinator, sockets int, known coordinator.Updates) {
 	raw, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "seed": "0a", "limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets},
-		"coordinator": f.Listener.Addr().String(), "known": known, "settings": json.RawMessage(r.settings)})
+		"coordinator": c.Listener.Addr().String(), "known": known, "settings": json.RawMessage(r.settings)})
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -153,28 +153,28 @@
 	return "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + id + "\r\nContent-Length: 0\r\n\r\n"
 }
 
-func (d *viewerClient) send(text string) *viewerClient {
-	d.t.Helper()
-	if _, err := d.Write([]byte(text)); err != nil {
-		d.t.Fatal(err)
+func (v *viewerClient) send(text string) *viewerClient {
+	v.t.Helper()
+	if _, err := v.Write([]byte(text)); err != nil {
+		v.t.Fatal(err)
 	}
-	return d
+	return v
 }
 
 // reset closes the connection with a TCP reset.
-func (d *viewerClient) reset() {
-	_ = d.Conn.(*net.TCPConn).SetLinger(0)
-	_ = d.Close()
+func (v *viewerClient) reset() {
+	_ = v.Conn.(*net.TCPConn).SetLinger(0)
+	_ = v.Close()
 }
 
 // next returns the next message that is neither a progress response nor a response to a TEARDOWN.
-func (d *viewerClient) next() *rtsp.Message {
-	d.t.Helper()
-	_ = d.SetReadDeadline(time.Now().Add(testTimeout))
+func (v *viewerClient) next() *rtsp.Message {
+	v.t.Helper()
+	_ = v.SetReadDeadline(time.Now().Add(testTimeout))
 	for {
-		m, err := d.reader.Next()
+		m, err := v.reader.Next()
 		if err != nil {
-			d.t.Fatal(err)
+			v.t.Fatal(err)
 		}
 		if (m.Get("CSeq") != "2" || m.Method != "") && m.Status != 100 {
 			return m
@@ -182,34 +182,34 @@
 	}
 }
 
-func (d *viewerClient) wantAnswer(id string, status int) *rtsp.Message {
-	d.t.Helper()
-	m := d.next()
+func (v *viewerClient) wantAnswer(id string, status int) *rtsp.Message {
+	v.t.Helper()
+	m := v.next()
 	if m.Status != status || m.Get("Session") != id {
-		d.t.Fatalf("want status %d for session %q, got %+v", status, id, m)
+		v.t.Fatalf("want status %d for session %q, got %+v", status, id, m)
 	}
 	return m
 }
 
-func (d *viewerClient) wantRelease(id, reason string) {
-	d.t.Helper()
-	if m := d.next(); m.Method != "TEARDOWN" || m.Get("Session") != id || m.Get("Reason") != reason {
-		d.t.Fatalf("want a TEARDOWN of session %s with reason %s, got %+v", id, reason, m)
+func (v *viewerClient) wantRelease(id, reason string) {
+	v.t.Helper()
+	if m := v.next(); m.Method != "TEARDOWN" || m.Get("Session") != id || m.Get("Reason") != reason {
+		v.t.Fatalf("want a TEARDOWN of session %s with reason %s, got %+v", id, reason, m)
 	}
 }
 
 // wantNoMessage checks that no further message arrives during quietPeriod, except responses to a TEARDOWN.
-func (d *viewerClient) wantNoMessage() {
-	d.t.Helper()
-	_ = d.SetReadDeadline(time.Now().Add(quietPeriod))
+func (v *viewerClient) wantNoMessage() {
+	v.t.Helper()
+	_ = v.SetReadDeadline(time.Now().Add(quietPeriod))
 	for {
-		m, err := d.reader.Next()
+		m, err := v.reader.Next()
 		if err != nil {
-			_ = d.SetReadDeadline(time.Time{})
+			_ = v.SetReadDeadline(time.Time{})
 			return
 		}
 		if m.Get("CSeq") != "2" || m.Method != "" {
-			d.t.Fatalf("unexpected message: %+v", m)
+			v.t.Fatalf("unexpected message: %+v", m)
 		}
 	}
 }
--- a/internal/node/scripted_test.go
+++ b/internal/node/scripted_test.go
@@ -151,16 +151,16 @@
 }
 
 func newScriptedCoordinator(t *testing.T, updates []coordinator.Update) *scriptedCoordinator {
-	f := &scriptedCoordinator{updates: updates, index: int64(len(updates)), changed: make(chan struct{}),
+	c := &scriptedCoordinator{updates: updates, index: int64(len(updates)), changed: make(chan struct{}),
 		queries: make(chan string, 1000)}
-	f.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f.queries <- r.URL.RawQuery
+	c.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		c.queries <- r.URL.RawQuery
 		var n int64
 		_, _ = fmt.Sscan(r.URL.Query().Get("follow"), &n)
-		f.mu.Lock()
-		changed := f.changed
-		f.mu.Unlock()
-		if n >= f.lastIndex() {
+		c.mu.Lock()
+		changed := c.changed
+		c.mu.Unlock()
+		if n >= c.lastIndex() {
 			select {
 			case <-changed:
 			case <-time.After(time.Second):
@@ -168,26 +168,26 @@
 				return
 			}
 		}
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(coordinator.Updates{Index: f.index, Updates: f.updates[min(n, f.index):]})
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		_ = json.NewEncoder(w).Encode(coordinator.Updates{Index: c.index, Updates: c.updates[min(n, c.index):]})
 	}))
-	t.Cleanup(f.Server.Close)
-	return f
+	t.Cleanup(c.Server.Close)
+	return c
 }
 
-func (f *scriptedCoordinator) lastIndex() int64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.index
+func (c *scriptedCoordinator) lastIndex() int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.index
 }
 
 // push publishes an update with the given server entries.
-func (f *scriptedCoordinator) push(servers ...coordinator.Entry) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.index++
-	f.updates = append(f.updates, coordinator.Update{Endpoints: &coordinator.Endpoints{Servers: servers}})
-	close(f.changed)
-	f.changed = make(chan struct{})
+func (c *scriptedCoordinator) push(servers ...coordinator.Entry) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.index++
+	c.updates = append(c.updates, coordinator.Update{Endpoints: &coordinator.Endpoints{Servers: servers}})
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
--- a/internal/node/trial_ending_test.go
+++ b/internal/node/trial_ending_test.go
@@ -33,10 +33,10 @@
 func runShutdownTrial(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	servers := newTrialServers(seed)
-	f := newScriptedCoordinator(t, []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true,
+	c := newScriptedCoordinator(t, []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true,
 		Servers: servers.start(t)}}})
 	p := startChild(t, childOptions{trialSockets, defaultSettings, []string{helperArrivalWindowEnv + "=1"}},
-		f.Listener.Addr().String(), f.updates)
+		c.Listener.Addr().String(), c.updates)
 	var idle [shutdownConnections]*viewerClient
 	for i := range idle {
 		idle[i] = p.dial().send(optionsRequest)
--- a/internal/node/trial_servers_test.go
+++ b/internal/node/trial_servers_test.go
@@ -58,21 +58,21 @@
 	case jsonlines.TypeClose:
 		s.ended[server+" "+m.ID]++
 	case jsonlines.TypeOpen:
-		h := &receivedSetUp{server: server, conn: m.conn}
-		s.setUps[m.ID] = append(s.setUps[m.ID], h)
-		s.answerSetUp(h, m)
+		setUp := &receivedSetUp{server: server, conn: m.conn}
+		s.setUps[m.ID] = append(s.setUps[m.ID], setUp)
+		s.answerSetUp(setUp, m)
 	}
 }
 
 // answerSetUp randomly answers a set-up, rejects it, fails, resets the connection or does nothing. The caller holds
 // the lock.
-func (s *trialServers) answerSetUp(h *receivedSetUp, m receivedMessage) {
+func (s *trialServers) answerSetUp(setUp *receivedSetUp, m receivedMessage) {
 	after := time.Duration(s.random.IntN(60)) * time.Millisecond
 	switch draw := s.random.IntN(20); {
 	case draw < 13:
-		time.AfterFunc(after, func() { s.establishSession(h, m) })
+		time.AfterFunc(after, func() { s.establishSession(setUp, m) })
 	case draw < 15:
-		h.refused = true
+		setUp.refused = true
 		m.conn.send(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, m.ID, jsonlines.CauseFull)
 	case draw < 16:
 		m.conn.send(`{"msg":"close","sid":%q,"attrs":{},"code":%d}`, m.ID, jsonlines.CauseError)
@@ -83,12 +83,12 @@
 }
 
 // establishSession answers that a session is established, unless the session has been closed since its set-up.
-func (s *trialServers) establishSession(h *receivedSetUp, m receivedMessage) {
+func (s *trialServers) establishSession(setUp *receivedSetUp, m receivedMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended[h.server+" "+m.ID] == 0 {
-		h.established = true
-		m.conn.send(`{"msg":"ready","sid":%q,"attrs":{},"text":"%s for %s"}`, m.ID, h.server, m.ID)
+	if s.ended[setUp.server+" "+m.ID] == 0 {
+		setUp.established = true
+		m.conn.send(`{"msg":"ready","sid":%q,"attrs":{},"text":"%s for %s"}`, m.ID, setUp.server, m.ID)
 	}
 }
 
@@ -98,12 +98,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ran, text := 0, ""
-	for _, h := range s.setUps[id] {
-		if !h.refused {
+	for _, setUp := range s.setUps[id] {
+		if !setUp.refused {
 			ran++
 		}
-		if h.established {
-			text += h.server + " for " + id
+		if setUp.established {
+			text += setUp.server + " for " + id
 		}
 	}
 	if class == "paid" && ran > 1 {
@@ -122,8 +122,8 @@
 func (s *trialServers) runningSessions(id string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range s.setUps[id] {
-		if h.established && s.ended[h.server+" "+id] == 0 {
+	for _, setUp := range s.setUps[id] {
+		if setUp.established && s.ended[setUp.server+" "+id] == 0 {
 			n++
 		}
 	}
--- a/internal/node/trial_test.go
+++ b/internal/node/trial_test.go
@@ -68,9 +68,9 @@
 	random := rand.New(rand.NewPCG(seed, 0))
 	servers := newTrialServers(seed)
 	list := servers.start(t)
-	f := newScriptedCoordinator(t, []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: list}}})
+	c := newScriptedCoordinator(t, []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: list}}})
 	p := startChild(t, childOptions{sockets: trialSockets, settings: defaultSettings},
-		f.Listener.Addr().String(), f.updates)
+		c.Listener.Addr().String(), c.updates)
 	p.dial().send(optionsRequest).wantAnswer("", statusOK)
 	r := newRelay(t, p.addr)
 	var viewers sync.WaitGroup
@@ -81,7 +81,7 @@
 		if random.IntN(20) == 0 {
 			changed := list[random.IntN(len(list))]
 			changed.State = []string{"up", "draining", "up"}[random.IntN(3)]
-			f.push(changed)
+			c.push(changed)
 		}
 		q := randomRequest(random, fmt.Sprintf("%08x%08x", seed, i+1))
 		viewers.Go(func() { q.run(t, r, servers) })
@@ -146,7 +146,7 @@
 const resendWindow = 50 * time.Millisecond
 
 // tryWrite writes text and ignores errors, because the connection may have ended.
-func (d *viewerClient) tryWrite(text string) { _, _ = d.Write([]byte(text)) }
+func (v *viewerClient) tryWrite(text string) { _, _ = v.Write([]byte(text)) }
 
 // withdraw withdraws a request. It needs no answer, and no session of it may remain.
 func (q trialRequest) withdraw(t *testing.T, servers *trialServers, v *viewerClient) {
@@ -171,11 +171,11 @@
 
 // readAnswerUntil reads the next final answer that arrives before the deadline. It returns neither an answer nor an
 // error if none does.
-func (d *viewerClient) readAnswerUntil(deadline time.Time) (*rtsp.Message, error) {
-	_ = d.SetReadDeadline(deadline)
-	defer func() { _ = d.SetReadDeadline(time.Time{}) }()
+func (v *viewerClient) readAnswerUntil(deadline time.Time) (*rtsp.Message, error) {
+	_ = v.SetReadDeadline(deadline)
+	defer func() { _ = v.SetReadDeadline(time.Time{}) }()
 	for {
-		m, err := d.reader.Next()
+		m, err := v.reader.Next()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, nil
