--- a/cmd/rainpulley/main.go
+++ b/cmd/rainpulley/main.go
@@ -198,7 +198,7 @@
 	ports := &standin.PortAllocator{}
 	variants := selectVariants(s, c.Baseline && !serve, serve)
 	if len(c.Ways) > 0 {
-		variants = slices.DeleteFunc(variants, func(k variant) bool { return !slices.Contains(c.Ways, k.name) })
+		variants = slices.DeleteFunc(variants, func(v variant) bool { return !slices.Contains(c.Ways, v.name) })
 	}
 	if len(variants) == 0 || variants[0].name != "module" {
 		return errors.New("--ways must include module")
@@ -288,9 +288,9 @@
 	}
 	p.SharePaced = scenarioRuns[0].PacedShare(true)
 	p.SharePacedWithLead = scenarioRuns[0].PacedShareWithLead(true, time.Duration(10*float64(time.Second)/scenarioRuns[0].Speed))
-	for i, k := range variants {
+	for i, v := range variants {
 		inside, outside := scenarioRuns[i].PeakAndOtherShares()
-		switch k.holds {
+		switch v.holds {
 		case "lp":
 			p.ShareWith, p.PeakShareWith, p.OthersShareWith = results[i].WorthShare, inside, outside
 		case "all":
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -327,9 +327,9 @@
 // validator collects the errors of a site file.
 type validator struct{ errs []error }
 
-func (c *validator) require(ok bool, field, format string, a ...any) {
+func (v *validator) require(ok bool, field, format string, a ...any) {
 	if !ok {
-		c.errs = append(c.errs, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, a...)))
+		v.errs = append(v.errs, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, a...)))
 	}
 }
 
@@ -350,133 +350,133 @@
 }
 
 func (s *Site) validate() error {
-	c := &validator{}
-	c.require(len(s.Zones) > 0, "zones", "at least one is required")
-	c.require(s.Cells > 0, "cells", "%d: must be above 0", s.Cells)
-	c.require(s.Racks > 0, "racks", "%d: must be above 0", s.Racks)
-	c.require(len(s.Kinds) > 0, "kinds", "at least one is required")
+	v := &validator{}
+	v.require(len(s.Zones) > 0, "zones", "at least one is required")
+	v.require(s.Cells > 0, "cells", "%d: must be above 0", s.Cells)
+	v.require(s.Racks > 0, "racks", "%d: must be above 0", s.Racks)
+	v.require(len(s.Kinds) > 0, "kinds", "at least one is required")
 	for i, k := range s.Kinds {
-		c.require(k.Name != "" && k.Streams > 0, fmt.Sprintf("kinds[%d]", i), "must have a name and streams above 0")
+		v.require(k.Name != "" && k.Streams > 0, fmt.Sprintf("kinds[%d]", i), "must have a name and streams above 0")
 	}
-	c.require(len(s.Ladder) > 0, "ladder", "at least one rung is required")
+	v.require(len(s.Ladder) > 0, "ladder", "at least one rung is required")
 	for i, r := range s.Ladder {
 		rising := i == 0 || r.Rate > s.Ladder[i-1].Rate
-		c.require(r.Rate > 0 && rising && r.Worth >= 0, fmt.Sprintf("ladder[%d]", i),
+		v.require(r.Rate > 0 && rising && r.Worth >= 0, fmt.Sprintf("ladder[%d]", i),
 			"rates must be above 0 and rise, and worths must not be negative")
 	}
-	c.require(s.Links.PerWeight > 0, "links.per_weight", "must be above 0")
-	c.require(s.Links.Uplink >= 0 && s.Links.FullFrom >= 0, "links", "uplink and full_from must not be negative")
-	s.validateClasses(c)
-	s.validateRules(c)
-	s.validateCopies(c)
-	s.validateConsul(c)
-	s.validatePlacement(c)
-	c.require(s.Playback.Ahead > 0 && s.Playback.Behind > 0, "playback", "ahead and behind must be above 0")
-	c.require(s.Playback.Silence >= s.Playback.Ahead, "playback.silence", "must be at least playback.ahead")
-	c.require(s.Limits.Connections > 0 && s.Limits.Sessions > 0 && s.Limits.Queue > 0, "limits", "all must be above 0")
-	return errors.Join(c.errs...)
-}
-
-func (s *Site) validateClasses(c *validator) {
-	c.require(len(s.Classes) > 0, "classes", "at least one is required")
+	v.require(s.Links.PerWeight > 0, "links.per_weight", "must be above 0")
+	v.require(s.Links.Uplink >= 0 && s.Links.FullFrom >= 0, "links", "uplink and full_from must not be negative")
+	s.validateClasses(v)
+	s.validateRules(v)
+	s.validateCopies(v)
+	s.validateConsul(v)
+	s.validatePlacement(v)
+	v.require(s.Playback.Ahead > 0 && s.Playback.Behind > 0, "playback", "ahead and behind must be above 0")
+	v.require(s.Playback.Silence >= s.Playback.Ahead, "playback.silence", "must be at least playback.ahead")
+	v.require(s.Limits.Connections > 0 && s.Limits.Sessions > 0 && s.Limits.Queue > 0, "limits", "all must be above 0")
+	return errors.Join(v.errs...)
+}
+
+func (s *Site) validateClasses(v *validator) {
+	v.require(len(s.Classes) > 0, "classes", "at least one is required")
 	seen := map[string]bool{}
 	for i, k := range s.Classes {
 		field := fmt.Sprintf("classes[%d]", i)
-		c.require(k.Name != "" && !seen[k.Name] && IsPathSegment(k.Name), field+".name",
+		v.require(k.Name != "" && !seen[k.Name] && IsPathSegment(k.Name), field+".name",
 			"%q is empty, a duplicate or not valid as a URL path segment", k.Name)
 		seen[k.Name] = true
-		c.require(indexOf([]string{"repeatable", "keyed", "paid"}, k.Effect) >= 0, field+".effect",
+		v.require(indexOf([]string{"repeatable", "keyed", "paid"}, k.Effect) >= 0, field+".effect",
 			"%q must be one of repeatable, keyed, paid", k.Effect)
-		c.require(k.Scope == "" || indexOf([]string{"all", "zone", "cell"}, k.Scope) >= 0, field+".scope",
+		v.require(k.Scope == "" || indexOf([]string{"all", "zone", "cell"}, k.Scope) >= 0, field+".scope",
 			"%q must be one of all, zone, cell", k.Scope)
-		c.require(k.Aim > 0 && k.Deadline >= k.Aim, field+".deadline", "must be at least the aim, which must be above 0")
-		c.require(k.Worth >= 0 && k.RateFactor >= 0 && k.Seats >= 0, field,
+		v.require(k.Aim > 0 && k.Deadline >= k.Aim, field+".deadline", "must be at least the aim, which must be above 0")
+		v.require(k.Worth >= 0 && k.RateFactor >= 0 && k.Seats >= 0, field,
 			"worth, rate_factor and seats must not be negative")
 		top := len(s.Ladder) - 1
 		if k.Top != nil {
 			top = *k.Top
 		}
-		c.require(k.Floor >= 0 && k.Floor <= top && top < len(s.Ladder), field,
+		v.require(k.Floor >= 0 && k.Floor <= top && top < len(s.Ladder), field,
 			"floor %d and top %d must be rungs of the ladder, the floor not above the top", k.Floor, top)
 	}
 }
 
-func (s *Site) validateRules(c *validator) {
+func (s *Site) validateRules(v *validator) {
 	r := s.Rules
 	for name, d := range map[string]Duration{"drain_grace": r.DrainGrace, "ramp": r.Ramp, "fall_span": r.FallSpan,
 		"answer_slack": r.AnswerSlack, "budget_span": r.BudgetSpan} {
-		c.require(d >= 0, "rules."+name, "must not be negative")
+		v.require(d >= 0, "rules."+name, "must not be negative")
 	}
-	c.require(r.StartShare >= 0 && r.StartShare <= 1, "rules.start_share", "%v must be from 0 to 1", r.StartShare)
-	c.require(r.FallFactor >= 0 && r.BudgetFree >= 0 && r.BudgetShare >= 0, "rules",
+	v.require(r.StartShare >= 0 && r.StartShare <= 1, "rules.start_share", "%v must be from 0 to 1", r.StartShare)
+	v.require(r.FallFactor >= 0 && r.BudgetFree >= 0 && r.BudgetShare >= 0, "rules",
 		"fall_factor, budget_free and budget_share must not be negative")
-	c.require(s.Attempts.Most >= 0 && s.Attempts.ConnectTimeout > 0, "attempts",
+	v.require(s.Attempts.Most >= 0 && s.Attempts.ConnectTimeout > 0, "attempts",
 		"most must not be negative and connect_timeout must be above 0")
-	c.require(indexOf([]string{"answers", "probes", "none"}, s.Notes.Reports) >= 0, "notes.reports",
+	v.require(indexOf([]string{"answers", "probes", "none"}, s.Notes.Reports) >= 0, "notes.reports",
 		"%q must be one of answers, probes, none", s.Notes.Reports)
-	c.require(s.Notes.Delay >= 0 && s.Notes.LinkEvery >= 0 && s.Notes.SwitchCost >= 0, "notes",
+	v.require(s.Notes.Delay >= 0 && s.Notes.LinkEvery >= 0 && s.Notes.SwitchCost >= 0, "notes",
 		"delay, link_every and switch_cost must not be negative")
-	c.require(s.RetryAfter >= 0, "retry_after", "must not be negative")
+	v.require(s.RetryAfter >= 0, "retry_after", "must not be negative")
 	p := s.Planner
-	c.require(p.CheckEvery > 0 && p.CheckFor > 0 && p.GoneAfter > 0, "planner",
+	v.require(p.CheckEvery > 0 && p.CheckFor > 0 && p.GoneAfter > 0, "planner",
 		"check_every, check_for and gone_after must be above 0")
 }
 
-func (s *Site) validateConsul(c *validator) {
+func (s *Site) validateConsul(v *validator) {
 	k := s.Consul
 	if k.Address == "" {
 		return
 	}
-	c.require(isHostPort(k.Address), "consul.address", "%q must be host:port", k.Address)
-	c.require(indexOf([]string{"http", "https"}, k.Scheme) >= 0, "consul.scheme",
+	v.require(isHostPort(k.Address), "consul.address", "%q must be host:port", k.Address)
+	v.require(indexOf([]string{"http", "https"}, k.Scheme) >= 0, "consul.scheme",
 		"%q must be one of http, https", k.Scheme)
-	c.require(k.Service != "", "consul.service", "must not be empty")
-	c.require(indexOf([]string{"default", "stale", "consistent"}, k.Consistency) >= 0, "consul.consistency",
+	v.require(k.Service != "", "consul.service", "must not be empty")
+	v.require(indexOf([]string{"default", "stale", "consistent"}, k.Consistency) >= 0, "consul.consistency",
 		"%q must be one of default, stale, consistent", k.Consistency)
-	c.require(k.Wait >= Duration(time.Second) && k.Wait <= Duration(10*time.Minute), "consul.wait",
+	v.require(k.Wait >= Duration(time.Second) && k.Wait <= Duration(10*time.Minute), "consul.wait",
 		"must be from 1s to 10m")
-	c.require(k.TTL >= Duration(time.Second), "consul.ttl", "must be at least 1s")
-	c.require((k.TLS.Cert == "") == (k.TLS.Key == ""), "consul.tls", "cert and key must both be set or both be empty")
+	v.require(k.TTL >= Duration(time.Second), "consul.ttl", "must be at least 1s")
+	v.require((k.TLS.Cert == "") == (k.TLS.Key == ""), "consul.tls", "cert and key must both be set or both be empty")
 }
 
-func (s *Site) validateCopies(c *validator) {
+func (s *Site) validateCopies(v *validator) {
 	k := s.Copies
-	c.require(k.Least >= 1 && k.AtOnce >= 1 && k.Most >= 0, "copies",
+	v.require(k.Least >= 1 && k.AtOnce >= 1 && k.Most >= 0, "copies",
 		"least and at_once must be above 0, and most must not be negative")
-	c.require(k.Share > 0 && k.Share <= 1, "copies.share", "%v must be above 0 and at most 1", k.Share)
-	c.require(k.Grace >= s.Rules.DrainGrace, "copies.grace",
+	v.require(k.Share > 0 && k.Share <= 1, "copies.share", "%v must be above 0 and at most 1", k.Share)
+	v.require(k.Grace >= s.Rules.DrainGrace, "copies.grace",
 		"must be at least rules.drain_grace, during which set-ups for the copy may still arrive")
-	c.require(k.Patience > 0 && k.Backoff > 0 && k.Ahead >= 0, "copies",
+	v.require(k.Patience > 0 && k.Backoff > 0 && k.Ahead >= 0, "copies",
 		"patience and backoff must be above 0, and ahead must not be negative")
 }
 
-func (s *Site) validatePlacement(c *validator) {
+func (s *Site) validatePlacement(v *validator) {
 	seen := map[string]bool{}
 	for i, t := range s.Titles {
 		field := fmt.Sprintf("titles[%d]", i)
-		c.require(IsPathSegment(t.Name) && !seen[t.Name], field+".name",
+		v.require(IsPathSegment(t.Name) && !seen[t.Name], field+".name",
 			"%q is empty, a duplicate or not valid as a URL path segment", t.Name)
 		seen[t.Name] = true
-		c.require(t.Home >= 0 && t.Home < s.Cells, field+".home", "%d is not one of the %d cells", t.Home, s.Cells)
-		c.require(t.Span >= 1 && t.Span <= s.Cells, field+".span", "%d must be from 1 to %d", t.Span, s.Cells)
-		c.require(t.Length >= 0, field+".length", "must not be negative")
+		v.require(t.Home >= 0 && t.Home < s.Cells, field+".home", "%d is not one of the %d cells", t.Home, s.Cells)
+		v.require(t.Span >= 1 && t.Span <= s.Cells, field+".span", "%d must be from 1 to %d", t.Span, s.Cells)
+		v.require(t.Length >= 0, field+".length", "must not be negative")
 	}
 	for i, b := range s.Boxes {
 		field := fmt.Sprintf("boxes[%d]", i)
-		c.require(isHostPort(b.Addr) && !seen[b.Addr], field+".addr", "%q is not host:port or is a duplicate", b.Addr)
+		v.require(isHostPort(b.Addr) && !seen[b.Addr], field+".addr", "%q is not host:port or is a duplicate", b.Addr)
 		seen[b.Addr] = true
-		c.require(indexOf(s.Zones, b.Zone) >= 0, field+".zone", "%q is not one of the zones", b.Zone)
-		c.require(indexOf(s.kindNames(), b.Kind) >= 0, field+".kind", "%q is not one of the kinds", b.Kind)
-		c.require(b.Cell >= 0 && b.Cell < s.Cells, field+".cell", "%d is not one of the %d cells", b.Cell, s.Cells)
-		c.require(b.Weight > 0, field+".weight", "must be above 0")
+		v.require(indexOf(s.Zones, b.Zone) >= 0, field+".zone", "%q is not one of the zones", b.Zone)
+		v.require(indexOf(s.kindNames(), b.Kind) >= 0, field+".kind", "%q is not one of the kinds", b.Kind)
+		v.require(b.Cell >= 0 && b.Cell < s.Cells, field+".cell", "%d is not one of the %d cells", b.Cell, s.Cells)
+		v.require(b.Weight > 0, field+".weight", "must be above 0")
 	}
 	for i, e := range s.Edges {
 		field := fmt.Sprintf("edges[%d]", i)
-		c.require(indexOf(s.Zones, e.Zone) >= 0, field+".zone", "%q is not one of the zones", e.Zone)
-		c.require(isHostPort(e.Listen), field+".listen", "%q must be host:port", e.Listen)
-		c.require(e.Peer == "" || isHostPort(e.Peer), field+".peer", "%q must be host:port", e.Peer)
+		v.require(indexOf(s.Zones, e.Zone) >= 0, field+".zone", "%q is not one of the zones", e.Zone)
+		v.require(isHostPort(e.Listen), field+".listen", "%q must be host:port", e.Listen)
+		v.require(e.Peer == "" || isHostPort(e.Peer), field+".peer", "%q must be host:port", e.Peer)
 	}
-	c.require(s.Planner.Listen == "" || isHostPort(s.Planner.Listen), "planner.listen",
+	v.require(s.Planner.Listen == "" || isHostPort(s.Planner.Listen), "planner.listen",
 		"%q must be host:port", s.Planner.Listen)
 }
 
--- a/internal/node/clockmonitor.go
+++ b/internal/node/clockmonitor.go
@@ -32,17 +32,17 @@
 
 // sample records the present time. It returns how long the process paused beyond the interval, and by how much the
 // wall clock was stepped; each is zero below its threshold.
-func (w *clockMonitor) sample(now time.Time) (pause, step time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	last := w.lastSample
-	w.lastSample = now
+func (m *clockMonitor) sample(now time.Time) (pause, step time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	last := m.lastSample
+	m.lastSample = now
 	if last.IsZero() {
 		return 0, 0
 	}
 	pause, step = compareClocks(now.Sub(last), now.Round(0).Sub(last.Round(0)))
 	if pause > 0 {
-		w.pauseStart, w.pauseEnd = last, now
+		m.pauseStart, m.pauseEnd = last, now
 	}
 	return pause, step
 }
@@ -61,23 +61,23 @@
 
 // pausedSince reports whether the process paused at some time between from and now, and the earliest time at which
 // that pause may have begun. It detects a pause without waiting for the next sample.
-func (w *clockMonitor) pausedSince(from, now time.Time) (start time.Time, paused bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (m *clockMonitor) pausedSince(from, now time.Time) (start time.Time, paused bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	switch {
-	case !w.lastSample.IsZero() && now.Sub(w.lastSample) >= clockSampleInterval+pauseThreshold:
-		return w.lastSample, true
-	case w.pauseEnd.After(from):
-		return w.pauseStart, true
+	case !m.lastSample.IsZero() && now.Sub(m.lastSample) >= clockSampleInterval+pauseThreshold:
+		return m.lastSample, true
+	case m.pauseEnd.After(from):
+		return m.pauseStart, true
 	}
 	return time.Time{}, false
 }
 
 // earliestArrival returns the earliest time at which data may have arrived that a reader obtains now after waiting
 // since from. After a pause, that is the beginning of the pause, but not before from.
-func (w *clockMonitor) earliestArrival(from, now time.Time) time.Time {
-	start, paused := w.pausedSince(from, now)
-	if !paused || now.Sub(w.lastPauseEnd(now)) > pauseCatchUpTime {
+func (m *clockMonitor) earliestArrival(from, now time.Time) time.Time {
+	start, paused := m.pausedSince(from, now)
+	if !paused || now.Sub(m.lastPauseEnd(now)) > pauseCatchUpTime {
 		return now
 	}
 	if start.Before(from) {
@@ -87,13 +87,13 @@
 }
 
 // lastPauseEnd returns when the last pause ended, or now if a pause is not sampled yet.
-func (w *clockMonitor) lastPauseEnd(now time.Time) time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if now.Sub(w.lastSample) >= clockSampleInterval+pauseThreshold {
+func (m *clockMonitor) lastPauseEnd(now time.Time) time.Time {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if now.Sub(m.lastSample) >= clockSampleInterval+pauseThreshold {
 		return now
 	}
-	return w.pauseEnd
+	return m.pauseEnd
 }
 
 // monitorClocks logs pauses of the process and steps of the wall clock. It also logs the near miss counters
--- a/internal/node/clockmonitor_test.go
+++ b/internal/node/clockmonitor_test.go
@@ -29,12 +29,12 @@
 func TestEarliestArrival(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	var w clockMonitor
-	if got := w.earliestArrival(at(0), at(5)); !got.Equal(at(5)) {
+	var m clockMonitor
+	if got := m.earliestArrival(at(0), at(5)); !got.Equal(at(5)) {
 		t.Error("earliest arrival before the first sample is not the present time")
 	}
-	w.sample(at(0))
-	w.sample(at(100))
+	m.sample(at(0))
+	m.sample(at(100))
 	for _, c := range []struct {
 		name            string
 		from, now, want int
@@ -43,11 +43,11 @@
 		{"pause not sampled yet", 90, 2100, 100},
 		{"pause not sampled yet, wait began after the last sample", 120, 2100, 120},
 	} {
-		if got := w.earliestArrival(at(c.from), at(c.now)); !got.Equal(at(c.want)) {
+		if got := m.earliestArrival(at(c.from), at(c.now)); !got.Equal(at(c.want)) {
 			t.Errorf("%s: %v, want %d ms", c.name, got.Sub(start), c.want)
 		}
 	}
-	w.sample(at(2100))
+	m.sample(at(2100))
 	for _, c := range []struct {
 		name            string
 		from, now, want int
@@ -56,8 +56,8 @@
 		{"wait began after the pause", 2105, 2110, 2110},
 		{"read long after the pause", 90, 2100 + int(pauseCatchUpTime.Milliseconds()) + 1, 2601},
 	} {
-		w.lastSample = at(c.now) // as if sampling continued
-		if got := w.earliestArrival(at(c.from), at(c.now)); !got.Equal(at(c.want)) {
+		m.lastSample = at(c.now) // as if sampling continued
+		if got := m.earliestArrival(at(c.from), at(c.now)); !got.Equal(at(c.want)) {
 			t.Errorf("%s: %v, want %d ms", c.name, got.Sub(start), c.want)
 		}
 	}
--- a/internal/node/writequeue.go
+++ b/internal/node/writequeue.go
@@ -29,36 +29,36 @@
 )
 
 // enqueue queues the bytes that appendMessage appends. It returns false if the queue is closed.
-func (o *writeQueue) enqueue(appendMessage func([]byte) []byte) bool {
-	return o.append(appendMessage, false)
+func (q *writeQueue) enqueue(appendMessage func([]byte) []byte) bool {
+	return q.append(appendMessage, false)
 }
 
 // enqueueAndWrite is like enqueue, but writes at once what the socket accepts without blocking: a final answer must not
 // wait until a goroutine is scheduled.
-func (o *writeQueue) enqueueAndWrite(appendMessage func([]byte) []byte) bool {
-	return o.append(appendMessage, true)
+func (q *writeQueue) enqueueAndWrite(appendMessage func([]byte) []byte) bool {
+	return q.append(appendMessage, true)
 }
 
-func (o *writeQueue) append(appendMessage func([]byte) []byte, immediately bool) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.closed || o.closing {
+func (q *writeQueue) append(appendMessage func([]byte) []byte, immediately bool) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.closed || q.closing {
 		return false
 	}
-	o.pending = appendMessage(o.pending)
-	if immediately && !o.writing {
-		written := writeNonblocking(o.conn, o.pending)
-		o.pending = append(o.pending[:0], o.pending[written:]...)
-		if len(o.pending) == 0 {
+	q.pending = appendMessage(q.pending)
+	if immediately && !q.writing {
+		written := writeNonblocking(q.conn, q.pending)
+		q.pending = append(q.pending[:0], q.pending[written:]...)
+		if len(q.pending) == 0 {
 			return true
 		}
 	}
-	if len(o.pending) > maxPendingBytes {
-		o.closed = true
-		go o.onError()
+	if len(q.pending) > maxPendingBytes {
+		q.closed = true
+		go q.onError()
 		return false
 	}
-	o.startWriter()
+	q.startWriter()
 	return true
 }
 
@@ -83,55 +83,55 @@
 }
 
 // isWriting reports whether there are pending writes.
-func (o *writeQueue) isWriting() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.writing
+func (q *writeQueue) isWriting() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.writing
 }
 
-func (o *writeQueue) startWriter() {
-	if !o.writing {
-		o.writing = true
-		go o.writeLoop()
+func (q *writeQueue) startWriter() {
+	if !q.writing {
+		q.writing = true
+		go q.writeLoop()
 	}
 }
 
 // closeAfterFlush closes the write side of the connection once the pending bytes are written.
-func (o *writeQueue) closeAfterFlush() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if !o.closing && !o.closed {
-		o.closing = true
-		o.startWriter()
+func (q *writeQueue) closeAfterFlush() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if !q.closing && !q.closed {
+		q.closing = true
+		q.startWriter()
 	}
 }
 
-func (o *writeQueue) writeLoop() {
+func (q *writeQueue) writeLoop() {
 	for {
-		o.mu.Lock()
-		if o.closed || len(o.pending) == 0 {
-			o.writing = false
-			if o.closing && !o.closed {
-				if t, ok := o.conn.(*net.TCPConn); ok {
+		q.mu.Lock()
+		if q.closed || len(q.pending) == 0 {
+			q.writing = false
+			if q.closing && !q.closed {
+				if t, ok := q.conn.(*net.TCPConn); ok {
 					_ = t.CloseWrite()
 				}
 			}
-			o.mu.Unlock()
+			q.mu.Unlock()
 			return
 		}
-		b := o.pending
-		o.pending, o.spare = o.spare[:0], nil
-		o.mu.Unlock()
-		err := writeAll(o.conn, b)
-		o.mu.Lock()
+		b := q.pending
+		q.pending, q.spare = q.spare[:0], nil
+		q.mu.Unlock()
+		err := writeAll(q.conn, b)
+		q.mu.Lock()
 		if cap(b) <= 32<<10 {
-			o.spare = b[:0]
+			q.spare = b[:0]
 		}
-		if err != nil && !o.closed {
-			o.closed = true
-			go o.onError()
+		if err != nil && !q.closed {
+			q.closed = true
+			go q.onError()
 		}
-		o.mu.Unlock()
+		q.mu.Unlock()
 	}
 }
 
@@ -158,8 +158,8 @@
 }
 
 // abort closes the queue and discards what is pending.
-func (o *writeQueue) abort() {
-	o.mu.Lock()
-	o.closed = true
-	o.mu.Unlock()
+func (q *writeQueue) abort() {
+	q.mu.Lock()
+	q.closed = true
+	q.mu.Unlock()
 }
