--- a/cmd/rainpulley/main.go
+++ b/cmd/rainpulley/main.go
@@ -39,7 +39,8 @@
 
 func main() {
 	var t tool
-	k := kong.Parse(&t, kong.Name("rainpulley"), kong.Description("Operators' tool of rainpulley, which places video sessions on streaming servers."), kong.UsageOnError())
+	k := kong.Parse(&t, kong.Name("rainpulley"),
+		kong.Description("Operators' tool of rainpulley, which places video sessions on streaming servers."), kong.UsageOnError())
 	k.FatalIfErrorf(k.Run(&t))
 }
 
@@ -55,7 +56,8 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %d boxes, %d edges, %d titles, %d classes: no fault found\n", c.Check.Site, len(s.Boxes), len(s.Edges), len(s.Titles), len(s.Classes))
+	fmt.Printf("%s: %d boxes, %d edges, %d titles, %d classes: no fault found\n", c.Check.Site,
+		len(s.Boxes), len(s.Edges), len(s.Titles), len(s.Classes))
 	return nil
 }
 
@@ -230,8 +232,8 @@
 	}
 	for i, p := range variants {
 		if b := results[i]; p.policy == "random" {
-			r.Baseline = &scenario.BaselineResult{Policy: b.Policy, Sessions: b.Sessions, WorthShare: b.WorthShare, WorthDelivered: b.WorthDelivered,
-				WorthAsked: b.WorthAsked, BrokenRules: b.BrokenRules}
+			r.Baseline = &scenario.BaselineResult{Policy: b.Policy, Sessions: b.Sessions,
+				WorthShare: b.WorthShare, WorthDelivered: b.WorthDelivered, WorthAsked: b.WorthAsked, BrokenRules: b.BrokenRules}
 		}
 	}
 	if len(s.Peaks) > 0 && !serve {
@@ -246,7 +248,8 @@
 			"no holds, no copies      %.3f  %.3f  %.3f\npaced, usual holders     %.3f\npaced, peak everywhere   %.3f  part of the gap closed %.2f\npaced, early down-steps  %.3f\n"+
 			"oracle, usual holders    %.3f\noracle, peak everywhere  %.3f\nall links as one         %.3f\n",
 			p.ShareWith, p.PeakShareWith, p.OthersShareWith, p.ShareGreedy, p.PeakShareGreedy, p.OthersShareGreedy,
-			p.ShareHolds, p.PeakShareHolds, p.OthersShareHolds, p.ShareWithout, p.PeakShareWithout, p.OthersShareWithout, p.SharePacedAtRest, p.SharePaced, p.GapClosed, p.SharePacedWithLead,
+			p.ShareHolds, p.PeakShareHolds, p.OthersShareHolds, p.ShareWithout, p.PeakShareWithout, p.OthersShareWithout,
+			p.SharePacedAtRest, p.SharePaced, p.GapClosed, p.SharePacedWithLead,
 			p.ShareOracle, p.ShareOracleSpread, p.ShareUpperBound)
 	}
 	line, err := json.Marshal(r)
@@ -278,16 +281,18 @@
 	return out
 }
 
-// comparePeakPlans compares the variants of planning a peak. Closed is the part of the distance between no planning
-// and the paced oracle that the full planning closes.
+// comparePeakPlans compares the variants of planning a peak. GapClosed is the share of the difference between no
+// planning and the paced oracle that full planning gains.
 func comparePeakPlans(results []*scenario.Result, scenarioRuns []*scenario.Run, variants []variant,
 	oracle bool) *scenario.PeakResult {
-	p := &scenario.PeakResult{ShareUpperBound: scenarioRuns[0].UpperBound(), ShareOracle: results[0].OracleShare, SharePacedAtRest: results[0].PacedShare}
+	p := &scenario.PeakResult{ShareUpperBound: scenarioRuns[0].UpperBound(), ShareOracle: results[0].OracleShare,
+		SharePacedAtRest: results[0].PacedShare}
 	if oracle {
 		p.ShareOracleSpread, _ = scenarioRuns[0].OracleShare(true)
 	}
 	p.SharePaced = scenarioRuns[0].PacedShare(true)
-	p.SharePacedWithLead = scenarioRuns[0].PacedShareWithLead(true, time.Duration(10*float64(time.Second)/scenarioRuns[0].Speed))
+	p.SharePacedWithLead = scenarioRuns[0].PacedShareWithLead(true,
+		time.Duration(10*float64(time.Second)/scenarioRuns[0].Speed))
 	for i, v := range variants {
 		inside, outside := scenarioRuns[i].PeakAndOtherShares()
 		switch v.holds {
--- a/cmd/rainpulley/peak.go
+++ b/cmd/rainpulley/peak.go
@@ -61,8 +61,9 @@
 
 // Run announces the peak, or all peaks of a file.
 func (a *peakAdd) Run(c *tool) error {
-	list := []peaks.Announcement{{ID: a.ID, Version: a.Version, Titles: a.Titles, Class: a.Class, Zone: a.Zone, Start: a.Start.UnixMilli(),
-		Uncertainty: a.Uncertain.Milliseconds(), Rate: a.Rate, Duration: a.Length.Milliseconds(), SessionDuration: a.Session.Milliseconds(), Worth: a.Worth}}
+	list := []peaks.Announcement{{ID: a.ID, Version: a.Version, Titles: a.Titles, Class: a.Class, Zone: a.Zone,
+		Start: a.Start.UnixMilli(), Uncertainty: a.Uncertain.Milliseconds(), Rate: a.Rate, Duration: a.Length.Milliseconds(),
+		SessionDuration: a.Session.Milliseconds(), Worth: a.Worth}}
 	if a.File != "" {
 		var err error
 		if list, err = planner.ReadAnnouncements(a.File); err != nil {
--- a/internal/cli/programs.go
+++ b/internal/cli/programs.go
@@ -94,8 +94,8 @@
 			return fmt.Errorf("state folder: %w", err)
 		}
 	}
-	o := edge.Options{Site: site, Position: c.Position, Planner: c.Planner, StateDir: c.State, ShutdownGrace: c.Grace, Seed: c.Seed,
-		Log: c.Logger("edge").With("edge", c.Position)}
+	o := edge.Options{Site: site, Position: c.Position, Planner: c.Planner, StateDir: c.State, ShutdownGrace: c.Grace,
+		Seed: c.Seed, Log: c.Logger("edge").With("edge", c.Position)}
 	if o.Planner == "" {
 		o.Planner = site.Planner.Listen
 	}
@@ -161,7 +161,8 @@
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	p := planner.New(planner.Options{Site: site, Log: c.Logger("planner"), State: c.State, Announcements: c.Peaks, Holds: c.Holds, Copies: c.Copies})
+	p := planner.New(planner.Options{Site: site, Log: c.Logger("planner"),
+		State: c.State, Announcements: c.Peaks, Holds: c.Holds, Copies: c.Copies})
 	defer c.reloadOnHangup(p.Log, p.Reload)()
 	return p.Run(ctx)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -226,13 +226,16 @@
 		Rules: Rules{DrainGrace: Duration(time.Second), AnswerSlack: Duration(40 * time.Millisecond)},
 		Attempts: Attempts{Most: 5, ConnectTimeout: Duration(250 * time.Millisecond),
 			Cancel: true},
-		Notes:  Notes{Reports: "answers"},
-		Consul: Consul{Scheme: "http", Service: "clip-box", Consistency: "default", Wait: Duration(30 * time.Second), TTL: Duration(15 * time.Second)},
+		Notes: Notes{Reports: "answers"},
+		Consul: Consul{Scheme: "http", Service: "clip-box", Consistency: "default",
+			Wait: Duration(30 * time.Second), TTL: Duration(15 * time.Second)},
 		Copies: Copies{Least: 3, AtOnce: 1, Share: 0.5, Most: 64, Grace: Duration(10 * time.Second),
 			Patience: Duration(10 * time.Second), Backoff: Duration(2 * time.Second), Ahead: Duration(30 * time.Minute)},
-		Planner:  Planner{CheckEvery: Duration(250 * time.Millisecond), CheckFor: Duration(500 * time.Millisecond), GoneAfter: 3},
-		Playback: Playback{Ahead: Duration(3 * time.Second), Behind: Duration(6 * time.Second), Silence: Duration(10 * time.Second)},
-		Limits:   Limits{Connections: 20000, Sessions: 20000, Queue: 1024},
+		Planner: Planner{CheckEvery: Duration(250 * time.Millisecond), CheckFor: Duration(500 * time.Millisecond),
+			GoneAfter: 3},
+		Playback: Playback{Ahead: Duration(3 * time.Second), Behind: Duration(6 * time.Second),
+			Silence: Duration(10 * time.Second)},
+		Limits: Limits{Connections: 20000, Sessions: 20000, Queue: 1024},
 	}
 }
 
@@ -301,7 +304,8 @@
 		}
 		return parseRate(text)
 	}
-	if f, ok := v.(float64); ok && (to.Kind() == reflect.Int || to.Kind() == reflect.Int64 || to.Kind() == reflect.Uint64) {
+	if f, ok := v.(float64); ok && (to.Kind() == reflect.Int || to.Kind() == reflect.Int64 ||
+		to.Kind() == reflect.Uint64) {
 		if f != float64(int64(f)) {
 			return nil, fmt.Errorf("%v is not a whole number", f)
 		}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,7 +9,8 @@
 	out := control.Settings{
 		Position: position, Fronts: max(len(s.Edges), 1), Cells: s.Cells, Racks: s.Racks,
 		LinkRatePerWeight: float64(s.Links.PerWeight), RackUplinkRate: float64(s.Links.Uplink),
-		RejectUtilization: s.Links.FullFrom, WeightMode: control.WeightSize, NoteDelay: s.Notes.Delay.Std(), LinkNoteInterval: s.Notes.LinkEvery.Std(),
+		RejectUtilization: s.Links.FullFrom, WeightMode: control.WeightSize,
+		NoteDelay: s.Notes.Delay.Std(), LinkNoteInterval: s.Notes.LinkEvery.Std(),
 		SwitchCost: s.Notes.SwitchCost.Std(), AllowProbes: s.Attempts.Probes, AllowPeerMessages: s.Peers && len(s.Edges) > 1,
 		AllowCancel: s.Attempts.Cancel, AllowRetryAfter: s.RetryAfter > 0, MaxAttempts: s.Attempts.Most,
 		MaxRetryAfter: s.RetryAfter.Std(), MovePrice: s.Prices.Move, ZonePrice: s.Prices.Zone, ProbePrice: s.Prices.Probe,
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -17,7 +17,7 @@
 const (
 	admitted         admissionResult = iota
 	connectionClosed                 // the connection ended before anything was written on it
-	notWanted                        // its viewer has left, its time is up or its server accepts no set-ups: it is not sent
+	notWanted                        // not sent: its viewer has left, its time is up or its server is not ready
 )
 
 // SetUp asks a server to start a session. If the idle connection chosen for it turns out to be closed, nothing was
@@ -42,7 +42,8 @@
 		}
 		switch p.admit(ctx, c, a.ID, viewerSession) {
 		case notWanted:
-			p.node.Log.Info("attempt not sent", "session", a.ID, "server", a.Server, "attempt", a.Number, "wanted", viewerSession.mayBeginAttempt(), "left", p.node.timeLeft(ctx))
+			p.node.Log.Info("attempt not sent", "session", a.ID, "server", a.Server, "attempt", a.Number,
+				"wanted", viewerSession.mayBeginAttempt(), "left", p.node.timeLeft(ctx))
 			p.putBack(c)
 			return core.Result{Outcome: control.NotSent}
 		case connectionClosed:
@@ -52,7 +53,8 @@
 			return core.Result{Outcome: control.ConnectFailed} // the server's process ended just after accepting the connection
 		}
 		var attrs [10]string
-		c.send(jsonlines.TypeOpen, a.ID, viewerSession.appendSetUpAttrs(attrs[:0], p.node.timeLeft(ctx), a.Rung), -1, viewerSession.description)
+		c.send(jsonlines.TypeOpen, a.ID, viewerSession.appendSetUpAttrs(attrs[:0], p.node.timeLeft(ctx), a.Rung), -1,
+			viewerSession.description)
 		select {
 		case r := <-c.results:
 			r.Cleanup = func() { p.putBack(c) }
@@ -89,7 +91,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case ctx.Err() != nil || p.node.timeLeft(ctx) <= 0 || c.server.state != control.Ready || !viewerSession.mayBeginAttempt():
+	case ctx.Err() != nil || p.node.timeLeft(ctx) <= 0 || c.server.state != control.Ready ||
+		!viewerSession.mayBeginAttempt():
 		return notWanted
 	case c.detached:
 		return connectionClosed
@@ -103,10 +106,11 @@
 }
 
 // connectOutcome returns the outcome of an attempt whose connection could not be established. It is NotSent if the
-// viewer withdrew meanwhile or this node has no descriptor left: hundreds of withdrawn set-ups must not make a healthy
-// server look faulty.
+// viewer withdrew, the server was removed or replaced, or this node had no slot or a local error, such as no free
+// descriptor: hundreds of withdrawn set-ups must not make a healthy server look faulty.
 func connectOutcome(ctx context.Context, err error) control.Outcome {
-	if errors.Is(err, errNoSlot) || errors.Is(err, errLocal) || errors.Is(err, errServerChanged) || errors.Is(ctx.Err(), context.Canceled) {
+	if errors.Is(err, errNoSlot) || errors.Is(err, errLocal) || errors.Is(err, errServerChanged) ||
+		errors.Is(ctx.Err(), context.Canceled) {
 		return control.NotSent
 	}
 	return control.ConnectFailed
--- a/internal/node/capacity_test.go
+++ b/internal/node/capacity_test.go
@@ -26,8 +26,8 @@
 	b := newBox(t, "s-0", answerReady)
 	list := []coordinator.Entry{b.entry("up")} // alone in its cell; the other addresses are not listened on
 	for i := range listedServers - 1 {
-		list = append(list, coordinator.Entry{ID: fmt.Sprintf("s-%d", i+1), Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Zone: "east", Kind: "std",
-			State: "up", Weight: 10, Cell: 1 + i%3})
+		list = append(list, coordinator.Entry{ID: fmt.Sprintf("s-%d", i+1), Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Zone: "east",
+			Kind: "std", State: "up", Weight: 10, Cell: 1 + i%3})
 	}
 	settings := strings.NewReplacer(`"groupSize":1,`, fmt.Sprintf(`"groupSize":%d,"position":%d,`, listedProcesses, listedProcesses-1),
 		`"linksKb":100000`, `"linksKb":100000000`, `"rackLinkKb":100000`, `"rackLinkKb":100000000`, `"weightKb":1000`, `"weightKb":1000000`, `"kindStreams":[50]`, `"kindStreams":[100000]`).Replace(defaultSettings)
@@ -39,7 +39,8 @@
 	v := n.dial().send(optionsRequest)
 	v.wantAnswer("", 200)
 	ready := time.Since(begun)
-	t.Logf("ready after %v, %d goroutines more, %d kB of heap more", ready, runtime.NumGoroutine()-goroutines, (heapInUse()-heap)>>10)
+	t.Logf("ready after %v, %d goroutines more, %d kB of heap more", ready, runtime.NumGoroutine()-goroutines,
+		(heapInUse()-heap)>>10)
 	if more := runtime.NumGoroutine() - goroutines; more > maxIdleGoroutines {
 		t.Errorf("%d more goroutines", more)
 	}
@@ -63,7 +64,8 @@
 	n.wantServedBy(v, b, idB)
 
 	whole := coordinator.Update{Endpoints: &coordinator.Endpoints{Full: true, Servers: list}}
-	n.writeConfig(n.ConfigPath, n.coordinator, 256, coordinator.Updates{Index: n.coordinator.lastIndex() + 1, Updates: []coordinator.Update{whole}})
+	n.writeConfig(n.ConfigPath, n.coordinator, 256, coordinator.Updates{Index: n.coordinator.lastIndex() + 1,
+		Updates: []coordinator.Update{whole}})
 	_ = syscall.Kill(syscall.Getpid(), syscall.SIGHUP)
 	eventually(t, "the reload", func() bool { return n.drainingCount() == 0 })
 	n.wantServedBy(v, b, idC)
--- a/internal/node/checkservers.go
+++ b/internal/node/checkservers.go
@@ -37,7 +37,7 @@
 func (p *pool) checkServers(ctx context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed { // a message on a connection that nothing reads would be lost to the next instance of this node
+	if p.closed { // nothing reads a new connection: a message on it would not reach the next instance of this node
 		return
 	}
 	now := p.node.now()
@@ -57,7 +57,8 @@
 		}
 	}
 	slices.SortFunc(due, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(len(a.conns), len(b.conns)), cmp.Compare(a.unconnectedSince, b.unconnectedSince), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(len(a.conns), len(b.conns)), cmp.Compare(a.unconnectedSince, b.unconnectedSince),
+			cmp.Compare(a.id, b.id))
 	})
 	for _, s := range due {
 		if p.reserveSlotForCheck(s, now) {
@@ -84,7 +85,8 @@
 func (p *pool) expire(s *server, now time.Duration) {
 	for _, id := range s.pendingReleases.Expire(now) {
 		p.node.nearMisses.releasesExpired.Add(1)
-		p.node.Log.Warn("release not delivered to server: no connection could be established in time", "session", id, "server", s.id)
+		p.node.Log.Warn("release not delivered to server: no connection could be established in time",
+			"session", id, "server", s.id)
 	}
 	for id, e := range s.earlyEnds {
 		if now-e.receivedAt > earlyEndTimeout {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -145,10 +145,12 @@
 	if e.ID == "" || !known {
 		return control.Server{}, fmt.Errorf("empty id or unknown state: id %q, state %q", e.ID, e.State)
 	}
-	s := control.Server{ID: e.ID, State: state, Cell: e.Cell, Weight: e.Weight, Started: timeconv.UnixMilli(e.StartedMs),
-		Zone: slices.Index(c.Platform.Zones, e.Zone), Kind: slices.Index(c.Platform.Kinds, e.Kind)}
+	s := control.Server{ID: e.ID, State: state, Cell: e.Cell, Weight: e.Weight,
+		Started: timeconv.UnixMilli(e.StartedMs),
+		Zone:    slices.Index(c.Platform.Zones, e.Zone), Kind: slices.Index(c.Platform.Kinds, e.Kind)}
 	if _, _, err := net.SplitHostPort(e.Addr); state != control.Gone && (err != nil || s.Zone < 0 || s.Kind < 0) {
-		return control.Server{}, fmt.Errorf("server %s: invalid address or unknown zone or kind: address %q, zone %q, kind %q", e.ID, e.Addr, e.Zone, e.Kind)
+		return control.Server{}, fmt.Errorf("server %s: invalid address or unknown zone or kind: address %q, zone %q, kind %q",
+			e.ID, e.Addr, e.Zone, e.Kind)
 	}
 	return s, nil
 }
--- a/internal/node/descriptor_test.go
+++ b/internal/node/descriptor_test.go
@@ -78,7 +78,8 @@
 	for _, c := range all[1:] { // the first one was open when the descriptors were counted
 		_ = c.Close()
 	}
-	eventually(t, "the descriptors freed", func() bool { return descriptors() <= before+1 }) // plus the connection to the second server
+	// One more than before: the connection to the second server.
+	eventually(t, "the descriptors freed", func() bool { return descriptors() <= before+1 })
 	_ = all[0].Close()
 }
 
@@ -98,7 +99,8 @@
 	b := newBox(t, "s-1", answerReady)
 	list := []coordinator.Entry{b.entry("up")}
 	for i := range 400 {
-		list = append(list, coordinator.Entry{ID: fmt.Sprintf("s-%d", i+2), Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Zone: "east", Kind: "std", State: "draining"})
+		list = append(list, coordinator.Entry{ID: fmt.Sprintf("s-%d", i+2), Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Zone: "east",
+			Kind: "std", State: "draining"})
 	}
 	var dials []string
 	n := startNodeWithList(t, 256, func(n *Node) {
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -362,7 +362,8 @@
 // stays until it may be killed, 0.7 s plus the longest deadline after SIGTERM.
 func TestShutdownDelay(t *testing.T) {
 	const lastArrival = 600 * time.Millisecond
-	for _, deadline := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 350 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second} {
+	for _, deadline := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 350 * time.Millisecond,
+		time.Second, 3 * time.Second, 10 * time.Second} {
 		n := &Node{Config: &Config{}, ArrivalWindow: defaultArrivalWindow}
 		n.Config.Set.Classes = []control.Class{{Deadline: deadline / 2}, {Deadline: deadline}}
 		kill := defaultArrivalWindow + min(deadline, 3*time.Second)
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -51,17 +51,23 @@
 	a, b := newBox(t, "s-1", nil), newBox(t, "s-2", answerReady)
 	n := startNode(t, a)
 	n.coordinator.mu.Lock()
-	n.coordinator.updates = append(n.coordinator.updates, coordinator.Update{Endpoints: &coordinator.Endpoints{Full: true, Servers: []coordinator.Entry{b.entry("up")}}})
+	n.coordinator.updates = append(n.coordinator.updates, coordinator.Update{
+		Endpoints: &coordinator.Endpoints{Full: true, Servers: []coordinator.Entry{b.entry("up")}}})
 	n.coordinator.index++
 	close(n.coordinator.changed)
 	n.coordinator.changed = make(chan struct{})
 	n.coordinator.mu.Unlock()
-	eventually(t, "the list applied", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-2"] != nil })
+	eventually(t, "the list applied", func() bool {
+		n.pool.mu.Lock()
+		defer n.pool.mu.Unlock()
+		return n.pool.servers["s-2"] != nil
+	})
 	n.dial().send(setUpRequest(idA, "paid", "")).wantAnswer(idA, 200)
 	if m := b.next(t, "open"); m.ID != idA || len(a.received) > 0 {
 		t.Errorf("got %+v; the removed server received %d lines, want 0", m.Message, len(a.received))
 	}
-	if r := n.pool.SetUp(context.Background(), core.Attempt{ID: idB, Server: "s-1", Listener: &session{node: n.Node}}); r.Outcome != control.NotSent {
+	if r := n.pool.SetUp(context.Background(), core.Attempt{ID: idB, Server: "s-1",
+		Listener: &session{node: n.Node}}); r.Outcome != control.NotSent {
 		t.Errorf("set-up at a removed server: outcome %v, want not sent", core.OutcomeName(r.Outcome))
 	}
 }
@@ -120,7 +126,11 @@
 	v.wantAnswer(idA, 200)
 	n.coordinator.push(a.entry("draining"), b.entry("up"))
 	a.next(t, "open")
-	eventually(t, "the list applied", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-2"] != nil })
+	eventually(t, "the list applied", func() bool {
+		n.pool.mu.Lock()
+		defer n.pool.mu.Unlock()
+		return n.pool.servers["s-2"] != nil
+	})
 	v.send(setUpRequest(idB, "paid", "")).wantAnswer(idB, 200)
 	if m := b.next(t, "open"); m.ID != idB {
 		t.Errorf("got %+v, want the second set-up", m.Message)
@@ -141,8 +151,13 @@
 	n := startNode(t, a)
 	badAddress := b.entry("up")
 	badAddress.ID, badAddress.Addr = "s-5", "nowhere"
-	n.coordinator.push(coordinator.Entry{ID: "s-4", State: "strange"}, a.entry("draining"), coordinator.Entry{State: "up"}, badAddress, b.entry("up"))
-	eventually(t, "the update applied", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-2"] != nil })
+	n.coordinator.push(coordinator.Entry{ID: "s-4", State: "strange"}, a.entry("draining"),
+		coordinator.Entry{State: "up"}, badAddress, b.entry("up"))
+	eventually(t, "the update applied", func() bool {
+		n.pool.mu.Lock()
+		defer n.pool.mu.Unlock()
+		return n.pool.servers["s-2"] != nil
+	})
 	v := n.dial().send(setUpRequest(idA, "paid", "")).wantAnswer(idA, 200)
 	if v.Status != 200 || b.next(t, "open").ID != idA || len(a.received) > 0 {
 		t.Error("the drain in an update with unusable entries was not applied")
--- a/internal/node/localerrors_test.go
+++ b/internal/node/localerrors_test.go
@@ -21,8 +21,8 @@
 // and no server is considered failed.
 
 // transientErrors are local errors that may resolve by themselves.
-var transientErrors = []syscall.Errno{syscall.ENETUNREACH, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EADDRNOTAVAIL,
-	syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN}
+var transientErrors = []syscall.Errno{syscall.ENETUNREACH, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE,
+	syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN}
 
 func dialError(errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
@@ -117,9 +117,11 @@
 // TestAcceptErrorClosesNoConnection checks that no connection is closed when accept fails with an error that closing
 // connections would not resolve.
 func TestAcceptErrorClosesNoConnection(t *testing.T) {
-	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EPROTO, syscall.EPERM} {
+	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED,
+		syscall.EPROTO, syscall.EPERM} {
 		acceptErrors := make(chan error, 8)
-		n := startModifiedNode(t, func(n *Node) { n.Listener = &failingListener{n.Listener, acceptErrors} }, newBox(t, "s-1", answerReady))
+		n := startModifiedNode(t, func(n *Node) { n.Listener = &failingListener{n.Listener, acceptErrors} },
+			newBox(t, "s-1", answerReady))
 		silent := n.dial()
 		eventually(t, "the silent connection accepted", func() bool {
 			n.viewerConns.mu.Lock()
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -37,8 +37,8 @@
 		"negative length": change("Content-Length: ", "Content-Length: -"), "class": change("free", "gold"), "no class": change("X-Cos: free\r\n", ""),
 		"timer": change("3000", "NaN"), "negative timer": change("3000", "-5"), "no timer": change("X-Timer-Ms: 3000\r\n", ""), "endless timer": change("3000", "1e300"),
 		"hint": change("8200.0", "Inf"), "home": change("home:0", "home:99999999999"), "copies": change("copies:4", "copies:-1"), "top": change("top:2", "top:7"),
-		"viewer": change("viewer:00", "viewer:zz"), "no figures": change("home:0;", ""), "no id": change("Session: "+idB+"\r\n", ""), "id": change(idB, "12"),
-		"title": change("7f3a9c21e0b4d655", "nothing here"), "title's digits": change("7f3a9c21e0b4d655", "xyz"), "text": change("audio", "\xff"),
+		"viewer": change("viewer:00", "viewer:zz"), "no home": change("home:0;", ""), "no id": change("Session: "+idB+"\r\n", ""), "id": change(idB, "12"),
+		"title": change("7f3a9c21e0b4d655", "nothing here"), "title not hexadecimal": change("7f3a9c21e0b4d655", "xyz"), "description not UTF-8": change("audio", "\xff"),
 		"method": change("SETUP", "PLAY"), "incomplete": good[:60], "lone teardown": tearDownRequest(idC),
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -73,7 +73,8 @@
 
 // New returns a front node for a configuration read from path.
 func New(c *Config, path string, log *slog.Logger) (*Node, error) {
-	n := &Node{Config: c, ConfigPath: path, Log: log, ArrivalWindow: defaultArrivalWindow, Dial: dialTCP, yieldProcessor: runtime.Gosched, startedAt: time.Now(), sessions: map[string]*session{},
+	n := &Node{Config: c, ConfigPath: path, Log: log, ArrivalWindow: defaultArrivalWindow, Dial: dialTCP,
+		yieldProcessor: runtime.Gosched, startedAt: time.Now(), sessions: map[string]*session{},
 		resendWindow:  defaultResendWindow,
 		recentAnswers: answerCache{retention: defaultAnswerRetention, byID: map[string]*session{}}}
 	n.startUnixTime = time.Duration(n.startedAt.UnixNano())
@@ -86,8 +87,10 @@
 	n.controller = decider
 	n.pool = newPool(n, c.Sockets*3/8)
 	n.viewerConns = newViewerConns(n, c.Sockets/2)
-	n.orchestrator = core.New(core.Options{QueueSize: maxQueuedRequests, MaxAttempts: c.Set.MaxAttempts, AnswerSlack: c.Platform.AnswerSlack + socketSlack,
-		Budget: core.Budget{Span: c.Set.BudgetSpan, Share: c.Set.BudgetShare}, Log: log, Decider: decider, Executor: n.pool, Now: n.now})
+	n.orchestrator = core.New(core.Options{QueueSize: maxQueuedRequests, MaxAttempts: c.Set.MaxAttempts,
+		AnswerSlack: c.Platform.AnswerSlack + socketSlack,
+		Budget:      core.Budget{Span: c.Set.BudgetSpan, Share: c.Set.BudgetShare}, Log: log,
+		Decider: decider, Executor: n.pool, Now: n.now})
 	n.follower = coordinator.New(c.Coordinator, c.Known.Index, c.Platform.ConnectTimeout, log, n.handleUpdates)
 	n.follower.OnResponse = n.recordCoordinatorContact
 	return n, nil
@@ -168,7 +171,8 @@
 	})
 }
 
-// recordCoordinatorContact records the time of a response whose updates have all been applied; it may be empty.
+// recordCoordinatorContact records the time of the coordinator's last response. Its updates, if it has any, have all
+// been applied.
 func (n *Node) recordCoordinatorContact() {
 	n.startTranslatorMu.Lock()
 	defer n.startTranslatorMu.Unlock()
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// maxNoticeDelay is the time after a session's end within which its viewer has to be notified; later notices count
-	// as late.
+	// maxNoticeDelay is the time after a server's release of a session within which the viewer has to be notified;
+	// later notices count as late.
 	maxNoticeDelay = time.Second
-	// noticeLifetime is how long after a session's end delivery of its notice is attempted.
+	// noticeLifetime is how long after a session's end its notice may still be delivered. The design allows 8 s.
 	noticeLifetime = 8 * time.Second
 	// noticeDeliveryWindow is how long a notice may be in transit: a connection that ends within it may have lost it.
 	noticeDeliveryWindow = writeTimeout + time.Second
@@ -131,7 +131,8 @@
 	}
 	if resent := pending.ConnectionEnded(ended.id, v.node.now()); resent > 0 {
 		v.node.nearMisses.noticesResent.Add(int64(resent))
-		v.node.Log.Debug("resending notices that may be lost with their connection", "from", ended.remoteHost, "notices", resent)
+		v.node.Log.Debug("resending notices that may be lost with their connection",
+			"from", ended.remoteHost, "notices", resent)
 		v.sendNotices(ended.remoteHost)
 	}
 	v.dropEmptyNotices(ended.remoteHost)
@@ -150,7 +151,8 @@
 	for address, pending := range v.pendingNotices {
 		for _, id := range pending.Expire(v.node.now()) {
 			v.node.nearMisses.noticesExpired.Add(1)
-			v.node.Log.Warn("viewer not notified of its session's end: it opened no connection in time", "session", id, "from", address)
+			v.node.Log.Warn("viewer not notified of its session's end: it opened no connection in time",
+				"session", id, "from", address)
 		}
 		v.dropEmptyNotices(address)
 	}
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -46,7 +46,7 @@
 	detector         liveness.Detector
 	pendingReleases  *delivery.Pending[struct{}] // for sessions that the server no longer needs to run
 	earlyEnds        map[string]earlyEnd         // ends of sessions that this node does not know yet
-	reconnectAt      time.Duration               // if set, a connection ended and may have lost a release; a new connection is due at this time
+	reconnectAt      time.Duration               // when a new connection is due, if set: see scheduleReconnect
 }
 
 // earlyEnd is a server's report that a session has ended, received before this node knows the session. After a restart
@@ -109,7 +109,8 @@
 }
 
 func (p *pool) addServer(id string, now time.Duration) *server {
-	s := &server{id: id, unconnectedSince: now, activeSessions: map[string]bool{}, abandonedSetUps: map[string]bool{}, heldReleases: map[string]bool{}, detector: liveness.New(now),
+	s := &server{id: id, unconnectedSince: now, activeSessions: map[string]bool{},
+		abandonedSetUps: map[string]bool{}, heldReleases: map[string]bool{}, detector: liveness.New(now),
 		pendingReleases: delivery.New[struct{}](releaseLifetime, releaseDeliveryWindow), earlyEnds: map[string]earlyEnd{}}
 	p.servers[id] = s
 	return s
@@ -136,10 +137,11 @@
 	}
 }
 
-// removeGoneServers deletes removed servers that have no work left.
+// removeGoneServers deletes removed servers without sessions, unsent releases, set-ups or checks in progress.
 func (p *pool) removeGoneServers() {
 	for id, s := range p.servers {
-		busy := len(s.activeSessions) > 0 || len(s.heldReleases) > 0 || s.pendingReleases.HasWaiting() || len(s.idleConns) < len(s.conns) || s.detector.CheckInProgress()
+		busy := len(s.activeSessions) > 0 || len(s.heldReleases) > 0 || s.pendingReleases.HasWaiting() ||
+			len(s.idleConns) < len(s.conns) || s.detector.CheckInProgress()
 		if s.state == control.Gone && !busy {
 			for len(s.conns) > 0 {
 				p.retireConn(s.conns[0]) // flushes a release that may still be queued on it
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -28,7 +28,11 @@
 	eventually(t, "the connection idle again", idle)
 	n.pool.Probe("s-1")
 	m = b.next(t, "probe")
-	eventually(t, "the probe timed out", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return len(n.pool.servers["s-1"].conns) == 0 })
+	eventually(t, "the probe timed out", func() bool {
+		n.pool.mu.Lock()
+		defer n.pool.mu.Unlock()
+		return len(n.pool.servers["s-1"].conns) == 0
+	})
 	m.conn.send(`{"msg":"probed","sid":%q,"code":1}`, m.ID)
 	v := n.dial().send(setUpRequest(idA, "paid", ""))
 	answerReady(b.next(t, "open"))
--- a/internal/node/resend.go
+++ b/internal/node/resend.go
@@ -100,7 +100,7 @@
 	return r
 }
 
-// isSameRequest reports whether another set-up with the same session id requests the same.
+// isSameRequest reports whether another set-up with the same session id has the same content.
 func (s *session) isSameRequest(other *session) bool {
 	return s.uri == other.uri && s.className == other.className && s.description == other.description &&
 		s.dedupeKey == other.dedupeKey
--- a/internal/node/resent_test.go
+++ b/internal/node/resent_test.go
@@ -12,8 +12,8 @@
 )
 
 // The tests of this file break a viewer's connection under a pending set-up and resend the set-up on a new connection,
-// as the platform's clients do if a set-up crosses the end of a connection. Whichever event the node notices first, the
-// viewer must get the one answer on the new connection.
+// as the platform's clients do if a connection ends while a set-up is in transit on it. Whichever event the node notices
+// first, the viewer must get the one answer on the new connection.
 
 // waitForResends makes a node await resent set-ups, and cache answers, for as long as a test may take.
 func waitForResends(n *Node) { n.resendWindow, n.recentAnswers.retention = testTimeout, testTimeout }
@@ -51,7 +51,7 @@
 // first. The platform allows 50 ms.
 const resendDelay = 15 * time.Millisecond
 
-// resentCase is one way in which a set-up crosses the end of its connection.
+// resentCase is one way in which a connection ends while a set-up on it is pending or its answer is in transit.
 type resentCase struct {
 	class, ending string
 	resendFirst   bool // the resent set-up reaches the node before the end of the first connection
@@ -95,7 +95,8 @@
 	t.Parallel()
 	received := newMessageLog()
 	patient := strings.ReplaceAll(defaultSettings, `"aim":900000`, `"aim":30000000`) // so that no attempt times out
-	p := startProcessWith(t, newBox(t, "s-1", received.record), childOptions{256, patient, []string{helperResendsEnv + "=1"}})
+	p := startProcessWith(t, newBox(t, "s-1", received.record),
+		childOptions{256, patient, []string{helperResendsEnv + "=1"}})
 	p.dial().send(optionsRequest).wantAnswer("", 200) // the process is listening
 	r := newRelay(t, p.addr)
 	for _, c := range resentCases() {
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -77,7 +77,8 @@
 // startNodeWithSettings starts a node with the given settings and server list, and waits until it has the list.
 func startNodeWithSettings(t *testing.T, sockets int, settings string, modify func(*Node),
 	list []coordinator.Entry) *testNode {
-	known := coordinator.Updates{Index: 1, Updates: []coordinator.Update{{Endpoints: &coordinator.Endpoints{Full: true, Servers: list}}}}
+	known := coordinator.Updates{Index: 1, Updates: []coordinator.Update{
+		{Endpoints: &coordinator.Endpoints{Full: true, Servers: list}}}}
 	r := &testNode{t: t, settings: settings, coordinator: newScriptedCoordinator(t, known.Updates),
 		done: make(chan error, 1)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -113,7 +114,7 @@
 	return r
 }
 
-// writeConfig writes the configuration file of a node that follows the coordinator f.
+// writeConfig writes the configuration file of a node that follows a coordinator.
 func (r *testNode) writeConfig(path string, c *scriptedCoordinator, sockets int, known coordinator.Updates) {
 	raw, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "seed": "0a", "limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets},
 		"coordinator": c.Listener.Addr().String(), "known": known, "settings": json.RawMessage(r.settings)})
@@ -161,7 +162,7 @@
 	return v
 }
 
-// reset closes the connection with a TCP reset.
+// reset closes the connection with a TCP reset (RST).
 func (v *viewerClient) reset() {
 	_ = v.Conn.(*net.TCPConn).SetLinger(0)
 	_ = v.Close()
--- a/internal/node/serverage_test.go
+++ b/internal/node/serverage_test.go
@@ -68,7 +68,8 @@
 		t.Run(fmt.Sprint(offset), func(t *testing.T) {
 			t.Parallel()
 			a, b := newBox(t, "s-1", answerReady), newBox(t, "s-2", answerReady)
-			n := startNodeWithList(t, 256, func(n *Node) { n.startUnixTime += offset }, []coordinator.Entry{a.entryStartedAgo(time.Minute), b.entryStartedAgo(100 * time.Millisecond)})
+			n := startNodeWithList(t, 256, func(n *Node) { n.startUnixTime += offset },
+				[]coordinator.Entry{a.entryStartedAgo(time.Minute), b.entryStartedAgo(100 * time.Millisecond)})
 			firstAge, _ := n.serverAge("s-1")
 			lastAge, _ := n.serverAge("s-2")
 			if lastAge < 0 || lastAge > time.Second {
--- a/internal/node/serverconn.go
+++ b/internal/node/serverconn.go
@@ -46,7 +46,7 @@
 	lingerTimeout      = 500 * time.Millisecond // a retired connection stays open this long to flush queued messages
 	surplusIdleTimeout = 3 * time.Second        // a surplus connection stays open this long after its last set-up
 	maxKeptIdle        = 1                      // idle connections kept beyond that time to a server without sessions
-	idleTimeoutShare   = 0.8                    // share of the servers' idle time-out after which this side closes the connection
+	idleTimeoutShare   = 0.8                    // this side closes after this share of the servers' idle time-out
 	reconnectDelay     = 100 * time.Millisecond // a server has certainly detected the end of a connection after this time
 )
 
@@ -163,7 +163,8 @@
 
 // handleDialError returns the reserved slot and classifies the error. Neither a local error nor a time-out during
 // which this process was paused is evidence against the server, so they are not reported to its detector.
-func (p *pool) handleDialError(ctx context.Context, s *server, err error, purpose dialPurpose, dialStart time.Time) error {
+func (p *pool) handleDialError(ctx context.Context, s *server, err error, purpose dialPurpose,
+	dialStart time.Time) error {
 	p.connCount--
 	p.scheduleReconnect(s, 0)
 	category := socketerror.Classify(err, socketerror.Connect)
@@ -194,7 +195,8 @@
 func (p *pool) addConn(s *server, conn net.Conn) *serverConn {
 	p.lastConnID++
 	now := p.node.now()
-	c := &serverConn{server: s, id: p.lastConnID, openedAt: now, conn: conn, results: make(chan core.Result, 1), lastActivity: now}
+	c := &serverConn{server: s, id: p.lastConnID, openedAt: now, conn: conn,
+		results: make(chan core.Result, 1), lastActivity: now}
 	c.out.conn, c.out.onError = conn, func() { p.closeConn(c, false) }
 	s.conns = append(s.conns, c)
 	p.readers.Go(func() { p.readConn(c) })
@@ -230,7 +232,8 @@
 // recordGiveUp records that a server was notified on a connection to give up a set-up.
 func (p *pool) recordGiveUp(c *serverConn, id string) {
 	now := p.node.now()
-	c.givenUpSetUps = slices.DeleteFunc(c.givenUpSetUps, func(g givenUpSetUp) bool { return now-g.at > releaseDeliveryWindow })
+	c.givenUpSetUps = slices.DeleteFunc(c.givenUpSetUps,
+		func(g givenUpSetUp) bool { return now-g.at > releaseDeliveryWindow })
 	c.givenUpSetUps = append(c.givenUpSetUps, givenUpSetUp{id, now})
 }
 
@@ -317,7 +320,8 @@
 // close soon. While the server has active sessions, surplus connections stay open: a release may be in transit on any
 // of them.
 func (p *pool) closeSurplus(s *server, now time.Duration) {
-	for len(s.idleConns) > 0 && (p.isStale(s.idleConns[0], now) || len(s.activeSessions) == 0 && len(s.idleConns) > maxKeptIdle && now-s.idleConns[0].lastUsed > surplusIdleTimeout) {
+	for len(s.idleConns) > 0 && (p.isStale(s.idleConns[0], now) ||
+		len(s.activeSessions) == 0 && len(s.idleConns) > maxKeptIdle && now-s.idleConns[0].lastUsed > surplusIdleTimeout) {
 		p.retireConn(s.idleConns[0])
 	}
 }
--- a/internal/node/serverconn_test.go
+++ b/internal/node/serverconn_test.go
@@ -90,7 +90,11 @@
 	n.pool.mu.Unlock()
 	eventually(t, "the connection accepted", func() bool { return first.acceptedCount() == 1 })
 	first.crash()
-	eventually(t, "the end of the connection detected", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return c.detached })
+	eventually(t, "the end of the connection detected", func() bool {
+		n.pool.mu.Lock()
+		defer n.pool.mu.Unlock()
+		return c.detached
+	})
 	close(g.open)
 	m := other.next(t, "open")
 	if m.ID != idA || len(first.received) > 0 {
@@ -117,14 +121,19 @@
 	g.wait(t)
 	b := newBox(t, "s-2", answerReady)
 	n.coordinator.push(coordinator.Entry{ID: "s-1", State: "removed"}, b.entry("up"))
-	eventually(t, "the server removed", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-1"] == nil })
+	eventually(t, "the server removed", func() bool {
+		n.pool.mu.Lock()
+		defer n.pool.mu.Unlock()
+		return n.pool.servers["s-1"] == nil
+	})
 	close(g.open)
 	v.wantAnswer(idA, 200)
 	n.wantSessionCount(1)
 	n.pool.mu.Lock()
 	defer n.pool.mu.Unlock()
 	if len(a.received) > 0 || n.pool.connCount != len(n.pool.servers["s-2"].conns) {
-		t.Errorf("the removed server received %d lines, want 0; the pool counts %d connections", len(a.received), n.pool.connCount)
+		t.Errorf("the removed server received %d lines, want 0; the pool counts %d connections",
+			len(a.received), n.pool.connCount)
 	}
 }
 
@@ -173,7 +182,11 @@
 	if counted != 1 || inUse != 0 {
 		t.Errorf("%d connections counted, want 1; %d in use, want 0", counted, inUse)
 	}
-	eventually(t, "its descriptor freed", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return len(n.pool.retired) == 0 })
+	eventually(t, "its descriptor freed", func() bool {
+		n.pool.mu.Lock()
+		defer n.pool.mu.Unlock()
+		return len(n.pool.retired) == 0
+	})
 }
 
 // TestStaleConnIsNotReused checks that a connection idle for so long that its server may close it carries no set-up.
@@ -223,7 +236,8 @@
 				n.wantSessionCount(0)
 				return
 			}
-			n.dial().send(setUpRequest(idB, "free", "")).wantAnswer(idB, 453) // its connection was not established within ConnectTimeout
+			// The connection of this set-up is not established within ConnectTimeout.
+			n.dial().send(setUpRequest(idB, "free", "")).wantAnswer(idB, 453)
 			eventually(t, "a connection accepted", func() bool { return b.acceptedCount() > 0 })
 			v.wantNoMessage()
 			n.wantSessionCount(1)
@@ -254,9 +268,15 @@
 			n.wantSessionCount(1)
 			eventually(t, "two connections", func() bool { return b.acceptedCount() == 2 })
 			end(n, first.conn)
-			eventually(t, "the end of the connection detected", func() bool { n.pool.mu.Lock(); defer n.pool.mu.Unlock(); return n.pool.servers["s-1"].reconnectAt > 0 })
+			eventually(t, "the end of the connection detected", func() bool {
+				n.pool.mu.Lock()
+				defer n.pool.mu.Unlock()
+				return n.pool.servers["s-1"].reconnectAt > 0
+			})
 			n.openIdleConn(b) // opened while the server may not have detected the end of the other yet
-			eventually(t, "a connection opened at once, and another one after reconnectDelay", func() bool { return b.acceptedCount() == 4 })
+			eventually(t, "a connection opened at once, and another one after reconnectDelay", func() bool {
+				return b.acceptedCount() == 4
+			})
 			b.mu.Lock()
 			next := b.conns[3]
 			b.mu.Unlock()
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -10,7 +10,7 @@
 	"rainpulley/internal/rtsp"
 )
 
-// lateDivisor defines the last tenth of a request's time, in which an answer counts as late.
+// lateDivisor defines when an answer counts as late: in the last tenth of the request's time or after it.
 const lateDivisor = 10
 
 // session is a viewer's set-up request and the session that results from it. It implements core.Listener; the
@@ -65,7 +65,8 @@
 	return finalAnswer{status: statusGatewayTimeout}
 }
 
-// Answered sends the final answer. If the connection is closed, the viewer may ask for the answer on another one.
+// Answered sends the final answer. If the connection is closed, the answer is cached, since the viewer may resend the
+// set-up on another one.
 func (s *session) Answered(a core.Answer) {
 	r := toFinalAnswer(a)
 	c, connLost, first := s.claimAnswer(r)
--- a/internal/node/setup.go
+++ b/internal/node/setup.go
@@ -78,7 +78,8 @@
 		return r, nil, "class"
 	}
 	if name := m.Get("X-Operator"); name != "" {
-		if r.Tenant = slices.IndexFunc(n.Config.Set.Tenants, func(t control.Tenant) bool { return t.Name == name }); r.Tenant < 0 {
+		if r.Tenant = slices.IndexFunc(n.Config.Set.Tenants,
+			func(t control.Tenant) bool { return t.Name == name }); r.Tenant < 0 {
 			return r, nil, "tenant"
 		}
 	}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// waitBeforeShutdown delays the shutdown. Requests that still arrive are served, and sessions keep playing, since they
-// end with the node that holds them. The node exits shortly before it may be killed, so that only requests with a
+// waitBeforeShutdown delays the shutdown. Meanwhile requests that still arrive are served, and sessions keep playing, as
+// they end only when the node that holds them exits. The node exits shortly before it may be killed, so that only requests with a
 // deadline after that fail.
 func (n *Node) waitBeforeShutdown() {
 	n.Log.Info("shutting down")
@@ -45,7 +45,8 @@
 
 // shutDown stops all parts of the node in the order in which no pending message is lost: requests, connections to
 // servers, the orchestrator, connections to viewers.
-func (n *Node) shutDown(listener net.Listener, serveDone <-chan struct{}, stopOrchestrator context.CancelFunc, orchestratorDone <-chan struct{}) {
+func (n *Node) shutDown(listener net.Listener, serveDone <-chan struct{},
+	stopOrchestrator context.CancelFunc, orchestratorDone <-chan struct{}) {
 	n.viewerConns.shuttingDown.Store(true)
 	n.viewerConns.stopListening(listener)
 	n.orchestrator.FinishRequests()
--- a/internal/node/trial_servers_test.go
+++ b/internal/node/trial_servers_test.go
@@ -31,7 +31,8 @@
 }
 
 func newTrialServers(seed uint64) *trialServers {
-	return &trialServers{random: rand.New(rand.NewPCG(seed, 1)), setUps: map[string][]*receivedSetUp{}, ended: map[string]int{}}
+	return &trialServers{random: rand.New(rand.NewPCG(seed, 1)), setUps: map[string][]*receivedSetUp{},
+		ended: map[string]int{}}
 }
 
 // start starts three servers and returns their entries of the server list.
@@ -112,7 +113,8 @@
 	if answer.Status == statusOK && (len(answer.Body) == 0 || !strings.Contains(text, string(answer.Body))) {
 		found = append(found, fmt.Sprintf("description %q, the servers sent %q", answer.Body, text))
 	}
-	if class == "paid" && ran > 0 && (answer.Status == statusNotEnoughBandwidth || answer.Status == statusServiceUnavailable) {
+	if class == "paid" && ran > 0 && (answer.Status == statusNotEnoughBandwidth ||
+		answer.Status == statusServiceUnavailable) {
 		found = append(found, fmt.Sprintf("refused with %d although it may have run", answer.Status))
 	}
 	return found
--- a/internal/node/trial_test.go
+++ b/internal/node/trial_test.go
@@ -45,8 +45,8 @@
 func randomRequest(random *rand.Rand, id string) trialRequest {
 	endings := []string{"close", "reset", halfClose, "no ending"}
 	ms := func(n int) time.Duration { return time.Duration(random.IntN(n)) * time.Millisecond }
-	return trialRequest{class: []string{"free", "paid"}[random.IntN(2)], id: id, ending: endings[random.IntN(len(endings))], resends: random.IntN(3) > 0,
-		idleTime: ms(3) * 40, withdraws: random.IntN(10) == 0,
+	return trialRequest{class: []string{"free", "paid"}[random.IntN(2)], id: id, ending: endings[random.IntN(len(endings))],
+		resends: random.IntN(3) > 0, idleTime: ms(3) * 40, withdraws: random.IntN(10) == 0,
 		endAfter: ms(40), nodeEndLag: ms(40) - 20*time.Millisecond, resendDelay: ms(25), splitAt: random.IntN(200)}
 }
 
@@ -107,7 +107,8 @@
 
 // run plays one request and checks its answer.
 func (q trialRequest) run(t *testing.T, r *relay, servers *trialServers) {
-	text := strings.Replace(setUpRequest(q.id, q.class, ""), "X-Timer-Ms: 3000", fmt.Sprintf("X-Timer-Ms: %d", trialTimer.Milliseconds()), 1)
+	text := strings.Replace(setUpRequest(q.id, q.class, ""), "X-Timer-Ms: 3000",
+		fmt.Sprintf("X-Timer-Ms: %d", trialTimer.Milliseconds()), 1)
 	v, relayed := r.dial(t)
 	v.send(optionsRequest).wantAnswer("", statusOK)
 	time.Sleep(q.idleTime)
--- a/internal/node/viewerconns.go
+++ b/internal/node/viewerconns.go
@@ -88,9 +88,10 @@
 }
 
 // serveConn starts to serve a connection. Above the limit another one is evicted: first those that have sent nothing
-// for a while, then those without a pending request, the oldest first. Trade-off: in a crowd, viewers that connect and
-// send late are closed. A new connection is spared while there is another candidate: its first request is on the way
-// and would be lost (seen on days when viewers keep their connections open permanently).
+// for a while, then those without a pending request, the longest unused first. Trade-off: above the limit, connections
+// whose viewers send their first message late are closed. A new connection is spared while there is another candidate:
+// its first request is in transit and would be lost (observed on days when viewers kept their connections open
+// permanently).
 func (v *viewerConns) serveConn(conn net.Conn) {
 	now := time.Now()
 	c := newViewerConn(v.node, conn, now)
--- a/internal/node/withdrawal_test.go
+++ b/internal/node/withdrawal_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// wantNoSetUp checks that a server has received no set-up with an id so far, by sending a later one of another viewer.
+// wantNoSetUp checks that a server has received no set-up with an id so far: the next one that it receives must be a
+// later set-up that wantNoSetUp sends as another viewer.
 func (r *testNode) wantNoSetUp(b *box, id string) {
 	r.t.Helper()
 	marker := "00000000000000ff"
@@ -83,7 +84,8 @@
 	}
 }
 
-// TestViewerLeavesAtAdmission does the same on an idle connection, just before the last check of the set-up.
+// TestViewerLeavesAtAdmission has a viewer leave just before the last check of its set-up, which is about to be sent on
+// an idle connection: it must not be sent. The orchestrator is blocked meanwhile.
 func TestViewerLeavesAtAdmission(t *testing.T) {
 	for name, leave := range withdrawals {
 		t.Run(name, func(t *testing.T) {
--- a/internal/node/writequeue.go
+++ b/internal/node/writequeue.go
@@ -149,7 +149,8 @@
 		overdue := time.Since(deadline)
 		switch category := socketerror.Classify(err, socketerror.Transfer); {
 		case category.IsLocal() && overdue < 0:
-		case category == socketerror.DeadlineExceeded && overdue > maxExpiryDelay: // the process was paused: the peer may still read
+		case category == socketerror.DeadlineExceeded && overdue > maxExpiryDelay:
+			// The process was paused: the peer may still read.
 			deadline = time.Now().Add(writeTimeout)
 		default:
 			return err
