--- a/internal/node/descriptor_test.go
+++ b/internal/node/descriptor_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -83,9 +84,11 @@
 	_ = all[0].Close()
 }
 
-// freeAddress returns an unused loopback address.
+// freeAddress returns an unused loopback address. The host is a random one of 127.0.0.0/8: on 127.0.0.1, a listener of
+// another test could get the port before the node listens on it.
 func freeAddress(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	host := net.IPv4(127, byte(1+rand.IntN(250)), byte(rand.IntN(256)), byte(1+rand.IntN(250)))
+	l, err := net.Listen("tcp", net.JoinHostPort(host.String(), "0"))
 	if err != nil {
 		t.Fatal(err)
 	}
